--- a/crates/bench/src/gate.rs
+++ b/crates/bench/src/gate.rs
@@ -5,7 +5,7 @@
     time::Duration,
 };
 
-use hinge_fair::{Class, Limits, Offer, Queue, Room};
+use hinge_fair::{Class, FreeSlots, Limits, Offer, Queue};
 
 use crate::{
     endpoint::Endpoint,
@@ -150,7 +150,7 @@
         Filled::Parked
     }
 
-    fn room(&self, endpoints: &[Endpoint]) -> Room {
+    fn room(&self, endpoints: &[Endpoint]) -> FreeSlots {
         let reserves = |endpoint: &usize| {
             self.reserved_every > 0 && endpoint.is_multiple_of(self.reserved_every)
         };
@@ -163,7 +163,7 @@
             parked if parked.iter().any(is_urgent) => 0,
             _ => free_slots.min(reserved_slots),
         };
-        Room {
+        FreeSlots {
             free_slots,
             reserved_slots,
         }
--- a/crates/bench/src/world.rs
+++ b/crates/bench/src/world.rs
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-use hinge_fair::{PoolBound, SumsReport, Totals, TotalsReply};
+use hinge_fair::{FairnessBound, SumsReport, Totals, TotalsReply};
 use hinge_placement::Load;
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 
@@ -170,7 +170,7 @@
             is_isolated: false,
             paused_until: Duration::ZERO,
             walk: None,
-            totals: Totals::open_root(1),
+            totals: Totals::new_root(1),
             events: BTreeMap::new(),
             due: BinaryHeap::new(),
             sequence: 0,
@@ -440,7 +440,7 @@
             lost_s
         };
         let sidecar_rate = shape.units_per_s() / shape.workers() as u64;
-        let bound = PoolBound {
+        let bound = FairnessBound {
             pool_slots: slots,
             sidecar_slots: u64::from(SLOTS),
             max_request_units: shape.max_request_units(),
--- a/crates/control/src/below.rs
+++ b/crates/control/src/below.rs
@@ -182,7 +182,7 @@
         let totals = self
             .totals
             .entry(report.pool.clone())
-            .or_insert_with(|| Totals::open_relay(relay, incarnation));
+            .or_insert_with(|| Totals::new_relay(relay, incarnation));
         totals.expire(now);
         let reply = totals.merge(now, &service::report_from(report))?;
         Some(service::totals_message(&report.pool, &reply))
--- a/crates/control/src/soft.rs
+++ b/crates/control/src/soft.rs
@@ -128,7 +128,7 @@
         let totals = self
             .totals
             .entry(report.pool.clone())
-            .or_insert_with(|| Totals::open_root(term));
+            .or_insert_with(|| Totals::new_root(term));
         let reply = totals.merge(now, &service::report_from(report))?;
         Some(service::totals_message(&report.pool, &reply))
     }
--- a/crates/fair/benches/pick.rs
+++ b/crates/fair/benches/pick.rs
@@ -4,16 +4,17 @@
 
 use criterion::Criterion;
 use hinge_fair::{
-    Class, Limits, NormalisedUnits, Offer, Queue, Room, SumsReport, TeamIndex, Totals, TotalsReply,
+    Class, FreeSlots, Limits, NormalisedUnits, Offer, Queue, SumsReport, TeamIndex, Totals,
+    TotalsReply,
 };
 
 const TEAMS: u32 = 1_500;
 const BACKLOGGED: u32 = 150;
 const WAITING_PER_TEAM: u32 = 4;
-const REQUEST: u64 = 1_000;
+const REQUEST_UNITS: u64 = 1_000;
 const DEADLINE: Duration = Duration::from_hours(1);
 const NOW: Duration = Duration::from_secs(1);
-const ROOM: Room = Room {
+const ONE_FREE_SLOT: FreeSlots = FreeSlots {
     free_slots: 1,
     reserved_slots: 0,
 };
@@ -31,7 +32,7 @@
 fn queue() -> Queue<u64> {
     let mut queue = Queue::new(Limits {
         max_waiting: 100_000,
-        max_request_units: 10 * REQUEST,
+        max_request_units: 10 * REQUEST_UNITS,
     });
     for team in 0..TEAMS {
         queue.set_team(&name(team), 1 + team % 7, 1_000);
@@ -44,7 +45,7 @@
         offer_id,
         team: name(team).into(),
         class: Class::ALL[(offer_id % 3) as usize],
-        estimated_units: REQUEST,
+        estimated_units: REQUEST_UNITS,
         deadline: DEADLINE,
     }
 }
@@ -58,11 +59,11 @@
 }
 
 /// Picks and ends a request, and lets another one of the same team wait.
-fn cycle(queue: &mut Queue<u64>, offers: &mut [Offer]) {
-    let picked = queue.pick(NOW, ROOM).expect("offers wait");
+fn pick_finish_push(queue: &mut Queue<u64>, offers: &mut [Offer]) {
+    let picked = queue.pick(NOW, ONE_FREE_SLOT).expect("offers wait");
     let again = &mut offers[picked.team as usize];
     again.offer_id = picked.offer_id;
-    queue.finish(picked.offer_id, REQUEST);
+    queue.finish(picked.offer_id, REQUEST_UNITS);
     let pushed = queue.push(NOW, again, 0);
     assert_eq!(pushed, Ok(None));
 }
@@ -72,7 +73,7 @@
     fill(&mut queue, WAITING_PER_TEAM);
     let mut offers: Vec<Offer> = (0..TEAMS).map(|team| offer(0, team)).collect();
     criterion.bench_function("pick_finish_push", |bencher| {
-        bencher.iter(|| cycle(&mut queue, &mut offers));
+        bencher.iter(|| pick_finish_push(&mut queue, &mut offers));
     });
     let full =
         (0..BACKLOGGED * 400).map(|id| offer(1_000_000 + u64::from(id), id % BACKLOGGED * 10));
@@ -86,9 +87,9 @@
             let mut spent = Duration::ZERO;
             for _ in 0..iterations {
                 let start = std::time::Instant::now();
-                let picked = black_box(queue.pick(NOW, ROOM)).expect("offers wait");
+                let picked = black_box(queue.pick(NOW, ONE_FREE_SLOT)).expect("offers wait");
                 spent += start.elapsed();
-                queue.finish(picked.offer_id, REQUEST);
+                queue.finish(picked.offer_id, REQUEST_UNITS);
                 let again = &mut offers[picked.team as usize];
                 again.offer_id = picked.offer_id;
                 let pushed = queue.push(NOW, again, 0);
@@ -97,7 +98,10 @@
             spent
         });
     });
-    let running = queue.pick(NOW, ROOM).expect("offers wait").offer_id;
+    let running = queue
+        .pick(NOW, ONE_FREE_SLOT)
+        .expect("offers wait")
+        .offer_id;
     criterion.bench_function("charge", |bencher| {
         bencher.iter(|| queue.charge(running, 1));
     });
@@ -110,7 +114,7 @@
     criterion.bench_function("order_set_150", |bencher| {
         bencher.iter(|| {
             let (key, team) = ordered.pop_first().expect("teams wait");
-            ordered.insert((key + REQUEST, team));
+            ordered.insert((key + REQUEST_UNITS, team));
         });
     });
     for teams in [BACKLOGGED, TEAMS] {
@@ -118,7 +122,7 @@
         criterion.bench_function(&format!("order_scan_{teams}"), |bencher| {
             bencher.iter(|| {
                 let least = scanned.iter_mut().min().expect("teams wait");
-                least.0 += REQUEST;
+                least.0 += REQUEST_UNITS;
             });
         });
     }
@@ -135,7 +139,7 @@
     let mut queue = queue();
     fill(&mut queue, WAITING_PER_TEAM);
     let mut offers: Vec<Offer> = (0..TEAMS).map(|team| offer(0, team)).collect();
-    let mut totals = Totals::open_root(1);
+    let mut totals = Totals::new_root(1);
     for _ in 0..3 {
         exchange(&mut queue, &mut totals);
     }
@@ -143,13 +147,13 @@
     criterion.bench_function("serve_20_and_exchange_sums", |bencher| {
         bencher.iter(|| {
             for _ in 0..20 {
-                cycle(&mut queue, &mut offers);
+                pick_finish_push(&mut queue, &mut offers);
             }
             black_box(exchange(&mut queue, &mut totals))
         });
     });
     for _ in 0..20 {
-        cycle(&mut queue, &mut offers);
+        pick_finish_push(&mut queue, &mut offers);
     }
     let (report, reply) = exchange(&mut queue, &mut totals);
     let named = rmp_serde::to_vec_named(&report).map_or(0, |bytes| bytes.len());
--- a/crates/fair/src/bound.rs
+++ b/crates/fair/src/bound.rs
@@ -7,7 +7,7 @@
 
 /// What the bound on the gap depends on; the derivation is in `docs/design/fair-service.md`.
 #[derive(Clone, Copy, Debug)]
-pub struct PoolBound {
+pub struct FairnessBound {
     /// Slots of the whole pool.
     pub pool_slots: u64,
     /// Slots of the largest sidecar.
@@ -26,13 +26,13 @@
     pub urgent_allowance_ppm: u32,
 }
 
-impl PoolBound {
+impl FairnessBound {
     /// Returns the most by which a team's normalised service may exceed that of another backlogged team.
     #[must_use]
     pub fn lead(&self, leader_share: u32, other_share: u32) -> NormalisedUnits {
         let leader = self.granularity_units()
-            + self.unseen_units()
-            + self.correction_units()
+            + self.unseen_service_units()
+            + self.allowed_lead_units()
             + self.miscounted_units;
         // The other team's own estimates, and the miscount in its disfavour, are the only terms over its share.
         let other = self.sidecar_slots * self.max_request_units + self.miscounted_units;
@@ -65,12 +65,12 @@
     }
 
     /// Service in the time in which a sidecar doesn't know of service, of a lift, or of the waiting team.
-    fn unseen_units(&self) -> u64 {
+    fn unseen_service_units(&self) -> u64 {
         self.units_in(2 * self.staleness + self.visibility)
     }
 
     /// Lead that a forgiven or an urgent team may keep.
-    fn correction_units(&self) -> u64 {
+    fn allowed_lead_units(&self) -> u64 {
         let urgent = urgent_allowance_units(self.max_request_units, self.urgent_allowance_ppm);
         MAX_LEAD_REQUESTS * self.max_request_units + urgent
     }
--- a/crates/fair/src/deadline.rs
+++ b/crates/fair/src/deadline.rs
@@ -5,7 +5,7 @@
 use crate::{
     offer::{Class, Expired, Reason, Refusal},
     queue::Queue,
-    team::{Place, Team, TeamIndex},
+    team::{OrderKey, Team, TeamIndex},
 };
 
 impl<T> Queue<T> {
@@ -18,11 +18,15 @@
     }
 
     /// Returns how many of the team's picks come before the given place.
-    pub(crate) fn position(&self, index: TeamIndex, class: Class, place: Place) -> usize {
+    pub(crate) fn position(&self, index: TeamIndex, class: Class, order_key: OrderKey) -> usize {
         let team = self.team(index);
         let higher = Class::ALL.into_iter().filter(|other| *other < class);
-        let higher = higher.map(|other| team.in_order(other).count()).sum();
-        let in_class = team.in_order(class).take_while(|(other, _)| *other < place);
+        let higher = higher
+            .map(|other| team.offers_in_order(other).count())
+            .sum();
+        let in_class = team
+            .offers_in_order(class)
+            .take_while(|(other, _)| *other < order_key);
         Team::<T>::picks_before(higher, in_class.count())
     }
 
@@ -43,7 +47,9 @@
         position: usize,
         deadline: Duration,
     ) -> bool {
-        let wait = self.drain.time_for(self.picks_before(index, position));
+        let wait = self
+            .drain_rate
+            .time_for_picks(self.picks_before(index, position));
         let starts_at = now.saturating_add(wait.unwrap_or_default());
         deadline < starts_at || deadline <= now
     }
@@ -69,9 +75,9 @@
         late: &mut Vec<u64>,
     ) -> usize {
         let mut in_time = 0;
-        for (place, offer_id) in self.team(index).in_order(class) {
+        for (order_key, offer_id) in self.team(index).offers_in_order(class) {
             let position = Team::<T>::picks_before(higher, in_time);
-            if self.is_late(now, index, position, place.deadline) {
+            if self.is_late(now, index, position, order_key.deadline) {
                 late.push(offer_id);
             } else {
                 in_time += 1;
@@ -81,9 +87,9 @@
     }
 
     fn expire_one(&mut self, offer_id: u64) -> Option<Expired<T>> {
-        let team = self.filed.get(&offer_id)?.team;
-        let drained = self.picks_before(team, self.team(team).waiting);
-        let refusal = self.refusal(Reason::DeadlineUnmeetable, drained);
+        let team = self.locations.get(&offer_id)?.team;
+        let picks = self.picks_before(team, self.team(team).waiting);
+        let refusal = self.refusal(Reason::DeadlineUnmeetable, picks);
         let payload = self.remove(offer_id)?;
         Some(Expired {
             offer_id,
@@ -96,7 +102,7 @@
     pub(crate) fn refusal(&self, reason: Reason, picks: u64) -> Refusal {
         Refusal {
             reason,
-            retry_after: self.drain.retry_after(picks),
+            retry_after: self.drain_rate.retry_after(picks),
         }
     }
 }
--- a/crates/fair/src/drain.rs
+++ b/crates/fair/src/drain_rate.rs
@@ -6,10 +6,10 @@
 const MIN_PICKS: u32 = 8;
 
 /// Weight of one observation is one in this many; sixteen smooths over the mix of short and long requests.
-const SMOOTHING: u128 = 16;
+const SMOOTHING_DIVISOR: u128 = 16;
 
 /// Retry delay before anything is known.
-const UNKNOWN_DELAY: Duration = Duration::from_secs(1);
+const DEFAULT_DELAY: Duration = Duration::from_secs(1);
 
 /// Bounds of a retry delay: below, callers would spin; above, they would miss that the queue has drained.
 const MIN_DELAY: Duration = Duration::from_millis(50);
@@ -17,34 +17,34 @@
 
 /// Smoothed time between two picks while offers wait.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Drain {
-    picks: u32,
+pub(crate) struct DrainRate {
+    pick_count: u32,
     interval_ns: u128,
-    since: Duration,
+    interval_start: Duration,
 }
 
-impl Drain {
+impl DrainRate {
     /// Notes that the queue has begun to fill.
-    pub(crate) fn note_backlog(&mut self, now: Duration) {
+    pub(crate) fn record_backlog_start(&mut self, now: Duration) {
         // Time without waiting offers says nothing about the endpoint's speed.
-        self.since = now;
+        self.interval_start = now;
     }
 
     /// Notes that an offer was picked.
-    pub(crate) fn note_pick(&mut self, now: Duration) {
-        let observed = now.saturating_sub(self.since).as_nanos();
-        self.since = now;
-        self.interval_ns = if self.picks == 0 {
+    pub(crate) fn record_pick(&mut self, now: Duration) {
+        let observed = now.saturating_sub(self.interval_start).as_nanos();
+        self.interval_start = now;
+        self.interval_ns = if self.pick_count == 0 {
             observed
         } else {
-            (self.interval_ns * (SMOOTHING - 1) + observed) / SMOOTHING
+            (self.interval_ns * (SMOOTHING_DIVISOR - 1) + observed) / SMOOTHING_DIVISOR
         };
-        self.picks = self.picks.saturating_add(1);
+        self.pick_count = self.pick_count.saturating_add(1);
     }
 
     /// Returns the time in which `picks` offers leave the queue, once enough was observed.
-    pub(crate) fn time_for(&self, picks: u64) -> Option<Duration> {
-        if self.picks < MIN_PICKS {
+    pub(crate) fn time_for_picks(&self, picks: u64) -> Option<Duration> {
+        if self.pick_count < MIN_PICKS {
             return None;
         }
         let nanos = self.interval_ns.saturating_mul(u128::from(picks));
@@ -54,7 +54,7 @@
 
     /// Returns the retry delay for a caller ahead of whom `picks` offers leave the queue.
     pub(crate) fn retry_after(&self, picks: u64) -> Duration {
-        let wait = self.time_for(picks).unwrap_or(UNKNOWN_DELAY);
+        let wait = self.time_for_picks(picks).unwrap_or(DEFAULT_DELAY);
         wait.clamp(MIN_DELAY, MAX_DELAY)
     }
 }
--- a/crates/fair/src/exchange.rs
+++ b/crates/fair/src/exchange.rs
@@ -6,14 +6,14 @@
     queue::Queue,
     sums::{SumsReport, TeamSum},
     team::{NormalisedUnits, TeamIndex},
-    upstream::{Change, TeamTotal, TotalsReply},
+    upstream::{EpochChange, TeamTotal, TotalsReply},
 };
 
 /// How long a team that the last reply lists as backlogged in the fleet counts as not idle.
 ///
 /// Five reports of one second: a lost reply or two don't matter, and a sidecar that is cut off goes back to its own
 /// knowledge soon.
-pub const LISTED_FOR: Duration = Duration::from_secs(5);
+pub const BACKLOG_LISTING_TTL: Duration = Duration::from_secs(5);
 
 impl<T> Queue<T> {
     /// Returns the sums that the merging process has not confirmed yet, to be sent about once a second.
@@ -21,9 +21,9 @@
     /// A report without changes still says that this sidecar lives. A lost report needs no resending: the next one
     /// carries its changes too.
     pub fn report(&mut self, source: &str, incarnation: u64) -> SumsReport {
-        self.set_dirty_sums();
+        self.flush_dirty_sums();
         let since = self.upstream.mark();
-        self.sums.note_sent(since);
+        self.sums.record_sent(since);
         let changes = self.sums.changes_since(since);
         let changes = changes.map(|(team, version, sum)| TeamSum {
             team: self.team(team).name.clone(),
@@ -39,31 +39,31 @@
     ///
     /// The caller drops a reply to another incarnation of this sidecar.
     pub fn apply_totals(&mut self, now: Duration, reply: &TotalsReply) {
-        match self.upstream.accept(reply) {
-            Change::Stale => return,
-            Change::Same => self.sums.note_rooted(reply.rooted_mark),
-            Change::MergerChanged => return self.restart_sums(false),
-            Change::RootChanged => return self.restart_sums(true),
+        match self.upstream.update_epoch(reply) {
+            EpochChange::Stale => return,
+            EpochChange::Unchanged => self.sums.record_rooted(reply.rooted_mark),
+            EpochChange::MergerChanged => return self.restart_sums(false),
+            EpochChange::RootChanged => return self.restart_sums(true),
         }
-        self.replies += 1;
-        self.listed_until = now + LISTED_FOR;
-        let peers_before = self.peers;
-        self.peers.fade();
+        self.reply_count += 1;
+        self.listing_expires_at = now + BACKLOG_LISTING_TTL;
+        let peer_ratio_before = self.peer_ratio;
+        self.peer_ratio.decay();
         for total in &reply.teams {
             self.apply_total(total);
         }
-        if self.upstream.learn(reply) {
+        if self.upstream.update_floor(reply) {
             // Minutes of the others' service that come at once say nothing of how they and this sidecar serve together.
-            self.peers = peers_before;
-            self.forgive();
+            self.peer_ratio = peer_ratio_before;
+            self.forgive_leads();
         }
         // This also files all teams that wait by the ratio just learnt.
         if let Some(floor) = self.upstream.floor {
-            self.end_forgiveness_below(floor);
+            self.limit_forgiveness(floor);
         }
     }
 
-    fn set_dirty_sums(&mut self) {
+    fn flush_dirty_sums(&mut self) {
         for index in self.dirty.drain(..) {
             let team = &mut self.teams[index as usize];
             team.dirty = false;
@@ -73,11 +73,11 @@
 
     /// Starts the sums anew with what the root is not known to count.
     fn restart_sums(&mut self, new_root: bool) {
-        self.set_dirty_sums();
+        self.flush_dirty_sums();
         for index in 0..self.teams.len() {
             let index = TeamIndex::try_from(index).expect("teams fit 32 bits");
             let unrooted = self.sums.unrooted(index);
-            self.refile(index, |team| {
+            self.update_team(index, |team| {
                 if new_root {
                     team.account.rebase(unrooted);
                 } else {
@@ -85,7 +85,7 @@
                 }
             });
         }
-        self.sums = crate::Sums::default();
+        self.sums = crate::ServiceSums::default();
     }
 
     fn apply_total(&mut self, total: &TeamTotal) {
@@ -93,38 +93,38 @@
             return;
         };
         let remote = total.normalised_units.saturating_sub(total.yours_units);
-        let replies = self.replies;
-        let mut peers = self.peers;
-        self.refile(index, |team| {
+        let reply_count = self.reply_count;
+        let mut peer_ratio = self.peer_ratio;
+        self.update_team(index, |team| {
             team.account
-                .learn_merged(remote, total.yours_units, &mut peers);
-            team.account.learn_remote(remote);
-            team.account.learn_lift(total.lift_units);
+                .update_merged(remote, total.yours_units, &mut peer_ratio);
+            team.account.update_remote(remote);
+            team.account.update_lift(total.lift_units);
             if total.settled {
                 team.account.settle_lift();
-                team.listed_in = replies;
+                team.listed_in_reply = reply_count;
             }
         });
-        self.peers = peers;
+        self.peer_ratio = peer_ratio;
     }
 
     /// Forgives large leads, after service that nobody here knew of has come in at once.
-    fn forgive(&mut self) {
+    fn forgive_leads(&mut self) {
         let Some(floor) = self.upstream.floor else {
             return;
         };
         let max_request_units = self.limits.max_request_units;
         for index in 0..self.teams.len() {
             let index = TeamIndex::try_from(index).expect("teams fit 32 bits");
-            self.refile(index, |team| {
+            self.update_team(index, |team| {
                 team.account.forgive_above(floor, max_request_units);
             });
         }
     }
 
-    fn end_forgiveness_below(&mut self, floor: NormalisedUnits) {
+    fn limit_forgiveness(&mut self, floor: NormalisedUnits) {
         for index in self.backlogged() {
-            self.refile(index, |team| team.account.forgive_no_lower_than(floor));
+            self.update_team(index, |team| team.account.limit_forgiveness(floor));
         }
     }
 }
--- a/crates/fair/src/lib.rs
+++ b/crates/fair/src/lib.rs
@@ -10,12 +10,12 @@
 mod bound;
 mod choose;
 mod deadline;
-mod drain;
+mod drain_rate;
 mod exchange;
 mod offer;
-mod peers;
+mod origin_record;
+mod peer_ratio;
 mod queue;
-mod record;
 mod reply;
 mod shed;
 mod sums;
@@ -25,15 +25,15 @@
 mod urgent;
 
 pub use crate::{
-    bound::PoolBound,
-    exchange::LISTED_FOR,
-    offer::{Class, Expired, Limits, Offer, Picked, Reason, Refusal, Room, Shed},
+    bound::FairnessBound,
+    exchange::BACKLOG_LISTING_TTL,
+    offer::{Class, Expired, FreeSlots, Limits, Offer, Picked, Reason, Refusal, Shed},
     queue::Queue,
-    sums::{Epoch, Origin, Sum, Sums, SumsReport, TeamSum},
+    sums::{Epoch, Origin, ServiceSum, ServiceSums, SumsReport, TeamSum},
     team::{
         Account, CORRECTION_FACTOR, MAX_LEAD_REQUESTS, NormalisedUnits, SCALE, TeamIndex, normalise,
     },
-    totals::{MAX_FORGOTTEN, ORIGIN_FORGOTTEN_AFTER, ORIGIN_SILENT_AFTER, Totals},
+    totals::{MAX_TOMBSTONES, ORIGIN_EXPIRY_TIMEOUT, ORIGIN_SILENCE_TIMEOUT, Totals},
     upstream::{TeamTotal, TotalsReply},
     urgent::{DEFAULT_URGENT_ALLOWANCE_PPM, URGENT_WINDOW_REQUESTS},
 };
--- a/crates/fair/src/offer.rs
+++ b/crates/fair/src/offer.rs
@@ -57,7 +57,7 @@
 
 /// Free slots of the endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Room {
+pub struct FreeSlots {
     /// Slots that are free now.
     pub free_slots: u32,
     /// How many of the free slots are kept as headroom for urgent offers.
--- a/crates/fair/src/record.rs
+++ b/crates/fair/src/origin_record.rs
@@ -3,36 +3,36 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use crate::{
-    sums::{Origin, Sum},
+    sums::{Origin, ServiceSum},
     team::TeamIndex,
 };
 
 /// Incarnation and generation; a larger one is a newer run.
 pub(crate) type RunId = (u64, u32);
 
-pub(crate) fn run_of(origin: &Origin) -> RunId {
+pub(crate) fn run_id(origin: &Origin) -> RunId {
     (origin.incarnation, origin.generation)
 }
 
 /// The last report of one origin.
 #[derive(Clone, Debug)]
-pub(crate) struct Record {
+pub(crate) struct OriginRecord {
     pub(crate) run: RunId,
     pub(crate) live: bool,
-    pub(crate) heard_at: Duration,
+    pub(crate) last_report_at: Duration,
     pub(crate) mark: u64,
     /// Mark of our own report that carries this origin's sums up to the second mark, until the root confirms it.
     pub(crate) sent: Option<(u64, u64)>,
     pub(crate) rooted_mark: u64,
-    pub(crate) teams: BTreeMap<TeamIndex, (u64, Sum)>,
+    pub(crate) teams: BTreeMap<TeamIndex, (u64, ServiceSum)>,
 }
 
-impl Record {
+impl OriginRecord {
     pub(crate) fn new(run: RunId, now: Duration) -> Self {
         Self {
             run,
             live: true,
-            heard_at: now,
+            last_report_at: now,
             mark: 0,
             sent: None,
             rooted_mark: 0,
--- a/crates/fair/src/queue.rs
+++ b/crates/fair/src/queue.rs
@@ -6,21 +6,21 @@
 };
 
 use crate::{
-    drain::Drain,
-    offer::{Class, Limits, Offer, Picked, Reason, Refusal, Room, Shed},
-    peers::Peers,
+    drain_rate::DrainRate,
+    offer::{Class, FreeSlots, Limits, Offer, Picked, Reason, Refusal, Shed},
+    peer_ratio::PeerRatio,
     shed::furthest_above_share,
-    sums::Sums,
-    team::{Account, Floor, NormalisedUnits, Place, Team, TeamIndex, Waiting},
+    sums::ServiceSums,
+    team::{Account, Floor, NormalisedUnits, OrderKey, Team, TeamIndex, WaitingOffer},
     upstream::Upstream,
 };
 
 /// Where a waiting offer is filed.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Filed {
+pub(crate) struct OfferLocation {
     pub(crate) team: TeamIndex,
     class: Class,
-    place: Place,
+    order_key: OrderKey,
 }
 
 /// A request whose estimate is charged.
@@ -38,29 +38,29 @@
 pub struct Queue<T> {
     pub(crate) limits: Limits,
     pub(crate) teams: Vec<Team<T>>,
-    pub(crate) sums: Sums,
+    pub(crate) sums: ServiceSums,
     pub(crate) upstream: Upstream,
     /// Teams whose sums have changed since they were last set.
     pub(crate) dirty: Vec<TeamIndex>,
     /// Replies taken in.
-    pub(crate) replies: u64,
+    pub(crate) reply_count: u64,
     /// Until when the last reply tells which teams are backlogged in the fleet.
-    pub(crate) listed_until: Duration,
-    names: HashMap<Box<str>, TeamIndex>,
+    pub(crate) listing_expires_at: Duration,
+    team_indexes: HashMap<Box<str>, TeamIndex>,
     /// Backlogged teams by effective service.
     pub(crate) ready: BTreeSet<(NormalisedUnits, TeamIndex)>,
     /// The subset of `ready` that has urgent offers and an allowance, by counted service less the allowance.
     pub(crate) urgent: BTreeSet<(NormalisedUnits, TeamIndex)>,
     /// Backlogged teams by what another may have and still go first.
     pub(crate) ceilings: BTreeSet<(NormalisedUnits, TeamIndex)>,
-    pub(crate) peers: Peers,
+    pub(crate) peer_ratio: PeerRatio,
     /// Most requests that ran at once.
-    slots: u64,
-    pub(crate) filed: HashMap<u64, Filed>,
+    max_running: u64,
+    pub(crate) locations: HashMap<u64, OfferLocation>,
     running: HashMap<u64, Running>,
-    arrivals: u64,
+    arrival_count: u64,
     pub(crate) backlogged_shares: u64,
-    pub(crate) drain: Drain,
+    pub(crate) drain_rate: DrainRate,
     /// Service of the team picked last, for a team that comes back when nobody else waits.
     last_floor: Option<Floor>,
 }
@@ -72,22 +72,22 @@
         Self {
             limits,
             teams: Vec::new(),
-            sums: Sums::default(),
+            sums: ServiceSums::default(),
             upstream: Upstream::default(),
             dirty: Vec::new(),
-            replies: 0,
-            listed_until: Duration::ZERO,
-            names: HashMap::new(),
+            reply_count: 0,
+            listing_expires_at: Duration::ZERO,
+            team_indexes: HashMap::new(),
             ready: BTreeSet::new(),
             urgent: BTreeSet::new(),
             ceilings: BTreeSet::new(),
-            peers: Peers::default(),
-            slots: 0,
-            filed: HashMap::new(),
+            peer_ratio: PeerRatio::default(),
+            max_running: 0,
+            locations: HashMap::new(),
             running: HashMap::new(),
-            arrivals: 0,
+            arrival_count: 0,
             backlogged_shares: 0,
-            drain: Drain::default(),
+            drain_rate: DrainRate::default(),
             last_floor: None,
         }
     }
@@ -98,7 +98,7 @@
             return self.add_team(team, share, max_waiting);
         };
         let max_request_units = self.limits.max_request_units;
-        self.refile(index, |team| {
+        self.update_team(index, |team| {
             team.account.set_share(share);
             team.max_waiting = max_waiting;
             team.refresh_allowance(max_request_units);
@@ -109,7 +109,7 @@
     /// Changes which part of a team's service may go first as urgent; with 0 its urgent offers count as standard.
     pub fn set_urgent_allowance(&mut self, index: TeamIndex, allowance_ppm: u32) {
         let max_request_units = self.limits.max_request_units;
-        self.refile(index, |team| {
+        self.update_team(index, |team| {
             team.urgent_allowance_ppm = allowance_ppm;
             team.refresh_allowance(max_request_units);
         });
@@ -118,7 +118,7 @@
     /// Returns the index of a known team.
     #[must_use]
     pub fn team_index(&self, team: &str) -> Option<TeamIndex> {
-        self.names.get(team).copied()
+        self.team_indexes.get(team).copied()
     }
 
     /// Returns the name of a team.
@@ -144,7 +144,7 @@
     /// Returns the number of offers that wait.
     #[must_use]
     pub fn waiting(&self) -> usize {
-        self.filed.len()
+        self.locations.len()
     }
 
     /// Returns the number of a team's offers that wait.
@@ -186,10 +186,10 @@
     ) -> Result<Option<Shed<T>>, Refusal> {
         let index = self.admit(now, offer)?;
         let shed = self.make_room(index)?;
-        if self.filed.is_empty() {
-            self.drain.note_backlog(now);
+        if self.locations.is_empty() {
+            self.drain_rate.record_backlog_start(now);
         }
-        self.file(now, index, offer, payload);
+        self.enqueue(now, index, offer, payload);
         Ok(shed)
     }
 
@@ -199,8 +199,10 @@
     ///
     /// When the queue's own tables disagree, which is a broken invariant.
     pub fn remove(&mut self, offer_id: u64) -> Option<T> {
-        let filed = self.filed.remove(&offer_id)?;
-        let waiting = self.refile(filed.team, |team| team.remove(filed.class, filed.place));
+        let location = self.locations.remove(&offer_id)?;
+        let waiting = self.update_team(location.team, |team| {
+            team.remove(location.class, location.order_key)
+        });
         let waiting = waiting.expect("a filed offer waits in its team");
         Some(waiting.payload)
     }
@@ -210,25 +212,25 @@
     /// # Panics
     ///
     /// When the queue's own tables disagree, which is a broken invariant.
-    pub fn pick(&mut self, now: Duration, room: Room) -> Option<Picked<T>> {
-        let (index, class) = self.choose(room)?;
-        self.last_floor = self.floor_here();
-        let (place, waiting) = self
-            .refile(index, |team| {
-                let taken = team.take(class)?;
-                team.account.reserve(taken.1.estimated_units);
-                Some(taken)
+    pub fn pick(&mut self, now: Duration, slots: FreeSlots) -> Option<Picked<T>> {
+        let (index, class) = self.choose(slots)?;
+        self.last_floor = self.local_floor();
+        let (order_key, waiting) = self
+            .update_team(index, |team| {
+                let popped = team.pop(class)?;
+                team.account.reserve(popped.1.estimated_units);
+                Some(popped)
             })
             .expect("a chosen class has a waiting offer");
-        self.filed.remove(&waiting.offer_id);
-        self.drain.note_pick(now);
-        self.note_running(waiting.offer_id, index, waiting.estimated_units);
+        self.locations.remove(&waiting.offer_id);
+        self.drain_rate.record_pick(now);
+        self.record_running(waiting.offer_id, index, waiting.estimated_units);
         Some(Picked {
             offer_id: waiting.offer_id,
             team: index,
             class,
             estimated_units: waiting.estimated_units,
-            deadline: place.deadline,
+            deadline: order_key.deadline,
             waited: now.saturating_sub(waiting.arrived_at),
             payload: waiting.payload,
         })
@@ -242,9 +244,9 @@
     ///
     /// When the team is unknown, or the id waits or runs already.
     pub fn start(&mut self, offer: &Offer) -> Result<TeamIndex, Refusal> {
-        let index = self.known_and_new(offer)?;
-        self.refile(index, |team| team.account.reserve(offer.estimated_units));
-        self.note_running(offer.offer_id, index, offer.estimated_units);
+        let index = self.check_team_and_id(offer)?;
+        self.update_team(index, |team| team.account.reserve(offer.estimated_units));
+        self.record_running(offer.offer_id, index, offer.estimated_units);
         Ok(index)
     }
 
@@ -259,7 +261,7 @@
         running.reserved_units -= from_estimate;
         running.streamed_units = running.streamed_units.saturating_add(units);
         let index = running.team;
-        self.refile(index, |team| {
+        self.update_team(index, |team| {
             team.account.release(from_estimate);
             team.account.charge(units);
         });
@@ -275,7 +277,7 @@
             return false;
         };
         let missing = actual_units.saturating_sub(running.streamed_units);
-        self.refile(running.team, |team| {
+        self.update_team(running.team, |team| {
             team.account.release(running.reserved_units);
             team.account.charge(missing);
         });
@@ -291,7 +293,7 @@
         let mut team = Team::new(name.into(), share, max_waiting);
         team.refresh_allowance(self.limits.max_request_units);
         self.teams.push(team);
-        self.names.insert(name.into(), index);
+        self.team_indexes.insert(name.into(), index);
         index
     }
 
@@ -300,29 +302,29 @@
     }
 
     /// Changes a team and files it anew under its effective service.
-    pub(crate) fn refile<R>(
+    pub(crate) fn update_team<R>(
         &mut self,
         index: TeamIndex,
         change: impl FnOnce(&mut Team<T>) -> R,
     ) -> R {
-        let ratio = self.peers.ratio();
+        let ratio = self.peer_ratio.ratio();
         let team = &mut self.teams[index as usize];
-        let before = (team.filed, index);
-        let ceiling_before = (team.ceiling, index);
-        let urgent_before = (team.filed_urgent, index);
-        let was = (team.waiting > 0, team.may_go_first());
+        let ready_before = (team.ready_key, index);
+        let ceiling_before = (team.ceiling_key, index);
+        let urgent_before = (team.urgent_key, index);
+        let was = (team.waiting > 0, team.may_use_urgent_allowance());
         let share_before = u64::from(team.account.share());
         let result = change(team);
         team.account.set_peers_ratio(ratio);
-        team.filed = team.account.effective();
-        team.ceiling = team
+        team.ready_key = team.account.effective();
+        team.ceiling_key = team
             .account
-            .ceiling(self.slots, self.limits.max_request_units);
-        team.filed_urgent = team.urgent_precedence();
-        let after = (team.filed, index);
-        let urgent_after = (team.filed_urgent, index);
-        let ceiling_after = (team.ceiling, index);
-        let is = (team.waiting > 0, team.may_go_first());
+            .ceiling(self.max_running, self.limits.max_request_units);
+        team.urgent_key = team.urgent_precedence();
+        let ready_after = (team.ready_key, index);
+        let urgent_after = (team.urgent_key, index);
+        let ceiling_after = (team.ceiling_key, index);
+        let is = (team.waiting > 0, team.may_use_urgent_allowance());
         if is.0 && !was.0 {
             team.backlog_count += 1;
         }
@@ -337,17 +339,17 @@
         if is.0 {
             self.backlogged_shares += share_after;
         }
-        move_entry(
+        replace_key(
             &mut self.ceilings,
             was.0.then_some(ceiling_before),
             is.0.then_some(ceiling_after),
         );
-        move_entry(
+        replace_key(
             &mut self.ready,
-            was.0.then_some(before),
-            is.0.then_some(after),
+            was.0.then_some(ready_before),
+            is.0.then_some(ready_after),
         );
-        move_entry(
+        replace_key(
             &mut self.urgent,
             was.1.then_some(urgent_before),
             is.1.then_some(urgent_after),
@@ -355,37 +357,37 @@
         result
     }
 
-    fn known_and_new(&self, offer: &Offer) -> Result<TeamIndex, Refusal> {
+    fn check_team_and_id(&self, offer: &Offer) -> Result<TeamIndex, Refusal> {
         let index = self.team_index(&offer.team);
         let index = index.ok_or_else(|| self.refusal(Reason::UnknownTeam, 1))?;
-        let taken = self.filed.contains_key(&offer.offer_id);
-        if taken || self.running.contains_key(&offer.offer_id) {
+        let is_waiting = self.locations.contains_key(&offer.offer_id);
+        if is_waiting || self.running.contains_key(&offer.offer_id) {
             return Err(self.refusal(Reason::Duplicate, 1));
         }
         Ok(index)
     }
 
     fn admit(&self, now: Duration, offer: &Offer) -> Result<TeamIndex, Refusal> {
-        let index = self.known_and_new(offer)?;
+        let index = self.check_team_and_id(offer)?;
         let team = self.team(index);
         if team.waiting >= team.max_waiting {
-            let drained = self.picks_before(index, team.waiting / 2 + 1);
-            return Err(self.refusal(Reason::TeamFull, drained));
+            let picks = self.picks_before(index, team.waiting / 2 + 1);
+            return Err(self.refusal(Reason::TeamFull, picks));
         }
-        let place = Place {
+        let order_key = OrderKey {
             deadline: offer.deadline,
-            arrival: self.arrivals,
+            arrival: self.arrival_count,
         };
-        let position = self.position(index, offer.class, place);
+        let position = self.position(index, offer.class, order_key);
         if self.is_late(now, index, position, offer.deadline) {
-            let drained = self.picks_before(index, position);
-            return Err(self.refusal(Reason::DeadlineUnmeetable, drained));
+            let picks = self.picks_before(index, position);
+            return Err(self.refusal(Reason::DeadlineUnmeetable, picks));
         }
         Ok(index)
     }
 
     fn make_room(&mut self, newcomer: TeamIndex) -> Result<Option<Shed<T>>, Refusal> {
-        if self.filed.len() < self.limits.max_waiting {
+        if self.locations.len() < self.limits.max_waiting {
             return Ok(None);
         }
         let backlogged = self.ready.iter().map(|(_, index)| *index);
@@ -394,8 +396,8 @@
         let candidates = candidates.map(|index| (index, self.team(index)));
         let worst =
             furthest_above_share(candidates, newcomer).expect("the newcomer is a candidate");
-        let drained = self.picks_before(worst, self.team(worst).waiting / 2 + 1);
-        let refusal = self.refusal(Reason::QueueFull, drained);
+        let picks = self.picks_before(worst, self.team(worst).waiting / 2 + 1);
+        let refusal = self.refusal(Reason::QueueFull, picks);
         if worst == newcomer {
             return Err(refusal);
         }
@@ -404,10 +406,10 @@
 
     fn shed_newest(&mut self, index: TeamIndex, refusal: Refusal) -> Shed<T> {
         let newest = self.team(index).newest();
-        let (class, place) = newest.expect("the team to shed from is backlogged");
-        let waiting = self.refile(index, |team| team.remove(class, place));
+        let (class, order_key) = newest.expect("the team to shed from is backlogged");
+        let waiting = self.update_team(index, |team| team.remove(class, order_key));
         let waiting = waiting.expect("the newest offer waits in its team");
-        self.filed.remove(&waiting.offer_id);
+        self.locations.remove(&waiting.offer_id);
         Shed {
             offer_id: waiting.offer_id,
             team: index,
@@ -416,42 +418,42 @@
         }
     }
 
-    fn file(&mut self, now: Duration, index: TeamIndex, offer: &Offer, payload: T) {
-        let place = Place {
+    fn enqueue(&mut self, now: Duration, index: TeamIndex, offer: &Offer, payload: T) {
+        let order_key = OrderKey {
             deadline: offer.deadline,
-            arrival: self.arrivals,
+            arrival: self.arrival_count,
         };
-        let waiting = Waiting {
+        let waiting = WaitingOffer {
             offer_id: offer.offer_id,
             estimated_units: offer.estimated_units,
             arrived_at: now,
             payload,
         };
-        self.arrivals += 1;
+        self.arrival_count += 1;
         let floor = self.lift_floor(now, index);
-        self.refile(index, |team| {
+        self.update_team(index, |team| {
             if let Some(floor) = floor {
                 team.account.lift_provisionally(floor);
             }
-            team.insert(offer.class, place, waiting);
+            team.insert(offer.class, order_key, waiting);
         });
-        let filed = Filed {
+        let location = OfferLocation {
             team: index,
             class: offer.class,
-            place,
+            order_key,
         };
-        self.filed.insert(offer.offer_id, filed);
+        self.locations.insert(offer.offer_id, location);
     }
 
     /// Returns the service to which a team that was idle here is lifted until the totals tell.
     fn lift_floor(&self, now: Duration, index: TeamIndex) -> Option<Floor> {
         let team = self.team(index);
         // A team that the fleet's totals list as backlogged was not idle, and what it lacks is owed to it.
-        let is_listed = team.listed_in == self.replies && now < self.listed_until;
+        let is_listed = team.listed_in_reply == self.reply_count && now < self.listing_expires_at;
         if team.waiting > 0 || is_listed {
             return None;
         }
-        let here = self.floor_here().or(self.last_floor);
+        let here = self.local_floor().or(self.last_floor);
         let Some(above) = self.upstream.floor else {
             return here;
         };
@@ -461,13 +463,13 @@
         })
     }
 
-    fn floor_here(&self) -> Option<Floor> {
+    fn local_floor(&self) -> Option<Floor> {
         let (effective, index) = *self.ready.first()?;
         let counted = self.team(index).account.counted();
         Some(Floor { effective, counted })
     }
 
-    fn note_running(&mut self, offer_id: u64, team: TeamIndex, estimated_units: u64) {
+    fn record_running(&mut self, offer_id: u64, team: TeamIndex, estimated_units: u64) {
         let running = Running {
             team,
             reserved_units: estimated_units,
@@ -475,11 +477,11 @@
         };
         self.running.insert(offer_id, running);
         let running = u64::try_from(self.running.len()).unwrap_or(u64::MAX);
-        self.slots = self.slots.max(running);
+        self.max_running = self.max_running.max(running);
     }
 }
 
-fn move_entry(
+fn replace_key(
     set: &mut BTreeSet<(NormalisedUnits, TeamIndex)>,
     before: Option<(NormalisedUnits, TeamIndex)>,
     after: Option<(NormalisedUnits, TeamIndex)>,
--- a/crates/fair/src/reply.rs
+++ b/crates/fair/src/reply.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use crate::{
-    record::Record,
+    origin_record::OriginRecord,
     sums::{Epoch, Origin},
     team::{NormalisedUnits, TeamIndex},
-    totals::{ORIGIN_SILENT_AFTER, Role, Totals},
+    totals::{ORIGIN_SILENCE_TIMEOUT, Role, Totals},
     upstream::{TeamTotal, TotalsReply},
 };
 
@@ -16,10 +16,12 @@
         match &self.role {
             Role::Root => self.least_service(&[]).or(self.last_floor),
             Role::Relay {
-                heard_at, upstream, ..
+                last_reply_at,
+                upstream,
+                ..
             } => {
-                let silence = now.saturating_sub(*heard_at);
-                let cut_off = silence > ORIGIN_SILENT_AFTER;
+                let silence = now.saturating_sub(*last_reply_at);
+                let cut_off = silence > ORIGIN_SILENCE_TIMEOUT;
                 let here = self.least_service(&[]).filter(|_| cut_off);
                 here.max(upstream.floor)
             }
@@ -57,9 +59,9 @@
         }
     }
 
-    fn total(&self, team: TeamIndex, record: &Record, is_root: bool) -> TeamTotal {
+    fn total(&self, team: TeamIndex, record: &OriginRecord, is_root: bool) -> TeamTotal {
         let state = &self.teams[team as usize];
-        let sum = self.added.get(team);
+        let sum = self.combined.get(team);
         let yours = record
             .teams
             .get(&team)
@@ -69,7 +71,7 @@
             normalised_units: state.remote + sum.normalised_units,
             yours_units: yours,
             lift_units: sum.lift_units,
-            settled: is_root || state.listed,
+            settled: is_root || state.listed_as_backlogged,
         }
     }
 }
--- a/crates/fair/src/sums.rs
+++ b/crates/fair/src/sums.rs
@@ -30,7 +30,7 @@
 
 /// The sums of one team at one origin; only `backlogged` may fall.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Sum {
+pub struct ServiceSum {
     /// Service units given.
     pub service_units: u64,
     /// Service divided by the share in force when it was given.
@@ -43,7 +43,7 @@
     pub lift_units: NormalisedUnits,
 }
 
-impl Sum {
+impl ServiceSum {
     /// Returns the sums with each monotone field at the larger value, and the flag of `newer`.
     fn raised_to(self, newer: Self) -> Self {
         Self {
@@ -64,7 +64,7 @@
     /// Mark of the change; the larger one is newer.
     pub version: u64,
     /// The sums.
-    pub sum: Sum,
+    pub sum: ServiceSum,
 }
 
 /// What an origin reports: the sums that changed since the merging process last confirmed.
@@ -82,13 +82,13 @@
 
 /// Normalised and plain units that belong together.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Amount {
+pub(crate) struct ServiceAmount {
     pub(crate) service_units: u64,
     pub(crate) normalised_units: NormalisedUnits,
 }
 
-impl Amount {
-    fn of(sum: &Sum) -> Self {
+impl ServiceAmount {
+    fn from_sum(sum: &ServiceSum) -> Self {
         Self {
             service_units: sum.service_units,
             normalised_units: sum.normalised_units,
@@ -104,24 +104,24 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Entry {
-    sum: Sum,
+struct TeamEntry {
+    sum: ServiceSum,
     version: u64,
     /// What the oldest report that is not yet confirmed by the root carried, and that report's mark.
-    sent: Option<(u64, Amount)>,
-    rooted: Amount,
+    sent: Option<(u64, ServiceAmount)>,
+    rooted: ServiceAmount,
 }
 
 /// The sums of every team at one origin, with marks that tell what has changed.
 #[derive(Clone, Debug, Default)]
-pub struct Sums {
-    entries: Vec<Entry>,
+pub struct ServiceSums {
+    entries: Vec<TeamEntry>,
     changed: BTreeSet<(u64, TeamIndex)>,
     in_flight: Vec<TeamIndex>,
     mark: u64,
 }
 
-impl Sums {
+impl ServiceSums {
     /// Returns the mark of the last change; 0 before any.
     #[must_use]
     pub fn mark(&self) -> u64 {
@@ -130,17 +130,17 @@
 
     /// Returns the sums of a team.
     #[must_use]
-    pub fn get(&self, team: TeamIndex) -> Sum {
+    pub fn get(&self, team: TeamIndex) -> ServiceSum {
         self.entries
             .get(team as usize)
-            .map_or_else(Sum::default, |entry| entry.sum)
+            .map_or_else(ServiceSum::default, |entry| entry.sum)
     }
 
     /// Raises the sums of a team; a field that would fall stays, except for the flag.
-    pub fn set(&mut self, team: TeamIndex, sum: Sum) {
+    pub fn set(&mut self, team: TeamIndex, sum: ServiceSum) {
         let index = team as usize;
         if self.entries.len() <= index {
-            self.entries.resize(index + 1, Entry::default());
+            self.entries.resize(index + 1, TeamEntry::default());
         }
         let entry = &mut self.entries[index];
         let raised = entry.sum.raised_to(sum);
@@ -155,25 +155,28 @@
     }
 
     /// Yields the sums that changed after `mark`, with the mark of the change, the oldest change first.
-    pub fn changes_since(&self, mark: u64) -> impl Iterator<Item = (TeamIndex, u64, Sum)> + '_ {
+    pub fn changes_since(
+        &self,
+        mark: u64,
+    ) -> impl Iterator<Item = (TeamIndex, u64, ServiceSum)> + '_ {
         let changed = self.changed.range((mark + 1, 0)..);
         changed.map(|(version, team)| (*team, *version, self.get(*team)))
     }
 
     /// Notes that a report of everything up to the current mark leaves.
-    pub(crate) fn note_sent(&mut self, since: u64) {
+    pub(crate) fn record_sent(&mut self, since: u64) {
         let changed = self.changed.range((since + 1, 0)..);
         for (_, team) in changed {
             let entry = &mut self.entries[*team as usize];
             if entry.sent.is_none() {
-                entry.sent = Some((self.mark, Amount::of(&entry.sum)));
+                entry.sent = Some((self.mark, ServiceAmount::from_sum(&entry.sum)));
                 self.in_flight.push(*team);
             }
         }
     }
 
     /// Notes that the root counts everything that reports up to `mark` carried.
-    pub(crate) fn note_rooted(&mut self, mark: u64) {
+    pub(crate) fn record_rooted(&mut self, mark: u64) {
         let entries = &mut self.entries;
         self.in_flight.retain(|team| {
             let entry = &mut entries[*team as usize];
@@ -190,14 +193,14 @@
     }
 
     /// Returns what the root is known to count of a team.
-    pub(crate) fn rooted(&self, team: TeamIndex) -> Amount {
+    pub(crate) fn rooted(&self, team: TeamIndex) -> ServiceAmount {
         self.entries
             .get(team as usize)
-            .map_or_else(Amount::default, |entry| entry.rooted)
+            .map_or_else(ServiceAmount::default, |entry| entry.rooted)
     }
 
     /// Returns what the root is not known to count of a team.
-    pub(crate) fn unrooted(&self, team: TeamIndex) -> Amount {
-        Amount::of(&self.get(team)).minus(self.rooted(team))
+    pub(crate) fn unrooted(&self, team: TeamIndex) -> ServiceAmount {
+        ServiceAmount::from_sum(&self.get(team)).minus(self.rooted(team))
     }
 }
--- a/crates/fair/src/team.rs
+++ b/crates/fair/src/team.rs
@@ -5,8 +5,8 @@
 
 use crate::{
     offer::{CLASSES, Class},
-    peers::{self, Peers},
-    sums::{Amount, Sum},
+    peer_ratio::{self, PeerRatio},
+    sums::{ServiceAmount, ServiceSum},
     urgent::{DEFAULT_URGENT_ALLOWANCE_PPM, urgent_allowance_units},
 };
 
@@ -51,19 +51,19 @@
 pub struct Account {
     share: u32,
     remainder: u32,
-    units: u64,
+    service_units: u64,
     own: NormalisedUnits,
     reserved_units: u64,
     remote: NormalisedUnits,
     lift: NormalisedUnits,
-    provisional: NormalisedUnits,
-    forgiven: NormalisedUnits,
+    provisional_lift: NormalisedUnits,
+    forgiven_lead: NormalisedUnits,
     /// Own service that the totals taken in hold.
-    merged: NormalisedUnits,
+    merged_own: NormalisedUnits,
     /// Whether `merged` and `remote` are from totals, so that the next ones tell what was given between.
-    has_base: bool,
+    has_baseline: bool,
     /// What the others are expected to give for each own unit that `merged` lacks.
-    peers_ratio: u64,
+    peer_ratio: u64,
     /// Provisional lift to what is expected of the teams that waited.
     expected_lift: NormalisedUnits,
 }
@@ -98,8 +98,8 @@
 
     /// Returns the units that this sidecar gave in the current generation of its sums.
     #[must_use]
-    pub fn units(&self) -> u64 {
-        self.units
+    pub fn service_units(&self) -> u64 {
+        self.service_units
     }
 
     /// Returns the normalised service that this sidecar gave in the current generation of its sums.
@@ -116,8 +116,8 @@
 
     /// Returns what is forgiven and not yet paid back.
     #[must_use]
-    pub fn forgiven(&self) -> NormalisedUnits {
-        self.forgiven
+    pub fn forgiven_lead(&self) -> NormalisedUnits {
+        self.forgiven_lead
     }
 
     /// Returns the normalised service with lifts, as far as this sidecar knows it.
@@ -126,14 +126,14 @@
         self.remote
             .saturating_add(self.own)
             .saturating_add(self.lift)
-            .saturating_add(self.provisional)
+            .saturating_add(self.provisional_lift)
     }
 
     /// Returns the value by which teams are compared.
     #[must_use]
     pub fn effective(&self) -> NormalisedUnits {
         self.counted()
-            .saturating_add(self.expected())
+            .saturating_add(self.expected_remote())
             .saturating_add(self.expected_lift)
     }
 
@@ -141,7 +141,7 @@
     #[must_use]
     pub fn counted(&self) -> NormalisedUnits {
         let reserved = normalise(self.reserved_units, self.share);
-        (self.normalised() - self.forgiven).saturating_add(reserved)
+        (self.normalised() - self.forgiven_lead).saturating_add(reserved)
     }
 
     /// Returns what the other sidecars are expected to give, beside what the totals hold.
@@ -149,37 +149,37 @@
     /// It follows from the own service that the totals don't hold. So it goes by itself when totals come that hold it, in
     /// exactly that measure, and nothing has to be taken back.
     #[must_use]
-    pub fn expected(&self) -> NormalisedUnits {
-        let unmerged = self.own.saturating_sub(self.merged);
-        peers::expected(unmerged, self.peers_ratio)
+    pub fn expected_remote(&self) -> NormalisedUnits {
+        let unmerged = self.own.saturating_sub(self.merged_own);
+        peer_ratio::expected_remote(unmerged, self.peer_ratio)
     }
 
     /// Returns the most counted service that another team may have and still go first.
     pub(crate) fn ceiling(&self, slots: u64, max_request_units: u64) -> NormalisedUnits {
         let estimates = slots.saturating_mul(max_request_units);
         let estimates = estimates.max(self.reserved_units);
-        (self.normalised() - self.forgiven).saturating_add(normalise(estimates, self.share))
+        (self.normalised() - self.forgiven_lead).saturating_add(normalise(estimates, self.share))
     }
 
     pub(crate) fn set_peers_ratio(&mut self, ratio: u64) {
-        self.peers_ratio = ratio;
+        self.peer_ratio = ratio;
     }
 
     /// Takes in how much of the own service the totals hold, and what was given since the last ones.
-    pub(crate) fn learn_merged(
+    pub(crate) fn update_merged(
         &mut self,
         remote: NormalisedUnits,
         merged: NormalisedUnits,
-        peers: &mut Peers,
+        peer_ratio: &mut PeerRatio,
     ) {
-        let theirs = remote.saturating_sub(self.remote);
-        let own = merged.saturating_sub(self.merged);
-        self.merged += own;
+        let peers = remote.saturating_sub(self.remote);
+        let own = merged.saturating_sub(self.merged_own);
+        self.merged_own += own;
         // The first totals hold all that was ever given elsewhere.
-        if self.has_base {
-            peers.add(theirs, own, self.share);
+        if self.has_baseline {
+            peer_ratio.add(peers, own, self.share);
         }
-        self.has_base = true;
+        self.has_baseline = true;
     }
 
     /// Counts units that an endpoint has served.
@@ -189,9 +189,9 @@
         let share = u128::from(self.share);
         let added = u64::try_from(scaled / share).unwrap_or(u64::MAX);
         self.remainder = u32::try_from(scaled % share).unwrap_or_default();
-        self.units = self.units.saturating_add(units);
+        self.service_units = self.service_units.saturating_add(units);
         self.own = self.own.saturating_add(added);
-        self.pay_back(added);
+        self.reduce_forgiven_lead(added);
     }
 
     /// Counts units that are expected but not served yet.
@@ -205,23 +205,23 @@
     }
 
     /// Takes in what the other sidecars gave; an older, smaller value changes nothing.
-    pub(crate) fn learn_remote(&mut self, remote: NormalisedUnits) {
+    pub(crate) fn update_remote(&mut self, remote: NormalisedUnits) {
         let added = remote.saturating_sub(self.remote);
         self.remote += added;
-        self.pay_back(added);
+        self.reduce_forgiven_lead(added);
     }
 
     /// Takes in the fleet-wide lift; an older, smaller value changes nothing.
-    pub(crate) fn learn_lift(&mut self, lift: NormalisedUnits) {
+    pub(crate) fn update_lift(&mut self, lift: NormalisedUnits) {
         self.lift = self.lift.max(lift);
     }
 
     /// Raises the effective service to `floor` until the fleet-wide lift is known.
     pub(crate) fn lift_provisionally(&mut self, floor: Floor) {
         let missing = floor.counted.saturating_sub(self.counted());
-        let paid = missing.min(self.forgiven);
-        self.forgiven -= paid;
-        self.provisional = self.provisional.saturating_add(missing - paid);
+        let paid = missing.min(self.forgiven_lead);
+        self.forgiven_lead -= paid;
+        self.provisional_lift = self.provisional_lift.saturating_add(missing - paid);
         // What was only expected stays apart, or a lift in a long silence would pass for service.
         let rest = floor.effective.saturating_sub(self.effective());
         self.expected_lift = self.expected_lift.saturating_add(rest);
@@ -229,60 +229,60 @@
 
     /// Drops the provisional lift, because the fleet-wide one has been taken in.
     pub(crate) fn settle_lift(&mut self) {
-        self.provisional = 0;
+        self.provisional_lift = 0;
         self.expected_lift = 0;
-        self.forgiven = self.forgiven.min(self.normalised());
+        self.forgiven_lead = self.forgiven_lead.min(self.normalised());
     }
 
     /// Forgives what lies more than the allowed lead above `floor`.
     pub(crate) fn forgive_above(&mut self, floor: NormalisedUnits, max_request_units: u64) {
         let lead = normalise(max_request_units, self.share).saturating_mul(MAX_LEAD_REQUESTS);
         let ceiling = floor.saturating_add(lead);
-        let served = self.normalised() - self.forgiven;
-        self.forgiven += served.saturating_sub(ceiling);
+        let served = self.normalised() - self.forgiven_lead;
+        self.forgiven_lead += served.saturating_sub(ceiling);
     }
 
     /// Ends forgiveness below `floor`: a forgiven team never goes before the least served one.
-    pub(crate) fn forgive_no_lower_than(&mut self, floor: NormalisedUnits) {
-        let served = self.normalised() - self.forgiven;
+    pub(crate) fn limit_forgiveness(&mut self, floor: NormalisedUnits) {
+        let served = self.normalised() - self.forgiven_lead;
         let missing = floor.saturating_sub(served);
-        self.forgiven -= missing.min(self.forgiven);
+        self.forgiven_lead -= missing.min(self.forgiven_lead);
     }
 
     /// Starts the own sums anew at what the root doesn't count, keeping the total.
-    pub(crate) fn restart_own(&mut self, unrooted: Amount) {
+    pub(crate) fn restart_own(&mut self, unrooted: ServiceAmount) {
         let counted = self.own.saturating_sub(unrooted.normalised_units);
-        self.units = unrooted.service_units;
+        self.service_units = unrooted.service_units;
         self.own -= counted;
         self.remote = self.remote.saturating_add(counted);
-        self.merged = self.own;
-        self.has_base = false;
+        self.merged_own = self.own;
+        self.has_baseline = false;
     }
 
     /// Moves the account to a new root, which counts nothing yet: service so far becomes part of the lift.
-    pub(crate) fn rebase(&mut self, unrooted: Amount) {
+    pub(crate) fn rebase(&mut self, unrooted: ServiceAmount) {
         self.restart_own(unrooted);
         self.lift = self.lift.saturating_add(self.remote);
         self.remote = 0;
     }
 
-    fn pay_back(&mut self, served: NormalisedUnits) {
+    fn reduce_forgiven_lead(&mut self, served: NormalisedUnits) {
         // Served units raise the effective service by CORRECTION_FACTOR as long as something is forgiven.
         let paid = served.saturating_mul(CORRECTION_FACTOR - 1);
-        self.forgiven -= paid.min(self.forgiven);
+        self.forgiven_lead -= paid.min(self.forgiven_lead);
     }
 }
 
 /// Place of a waiting offer inside its team: earliest deadline first, then first come.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub(crate) struct Place {
+pub(crate) struct OrderKey {
     pub(crate) deadline: Duration,
     pub(crate) arrival: u64,
 }
 
 /// An offer that waits in its team.
 #[derive(Debug)]
-pub(crate) struct Waiting<T> {
+pub(crate) struct WaitingOffer<T> {
     pub(crate) offer_id: u64,
     pub(crate) estimated_units: u64,
     pub(crate) arrived_at: Duration,
@@ -304,27 +304,27 @@
     /// How often the team became backlogged.
     pub(crate) backlog_count: u64,
     /// Number of the last reply that lists the team as backlogged in the fleet.
-    pub(crate) listed_in: u64,
+    pub(crate) listed_in_reply: u64,
     /// Whether the team's sums have changed since they were last set.
     pub(crate) dirty: bool,
     /// The effective service under which the queue has filed this team.
-    pub(crate) filed: NormalisedUnits,
+    pub(crate) ready_key: NormalisedUnits,
     /// The ceiling under which the queue has filed this team.
-    pub(crate) ceiling: NormalisedUnits,
+    pub(crate) ceiling_key: NormalisedUnits,
     /// The precedence under which the queue has filed this team's urgent offers.
-    pub(crate) filed_urgent: NormalisedUnits,
+    pub(crate) urgent_key: NormalisedUnits,
     /// Part of the team's service that may go first as urgent, in parts per million.
     pub(crate) urgent_allowance_ppm: u32,
     urgent_allowance: NormalisedUnits,
-    classes: [BTreeMap<Place, Waiting<T>>; CLASSES],
-    skips: [u32; CLASSES],
+    classes: [BTreeMap<OrderKey, WaitingOffer<T>>; CLASSES],
+    skip_counts: [u32; CLASSES],
 }
 
 impl<T> Team<T> {
     /// Returns the sums of the team as they are now.
-    pub(crate) fn sum(&self) -> Sum {
-        Sum {
-            service_units: self.account.units(),
+    pub(crate) fn sum(&self) -> ServiceSum {
+        ServiceSum {
+            service_units: self.account.service_units(),
             normalised_units: self.account.own(),
             backlogged: self.waiting > 0,
             backlog_count: self.backlog_count,
@@ -339,20 +339,20 @@
             max_waiting,
             waiting: 0,
             backlog_count: 0,
-            listed_in: 0,
+            listed_in_reply: 0,
             dirty: false,
-            filed: 0,
-            ceiling: 0,
-            filed_urgent: 0,
+            ready_key: 0,
+            ceiling_key: 0,
+            urgent_key: 0,
             urgent_allowance_ppm: DEFAULT_URGENT_ALLOWANCE_PPM,
             urgent_allowance: 0,
             classes: [BTreeMap::new(), BTreeMap::new(), BTreeMap::new()],
-            skips: [0; CLASSES],
+            skip_counts: [0; CLASSES],
         }
     }
 
     /// Returns whether the team has urgent offers that may go before other teams' work.
-    pub(crate) fn may_go_first(&self) -> bool {
+    pub(crate) fn may_use_urgent_allowance(&self) -> bool {
         self.urgent_allowance_ppm > 0 && !self.classes[Class::Urgent.rank()].is_empty()
     }
 
@@ -371,21 +371,24 @@
         self.account.counted().saturating_sub(self.urgent_allowance)
     }
 
-    pub(crate) fn insert(&mut self, class: Class, place: Place, waiting: Waiting<T>) {
-        self.classes[class.rank()].insert(place, waiting);
+    pub(crate) fn insert(&mut self, class: Class, order_key: OrderKey, waiting: WaitingOffer<T>) {
+        self.classes[class.rank()].insert(order_key, waiting);
         self.waiting += 1;
     }
 
-    pub(crate) fn remove(&mut self, class: Class, place: Place) -> Option<Waiting<T>> {
-        let removed = self.classes[class.rank()].remove(&place)?;
+    pub(crate) fn remove(&mut self, class: Class, order_key: OrderKey) -> Option<WaitingOffer<T>> {
+        let removed = self.classes[class.rank()].remove(&order_key)?;
         self.waiting -= 1;
         Some(removed)
     }
 
     /// Returns the offers of one class in the order in which they would be picked.
-    pub(crate) fn in_order(&self, class: Class) -> impl Iterator<Item = (Place, u64)> + '_ {
+    pub(crate) fn offers_in_order(
+        &self,
+        class: Class,
+    ) -> impl Iterator<Item = (OrderKey, u64)> + '_ {
         let offers = self.classes[class.rank()].iter();
-        offers.map(|(place, waiting)| (*place, waiting.offer_id))
+        offers.map(|(order_key, waiting)| (*order_key, waiting.offer_id))
     }
 
     /// Returns how many of this team's picks come before an offer with the given number of offers in front of it.
@@ -400,7 +403,7 @@
     /// Returns the class whose turn it is: the most urgent one, unless a lower one was skipped too often.
     pub(crate) fn next_class(&self) -> Option<Class> {
         let waits = |class: &Class| !self.classes[class.rank()].is_empty();
-        let overdue = |class: &Class| self.skips[class.rank()] >= MAX_SKIPS;
+        let overdue = |class: &Class| self.skip_counts[class.rank()] >= MAX_SKIPS;
         let by_turn = Class::ALL
             .into_iter()
             .find(|class| waits(class) && overdue(class));
@@ -408,22 +411,29 @@
     }
 
     /// Takes the first offer of `class` and counts a skip for each lower class that waits.
-    pub(crate) fn take(&mut self, class: Class) -> Option<(Place, Waiting<T>)> {
-        let taken = self.classes[class.rank()].pop_first()?;
+    pub(crate) fn pop(&mut self, class: Class) -> Option<(OrderKey, WaitingOffer<T>)> {
+        let popped = self.classes[class.rank()].pop_first()?;
         self.waiting -= 1;
-        self.skips[class.rank()] = 0;
+        self.skip_counts[class.rank()] = 0;
         for lower in class.rank() + 1..CLASSES {
             let waits = !self.classes[lower].is_empty();
-            self.skips[lower] = if waits { self.skips[lower] + 1 } else { 0 };
+            self.skip_counts[lower] = if waits {
+                self.skip_counts[lower] + 1
+            } else {
+                0
+            };
         }
-        Some(taken)
+        Some(popped)
     }
 
     /// Returns the offer that arrived last.
-    pub(crate) fn newest(&self) -> Option<(Class, Place)> {
+    pub(crate) fn newest(&self) -> Option<(Class, OrderKey)> {
         // A scan, because shedding happens only in overload and a team's queue is short.
-        let of = |class: Class| self.in_order(class).map(move |(place, _)| (class, place));
+        let of = |class: Class| {
+            self.offers_in_order(class)
+                .map(move |(order_key, _)| (class, order_key))
+        };
         let all = Class::ALL.into_iter().flat_map(of);
-        all.max_by_key(|(_, place)| place.arrival)
+        all.max_by_key(|(_, order_key)| order_key.arrival)
     }
 }
--- a/crates/fair/src/totals.rs
+++ b/crates/fair/src/totals.rs
@@ -10,27 +10,27 @@
 };
 
 use crate::{
-    record::{Record, RunId, run_of},
-    sums::{Epoch, Sum, Sums, SumsReport, TeamSum},
+    origin_record::{OriginRecord, RunId, run_id},
+    sums::{Epoch, ServiceSum, ServiceSums, SumsReport, TeamSum},
     team::{NormalisedUnits, TeamIndex},
-    upstream::{Change, TeamTotal, TotalsReply, Upstream},
+    upstream::{EpochChange, TeamTotal, TotalsReply, Upstream},
 };
 
 /// Silence after which an origin's backlogged flags no longer count.
 ///
 /// Five reports of one second. A shorter time would drop a team's place for a lost report; a longer one would keep
 /// the floor of a dead sidecar's teams, and lift returning teams too little.
-pub const ORIGIN_SILENT_AFTER: Duration = Duration::from_secs(5);
+pub const ORIGIN_SILENCE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Silence after which an origin's record is dropped; its service stays counted.
 ///
 /// Longer than the minutes for which regions lose each other, so that a rejoin needs no new generation.
-pub const ORIGIN_FORGOTTEN_AFTER: Duration = Duration::from_mins(10);
+pub const ORIGIN_EXPIRY_TIMEOUT: Duration = Duration::from_mins(10);
 
 /// Forgotten origins whose late reports are recognised.
 ///
 /// At 380 restarts a day this is ten days; a process that is silent for longer has no report under way.
-pub const MAX_FORGOTTEN: usize = 4096;
+pub const MAX_TOMBSTONES: usize = 4096;
 
 /// What is known of a team beside the sums added here.
 #[derive(Clone, Debug)]
@@ -38,9 +38,9 @@
     pub(crate) name: Box<str>,
     pub(crate) remote: NormalisedUnits,
     /// Whether the process above lists the team as backlogged.
-    pub(crate) listed: bool,
+    pub(crate) listed_as_backlogged: bool,
     /// Live origins at which the team is backlogged.
-    backlogged_at: u32,
+    backlogged_origins: u32,
 }
 
 /// Whether a merging process is the top of the tree.
@@ -50,7 +50,7 @@
     Relay {
         source: Box<str>,
         incarnation: u64,
-        heard_at: Duration,
+        last_reply_at: Duration,
         upstream: Upstream,
     },
 }
@@ -60,13 +60,13 @@
 pub struct Totals {
     pub(crate) role: Role,
     turn: u32,
-    pub(crate) added: Sums,
-    names: HashMap<Box<str>, TeamIndex>,
+    pub(crate) combined: ServiceSums,
+    team_indexes: HashMap<Box<str>, TeamIndex>,
     pub(crate) teams: Vec<TeamState>,
     backlogged: BTreeSet<TeamIndex>,
-    pub(crate) origins: BTreeMap<Box<str>, Record>,
-    forgotten: BTreeMap<Box<str>, RunId>,
-    forgotten_order: VecDeque<Box<str>>,
+    pub(crate) origins: BTreeMap<Box<str>, OriginRecord>,
+    tombstones: BTreeMap<Box<str>, RunId>,
+    tombstone_order: VecDeque<Box<str>>,
     pub(crate) rejoin_count: u64,
     pub(crate) last_floor: Option<NormalisedUnits>,
     epoch: Option<Epoch>,
@@ -75,38 +75,38 @@
 impl Totals {
     /// Returns the empty state of a root; each term of leadership needs a `root` number of its own.
     #[must_use]
-    pub fn open_root(root: u64) -> Self {
+    pub fn new_root(root: u64) -> Self {
         let epoch = Epoch {
             root,
             merger: root,
             turn: 0,
         };
-        Self::open(Role::Root, Some(epoch))
+        Self::new(Role::Root, Some(epoch))
     }
 
     /// Returns the empty state of a relay; it confirms nothing before it has heard from the root.
     #[must_use]
-    pub fn open_relay(source: &str, incarnation: u64) -> Self {
+    pub fn new_relay(source: &str, incarnation: u64) -> Self {
         let role = Role::Relay {
             source: source.into(),
             incarnation,
-            heard_at: Duration::ZERO,
+            last_reply_at: Duration::ZERO,
             upstream: Upstream::default(),
         };
-        Self::open(role, None)
+        Self::new(role, None)
     }
 
-    fn open(role: Role, epoch: Option<Epoch>) -> Self {
+    fn new(role: Role, epoch: Option<Epoch>) -> Self {
         Self {
             role,
             turn: 0,
-            added: Sums::default(),
-            names: HashMap::new(),
+            combined: ServiceSums::default(),
+            team_indexes: HashMap::new(),
             teams: Vec::new(),
             backlogged: BTreeSet::new(),
             origins: BTreeMap::new(),
-            forgotten: BTreeMap::new(),
-            forgotten_order: VecDeque::new(),
+            tombstones: BTreeMap::new(),
+            tombstone_order: VecDeque::new(),
             rejoin_count: 0,
             last_floor: None,
             epoch,
@@ -119,12 +119,12 @@
         if report.epoch != Some(epoch) {
             return Some(self.empty_reply(epoch, &report.origin, false));
         }
-        let run = run_of(&report.origin);
+        let run = run_id(&report.origin);
         let source = &*report.origin.source;
         if self
-            .forgotten
+            .tombstones
             .get(source)
-            .is_some_and(|forgotten| run <= *forgotten)
+            .is_some_and(|tombstone| run <= *tombstone)
         {
             return Some(self.empty_reply(epoch, &report.origin, true));
         }
@@ -134,32 +134,33 @@
         }
         if known.is_none_or(|known| known < run) {
             self.drop_record(source);
-            self.origins.insert(source.into(), Record::new(run, now));
+            self.origins
+                .insert(source.into(), OriginRecord::new(run, now));
         }
-        let risen = self.merge_sums(now, report);
-        self.lift(&risen);
+        let returning = self.merge_sums(now, report);
+        self.lift_returning(&returning);
         Some(self.reply(now, epoch, &report.origin))
     }
 
     /// Ends the flags of silent origins and forgets those that stay silent.
     pub fn expire(&mut self, now: Duration) {
-        let mut forgotten = Vec::new();
+        let mut expired = Vec::new();
         let mut silent = Vec::new();
         for (source, record) in &mut self.origins {
-            let silence = now.saturating_sub(record.heard_at);
-            if record.live && silence > ORIGIN_SILENT_AFTER {
+            let silence = now.saturating_sub(record.last_report_at);
+            if record.live && silence > ORIGIN_SILENCE_TIMEOUT {
                 record.live = false;
                 silent.extend(record.backlogged());
             }
-            if silence > ORIGIN_FORGOTTEN_AFTER {
-                forgotten.push(source.clone());
+            if silence > ORIGIN_EXPIRY_TIMEOUT {
+                expired.push(source.clone());
             }
         }
         for team in silent {
-            self.lower_flag(team);
+            self.clear_backlogged(team);
         }
-        for source in forgotten {
-            self.forget(source);
+        for source in expired {
+            self.expire_origin(source);
         }
     }
 
@@ -177,15 +178,15 @@
             return None;
         };
         let since = upstream.mark();
-        self.added.note_sent(since);
-        let changes = self.added.changes_since(since);
+        self.combined.record_sent(since);
+        let changes = self.combined.changes_since(since);
         let changes = changes.map(|(team, version, sum)| TeamSum {
             team: self.teams[team as usize].name.clone(),
             version,
             sum,
         });
         let changes = changes.collect();
-        let mark = self.added.mark();
+        let mark = self.combined.mark();
         let report = upstream.report(source, *incarnation, mark, changes);
         for record in self.origins.values_mut() {
             record.sent = record.sent.or(Some((mark, record.mark)));
@@ -199,7 +200,7 @@
     pub fn apply_totals(&mut self, now: Duration, reply: &TotalsReply) {
         let Role::Relay {
             incarnation,
-            heard_at,
+            last_reply_at,
             upstream,
             ..
         } = &mut self.role
@@ -207,18 +208,18 @@
             return;
         };
         let merger = *incarnation;
-        let change = upstream.accept(reply);
-        if change != Change::Stale {
-            *heard_at = now;
+        let change = upstream.update_epoch(reply);
+        if change != EpochChange::Stale {
+            *last_reply_at = now;
         }
         match change {
-            Change::Stale => {}
-            Change::Same => self.learn(reply),
-            Change::MergerChanged => self.start_turn(false),
-            Change::RootChanged => self.start_turn(true),
+            EpochChange::Stale => {}
+            EpochChange::Unchanged => self.apply_reply(reply),
+            EpochChange::MergerChanged => self.start_turn(false),
+            EpochChange::RootChanged => self.start_turn(true),
         }
         let root = reply.epoch.root;
-        if change != Change::Stale {
+        if change != EpochChange::Stale {
             self.epoch = Some(Epoch {
                 root,
                 merger,
@@ -230,15 +231,15 @@
     /// Returns the normalised service of a team with its lift, as far as it is known here.
     #[must_use]
     pub fn normalised(&self, team: &str) -> Option<NormalisedUnits> {
-        let index = self.names.get(team)?;
+        let index = self.team_indexes.get(team)?;
         Some(self.service(*index))
     }
 
     /// Returns the service units that the origins below have given to a team since this state was opened.
     #[must_use]
     pub fn service_units(&self, team: &str) -> Option<u64> {
-        let index = self.names.get(team)?;
-        Some(self.added.get(*index).service_units)
+        let index = self.team_indexes.get(team)?;
+        Some(self.combined.get(*index).service_units)
     }
 
     /// Yields the backlogged teams with their normalised service.
@@ -252,11 +253,11 @@
     /// Returns the number of origins on record, live, silent and forgotten.
     #[must_use]
     pub fn origin_count(&self) -> usize {
-        self.origins.len() + self.forgotten.len()
+        self.origins.len() + self.tombstones.len()
     }
 
     fn service(&self, team: TeamIndex) -> NormalisedUnits {
-        let sum = self.added.get(team);
+        let sum = self.combined.get(team);
         let remote = self.teams[team as usize].remote;
         remote
             .saturating_add(sum.normalised_units)
@@ -264,16 +265,16 @@
     }
 
     fn intern(&mut self, name: &str) -> TeamIndex {
-        if let Some(index) = self.names.get(name) {
+        if let Some(index) = self.team_indexes.get(name) {
             return *index;
         }
         let index = TeamIndex::try_from(self.teams.len()).expect("teams fit 32 bits");
-        self.names.insert(name.into(), index);
+        self.team_indexes.insert(name.into(), index);
         self.teams.push(TeamState {
             name: name.into(),
-            backlogged_at: 0,
+            backlogged_origins: 0,
             remote: 0,
-            listed: false,
+            listed_as_backlogged: false,
         });
         index
     }
@@ -291,25 +292,27 @@
         if was_silent {
             record.live = true;
             self.rejoin_count += 1;
-            record.backlogged().for_each(|team| self.raise_flag(team));
+            record
+                .backlogged()
+                .for_each(|team| self.mark_backlogged(team));
         }
-        record.heard_at = now;
+        record.last_report_at = now;
         record.mark = record.mark.max(report.mark);
-        let mut risen = Vec::new();
+        let mut returning = Vec::new();
         for change in &report.teams {
             let team = self.intern(&change.team);
             if self.merge_sum(&mut record, team, change, was_silent) {
-                risen.push(team);
+                returning.push(team);
             }
         }
         self.origins.insert(source.into(), record);
-        risen
+        returning
     }
 
     /// Merges one sum and returns whether the team is back from idle.
     fn merge_sum(
         &mut self,
-        record: &mut Record,
+        record: &mut OriginRecord,
         team: TeamIndex,
         change: &TeamSum,
         was_silent: bool,
@@ -320,66 +323,67 @@
         }
         let new = change.sum;
         record.teams.insert(team, (change.version, new));
-        let mut added = self.added.get(team);
-        added.service_units += new.service_units.saturating_sub(known.service_units);
-        added.normalised_units += new.normalised_units.saturating_sub(known.normalised_units);
-        added.lift_units = added.lift_units.max(new.lift_units);
-        let elsewhere = self.teams[team as usize].backlogged_at - u32::from(known.backlogged);
-        let rises = new.backlogged && !known.backlogged;
+        let mut combined = self.combined.get(team);
+        combined.service_units += new.service_units.saturating_sub(known.service_units);
+        combined.normalised_units += new.normalised_units.saturating_sub(known.normalised_units);
+        combined.lift_units = combined.lift_units.max(new.lift_units);
+        let elsewhere = self.teams[team as usize].backlogged_origins - u32::from(known.backlogged);
+        let became_backlogged = new.backlogged && !known.backlogged;
         // A team that was idle for a moment between two reports is as good as backlogged, but not during a long silence.
-        let rose_unseen = was_silent && new.backlogged && new.backlog_count > known.backlog_count;
-        if rises {
-            self.raise_flag(team);
+        let idled_while_silent =
+            was_silent && new.backlogged && new.backlog_count > known.backlog_count;
+        if became_backlogged {
+            self.mark_backlogged(team);
         }
         if known.backlogged && !new.backlogged {
-            self.lower_flag(team);
+            self.clear_backlogged(team);
         }
         // A rise counts for the process above too, unless the team was waiting elsewhere below this one.
-        let back = elsewhere == 0 && (rises || rose_unseen);
-        added.backlog_count += u64::from(back);
-        added.backlogged = self.teams[team as usize].backlogged_at > 0;
-        self.added.set(team, added);
-        back
+        let is_returning = elsewhere == 0 && (became_backlogged || idled_while_silent);
+        combined.backlog_count += u64::from(is_returning);
+        combined.backlogged = self.teams[team as usize].backlogged_origins > 0;
+        self.combined.set(team, combined);
+        is_returning
     }
 
-    fn raise_flag(&mut self, team: TeamIndex) {
-        self.teams[team as usize].backlogged_at += 1;
+    fn mark_backlogged(&mut self, team: TeamIndex) {
+        self.teams[team as usize].backlogged_origins += 1;
         self.backlogged.insert(team);
-        self.set_flag(team, true);
+        self.set_backlogged(team, true);
     }
 
-    fn lower_flag(&mut self, team: TeamIndex) {
+    fn clear_backlogged(&mut self, team: TeamIndex) {
         let state = &mut self.teams[team as usize];
-        state.backlogged_at -= 1;
-        if state.backlogged_at > 0 {
+        state.backlogged_origins -= 1;
+        if state.backlogged_origins > 0 {
             return;
         }
         self.last_floor = self.last_floor.max(self.least_service(&[]));
         self.backlogged.remove(&team);
-        self.set_flag(team, false);
+        self.set_backlogged(team, false);
     }
 
-    fn set_flag(&mut self, team: TeamIndex, backlogged: bool) {
-        let sum = self.added.get(team);
-        self.added.set(team, Sum { backlogged, ..sum });
+    fn set_backlogged(&mut self, team: TeamIndex, backlogged: bool) {
+        let sum = self.combined.get(team);
+        self.combined.set(team, ServiceSum { backlogged, ..sum });
     }
 
     /// Raises teams that are back from idle to the least served of the others: idle time earns no credit.
     ///
     /// Only the root lifts. It alone sees every backlogged team, and one place that lifts makes the value the same for
     /// every sidecar.
-    fn lift(&mut self, risen: &[TeamIndex]) {
+    fn lift_returning(&mut self, returning: &[TeamIndex]) {
         if !matches!(self.role, Role::Root) {
             return;
         }
-        let Some(floor) = self.least_service(risen).or(self.last_floor) else {
+        let Some(floor) = self.least_service(returning).or(self.last_floor) else {
             return;
         };
-        for team in risen {
+        for team in returning {
             let missing = floor.saturating_sub(self.service(*team));
-            let sum = self.added.get(*team);
+            let sum = self.combined.get(*team);
             let lift_units = sum.lift_units + missing;
-            self.added.set(*team, Sum { lift_units, ..sum });
+            self.combined.set(*team, ServiceSum { lift_units, ..sum });
         }
     }
 
@@ -397,29 +401,29 @@
             return;
         }
         for team in record.backlogged() {
-            self.lower_flag(team);
+            self.clear_backlogged(team);
         }
     }
 
-    fn forget(&mut self, source: Box<str>) {
+    fn expire_origin(&mut self, source: Box<str>) {
         let run = self.origins[&source].run;
         self.drop_record(&source);
-        self.forgotten_order.push_back(source.clone());
-        self.forgotten.insert(source, run);
-        if self.forgotten_order.len() > MAX_FORGOTTEN {
-            let oldest = self.forgotten_order.pop_front();
-            oldest.map(|oldest| self.forgotten.remove(&oldest));
+        self.tombstone_order.push_back(source.clone());
+        self.tombstones.insert(source, run);
+        if self.tombstone_order.len() > MAX_TOMBSTONES {
+            let oldest = self.tombstone_order.pop_front();
+            oldest.map(|oldest| self.tombstones.remove(&oldest));
         }
     }
 
-    fn learn(&mut self, reply: &TotalsReply) {
+    fn apply_reply(&mut self, reply: &TotalsReply) {
         let Role::Relay { upstream, .. } = &mut self.role else {
             return;
         };
-        if upstream.learn(reply) {
+        if upstream.update_floor(reply) {
             self.rejoin_count += 1;
         }
-        self.added.note_rooted(reply.rooted_mark);
+        self.combined.record_rooted(reply.rooted_mark);
         for record in self.origins.values_mut() {
             if let Some((_, mark)) = record.sent.filter(|(sent, _)| *sent <= reply.rooted_mark) {
                 record.rooted_mark = mark;
@@ -427,22 +431,22 @@
             }
         }
         for state in &mut self.teams {
-            state.listed = false;
+            state.listed_as_backlogged = false;
         }
         for total in &reply.teams {
-            self.learn_total(total);
+            self.apply_total(total);
         }
     }
 
-    fn learn_total(&mut self, total: &TeamTotal) {
+    fn apply_total(&mut self, total: &TeamTotal) {
         let index = self.intern(&total.team);
         let remote = total.normalised_units.saturating_sub(total.yours_units);
         let state = &mut self.teams[index as usize];
         state.remote = state.remote.max(remote);
-        state.listed = total.settled;
-        let sum = self.added.get(index);
+        state.listed_as_backlogged = total.settled;
+        let sum = self.combined.get(index);
         let lift_units = total.lift_units;
-        self.added.set(index, Sum { lift_units, ..sum });
+        self.combined.set(index, ServiceSum { lift_units, ..sum });
     }
 
     /// Drops all records, because the process above changed; the origins report again what the root doesn't count.
@@ -450,15 +454,15 @@
         self.turn += 1;
         for index in 0..self.teams.len() {
             let team = TeamIndex::try_from(index).expect("teams fit 32 bits");
-            let rooted = self.added.rooted(team).normalised_units;
+            let rooted = self.combined.rooted(team).normalised_units;
             let state = &mut self.teams[index];
             state.remote = if new_root { 0 } else { state.remote + rooted };
-            state.backlogged_at = 0;
+            state.backlogged_origins = 0;
         }
-        self.added = Sums::default();
+        self.combined = ServiceSums::default();
         self.backlogged.clear();
         self.origins.clear();
-        self.forgotten.clear();
-        self.forgotten_order.clear();
+        self.tombstones.clear();
+        self.tombstone_order.clear();
     }
 }
--- a/crates/fair/src/upstream.rs
+++ b/crates/fair/src/upstream.rs
@@ -47,11 +47,11 @@
 
 /// What a reply means for the sums of its receiver.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Change {
+pub(crate) enum EpochChange {
     /// It answers an older generation and says nothing.
     Stale,
     /// The sums go on.
-    Same,
+    Unchanged,
     /// The sums start anew; the root still counts what it confirmed.
     MergerChanged,
     /// The sums start anew; the root counts nothing yet.
@@ -96,30 +96,30 @@
     }
 
     /// Takes in the head of a reply.
-    pub(crate) fn accept(&mut self, reply: &TotalsReply) -> Change {
+    pub(crate) fn update_epoch(&mut self, reply: &TotalsReply) -> EpochChange {
         // A reply to an older generation may come from a process that is gone; going back to its epoch would make this
         // origin report the same service to two processes in turn.
         if reply.generation != self.generation {
-            return Change::Stale;
+            return EpochChange::Stale;
         }
         let known = self.epoch.replace(reply.epoch);
         let same_root = known.is_some_and(|epoch| epoch.root == reply.epoch.root);
         if known == Some(reply.epoch) && !reply.restart {
             self.mark = self.mark.max(reply.mark);
-            return Change::Same;
+            return EpochChange::Unchanged;
         }
         self.generation += 1;
         self.mark = 0;
         self.rejoin_count = reply.rejoin_count;
         if same_root {
-            return Change::MergerChanged;
+            return EpochChange::MergerChanged;
         }
         self.floor = None;
-        Change::RootChanged
+        EpochChange::RootChanged
     }
 
     /// Takes in the least service of the fleet and returns whether long unheard origins have come back.
-    pub(crate) fn learn(&mut self, reply: &TotalsReply) -> bool {
+    pub(crate) fn update_floor(&mut self, reply: &TotalsReply) -> bool {
         let rejoined = reply.rejoin_count > self.rejoin_count;
         // The floor falls only when teams rejoin that were served less elsewhere; any other lower value is an older one.
         self.floor = if rejoined {
--- a/crates/fair/tests/common/mod.rs
+++ b/crates/fair/tests/common/mod.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use hinge_fair::{Class, Limits, Offer, Queue, Room};
+use hinge_fair::{Class, FreeSlots, Limits, Offer, Queue};
 
-pub const FAR: Duration = Duration::from_hours(1);
-pub const ROOM: Room = room(0);
+pub const FAR_DEADLINE: Duration = Duration::from_hours(1);
+pub const ONE_FREE_SLOT: FreeSlots = one_free_slot(0);
 
-pub const fn room(reserved_slots: u32) -> Room {
-    Room {
+pub const fn one_free_slot(reserved_slots: u32) -> FreeSlots {
+    FreeSlots {
         free_slots: 1,
         reserved_slots,
     }
--- a/crates/fair/tests/peers.rs
+++ b/crates/fair/tests/expected_service.rs
@@ -4,14 +4,14 @@
 
 use std::time::Duration;
 
-use common::{FAR, ROOM};
+use common::{FAR_DEADLINE, ONE_FREE_SLOT};
 use hinge_cases::cases;
 use hinge_fair::{Account, Class, Queue, SCALE, Totals};
 
 const NOW: Duration = Duration::from_secs(1);
 const SIDECARS: usize = 10;
 /// Largest request; a sidecar runs one at a time, so this is how far an expectation may put a team back.
-const LARGEST: u64 = 100;
+const MAX_REQUEST_UNITS: u64 = 100;
 
 struct Fleet {
     root: Totals,
@@ -21,10 +21,10 @@
 
 impl Fleet {
     /// Ten sidecars at which two teams wait, that have served each of them alike.
-    fn served() -> Self {
-        let sidecar = || common::queue(99, LARGEST, &[("a", 1, 99), ("b", 1, 99)]);
+    fn after_even_service() -> Self {
+        let sidecar = || common::queue(99, MAX_REQUEST_UNITS, &[("a", 1, 99), ("b", 1, 99)]);
         let mut fleet = Self {
-            root: Totals::open_root(1),
+            root: Totals::new_root(1),
             sidecars: (0..SIDECARS).map(|_| sidecar()).collect(),
             next_id: 0,
         };
@@ -45,7 +45,7 @@
 
     fn offer(&mut self, team: &str) -> hinge_fair::Offer {
         self.next_id += 1;
-        common::offer(self.next_id, team, Class::Standard, 10, FAR)
+        common::offer(self.next_id, team, Class::Standard, 10, FAR_DEADLINE)
     }
 
     fn push(&mut self, sidecar: usize, team: &str) {
@@ -77,35 +77,35 @@
         queue.account(queue.team_index(team).expect("the team is known"))
     }
 
-    fn picks(&mut self, sidecar: usize) -> String {
+    fn pick_team(&mut self, sidecar: usize) -> String {
         let queue = &mut self.sidecars[sidecar];
-        let picked = queue.pick(NOW, ROOM).expect("offers wait");
+        let picked = queue.pick(NOW, ONE_FREE_SLOT).expect("offers wait");
         queue.team_name(picked.team).to_owned()
     }
 }
 
 cases! {
     a_sidecar_expects_the_others_to_do_as_it_does => {
-        let mut fleet = Fleet::served();
+        let mut fleet = Fleet::after_even_service();
         fleet.serve(0, "a", 10);
-        let expected = fleet.account(0, "a").expected() / SCALE;
+        let expected = fleet.account(0, "a").expected_remote() / SCALE;
         // Half of nine others; what they gave before the last of the exchanges reached them makes it a little less or more.
         assert!((40..=55).contains(&expected), "{expected} units");
-        assert_eq!(fleet.account(0, "b").expected(), 0);
+        assert_eq!(fleet.account(0, "b").expected_remote(), 0);
     }
 
     totals_that_hold_the_service_end_the_expectation => {
-        let mut fleet = Fleet::served();
+        let mut fleet = Fleet::after_even_service();
         fleet.serve(0, "a", 10);
         fleet.exchange();
-        assert_eq!(fleet.account(0, "a").expected(), 0);
+        assert_eq!(fleet.account(0, "a").expected_remote(), 0);
         let counted = fleet.account(0, "a").counted();
         assert_eq!(counted - fleet.account(0, "b").counted(), 10 * SCALE);
         assert_eq!(fleet.account(0, "a").effective(), counted);
     }
 
     what_is_expected_is_never_reported => {
-        let mut fleet = Fleet::served();
+        let mut fleet = Fleet::after_even_service();
         fleet.serve(0, "a", 10);
         assert_eq!(fleet.account(0, "a").own(), 210 * SCALE);
         // A team lifted to what is expected of the others reports no service either.
@@ -118,7 +118,7 @@
     }
 
     a_lift_to_what_is_expected_is_no_service => {
-        let mut fleet = Fleet::served();
+        let mut fleet = Fleet::after_even_service();
         let queue = &mut fleet.sidecars[0];
         queue.set_team("c", 1, 99);
         fleet.serve(0, "a", 30);
@@ -130,7 +130,7 @@
     }
 
     an_expectation_puts_a_team_back_by_its_own_slots_at_most => {
-        let mut fleet = Fleet::served();
+        let mut fleet = Fleet::after_even_service();
         // The others gave b 200 units that a lacks, and then this sidecar hears nothing more and serves a only.
         for sidecar in 1..3 {
             fleet.serve(sidecar, "b", 100);
@@ -139,20 +139,20 @@
         fleet.serve(0, "a", 90);
         let [a, b] = ["a", "b"].map(|team| fleet.account(0, team).effective());
         assert!(a > b, "what is expected puts a behind");
-        assert_eq!(fleet.picks(0), "a", "a lacks more than a largest request");
+        assert_eq!(fleet.pick_team(0), "a", "a lacks more than a largest request");
     }
 
     within_that_the_expectation_decides => {
-        let mut fleet = Fleet::served();
+        let mut fleet = Fleet::after_even_service();
         fleet.serve(1, "b", 50);
         fleet.exchange();
         fleet.serve(0, "a", 10);
-        assert_eq!(fleet.picks(0), "b");
+        assert_eq!(fleet.pick_team(0), "b");
     }
 
     a_sidecar_that_starts_expects_nothing => {
-        let mut fleet = Fleet::served();
-        fleet.sidecars[0] = common::queue(99, LARGEST, &[("a", 1, 99), ("b", 1, 99)]);
+        let mut fleet = Fleet::after_even_service();
+        fleet.sidecars[0] = common::queue(99, MAX_REQUEST_UNITS, &[("a", 1, 99), ("b", 1, 99)]);
         fleet.push(0, "a");
         for _ in 0..4 {
             let queue = &mut fleet.sidecars[0];
@@ -161,6 +161,6 @@
             queue.apply_totals(NOW, &reply);
             fleet.serve(0, "a", 10);
         }
-        assert_eq!(fleet.account(0, "a").expected(), 0);
+        assert_eq!(fleet.account(0, "a").expected_remote(), 0);
     }
 }
--- a/crates/fair/tests/fleet.rs
+++ b/crates/fair/tests/fleet.rs
@@ -4,10 +4,10 @@
 
 use std::time::Duration;
 
-use common::{FAR, ROOM, offer, queue};
+use common::{FAR_DEADLINE, ONE_FREE_SLOT, offer, queue};
 use hinge_cases::cases;
 use hinge_fair::{
-    Class, NormalisedUnits, PoolBound, Queue, SumsReport, Totals, TotalsReply, normalise,
+    Class, FairnessBound, NormalisedUnits, Queue, SumsReport, Totals, TotalsReply, normalise,
 };
 use quickcheck::{Gen, QuickCheck};
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
@@ -51,7 +51,7 @@
 }
 
 impl<M: Clone> Link<M> {
-    fn open() -> Self {
+    fn new() -> Self {
         Self {
             messages: Vec::new(),
             losses: 0,
@@ -89,8 +89,8 @@
 }
 
 impl<S> Node<S> {
-    fn open(state: S, incarnation: u64) -> Self {
-        let (up, down) = (Link::open(), Link::open());
+    fn new(state: S, incarnation: u64) -> Self {
+        let (up, down) = (Link::new(), Link::new());
         Self {
             state,
             incarnation,
@@ -117,19 +117,19 @@
 }
 
 fn sidecar(incarnation: u64) -> Node<Queue<u64>> {
-    Node::open(queue(99, MAX_REQUEST, &TEAMS), incarnation)
+    Node::new(queue(99, MAX_REQUEST, &TEAMS), incarnation)
 }
 
 impl Fleet {
-    fn open(seed: u64, faults: &[Fault]) -> Self {
-        let relays = ["0", "1"].map(|name| Node::open(Totals::open_relay(name, 1), 1));
+    fn new(seed: u64, faults: &[Fault]) -> Self {
+        let relays = ["0", "1"].map(|name| Node::new(Totals::new_relay(name, 1), 1));
         Self {
             faults: faults.to_vec(),
             rng: SmallRng::seed_from_u64(seed),
             tick: 0,
             sidecars: (0..SIDECARS).map(|_| sidecar(1)).collect(),
             relays: relays.into(),
-            root: Totals::open_root(1),
+            root: Totals::new_root(1),
             next_id: 0,
             served: [0; TEAMS.len()],
             miscounted: 0,
@@ -145,20 +145,20 @@
         ticks(self.tick)
     }
 
-    fn cut(&self) -> bool {
+    fn is_partitioned(&self) -> bool {
         self.has(Partition) && PARTITION.contains(&self.tick)
     }
 
-    fn step(&mut self) {
+    fn advance_tick(&mut self) {
         self.tick += 1;
-        self.sample();
+        self.resample_offers();
         self.serve();
         self.restart();
         self.exchange();
     }
 
     /// Keeps offers of each team at two sidecars; team 0 is never seen by the others.
-    fn sample(&mut self) {
+    fn resample_offers(&mut self) {
         for team in 0..TEAMS.len() {
             if self.tick % RESAMPLE_EVERY == 1 {
                 for (sidecar, offer_id) in self.offered[team] {
@@ -188,7 +188,7 @@
         let cost = self.rng.random_range(1..=MAX_REQUEST);
         // Hints are rough: off by up to a half either way.
         let hint = (cost * self.rng.random_range(50..=150) / 100).clamp(1, MAX_REQUEST);
-        let offer = offer(*offer_id, name, Class::Standard, hint, FAR);
+        let offer = offer(*offer_id, name, Class::Standard, hint, FAR_DEADLINE);
         assert_eq!(queue.push(now, &offer, cost), Ok(None));
     }
 
@@ -197,7 +197,7 @@
         let now = self.now();
         for sidecar in &mut self.sidecars {
             while sidecar.running.len() < SLOTS {
-                let picked = sidecar.state.pick(now, ROOM);
+                let picked = sidecar.state.pick(now, ONE_FREE_SLOT);
                 let Some(picked) = picked else { break };
                 let team = picked.team as usize;
                 let slot = (picked.offer_id, team, picked.payload);
@@ -226,15 +226,16 @@
         if self.has(RelayRestart) && self.tick % 2_300 == 1_200 {
             let index = self.rng.random_range(0..self.relays.len());
             let incarnation = self.relays[index].incarnation + 1;
-            let totals = Totals::open_relay(&index.to_string(), incarnation);
-            self.relays[index] = Node::open(totals, incarnation);
+            let totals = Totals::new_relay(&index.to_string(), incarnation);
+            self.relays[index] = Node::new(totals, incarnation);
             // What was forwarded but not yet confirmed to the sidecars is counted twice.
             self.miscounted += staleness * (SIDECARS * SLOTS / 2) as u64;
         }
     }
 
     fn exchange(&mut self) {
-        let (now, tick, lossy, cut) = (self.now(), self.tick, self.has(Loss), self.cut());
+        let (now, tick, lossy, cut) =
+            (self.now(), self.tick, self.has(Loss), self.is_partitioned());
         let (rng, root) = (&mut self.rng, &mut self.root);
         let reports = tick.is_multiple_of(REPORT_EVERY);
         root.expire(now);
@@ -276,8 +277,8 @@
         normalise(self.served[team], TEAMS[team].1)
     }
 
-    fn bound(&self) -> PoolBound {
-        PoolBound {
+    fn bound(&self) -> FairnessBound {
+        FairnessBound {
             pool_slots: (SIDECARS * SLOTS) as u64,
             sidecar_slots: SLOTS as u64,
             max_request_units: MAX_REQUEST,
@@ -323,11 +324,11 @@
 
 /// Runs the fleet and returns the largest part of the bound that was used, in percent.
 fn run(seed: u64, faults: &[Fault]) -> u64 {
-    let mut fleet = Fleet::open(seed, faults);
+    let mut fleet = Fleet::new(seed, faults);
     let mut worst = 0;
     let mut window = fleet.served;
     for tick in 1..=RUN {
-        fleet.step();
+        fleet.advance_tick();
         worst = worst.max(fleet.worst_percent());
         // The least share is a seventh of 4,000 units; a forgiven team keeps half, and half of that is granularity.
         if tick.is_multiple_of(500) {
--- a/crates/fair/tests/totals.rs
+++ b/crates/fair/tests/totals.rs
@@ -4,11 +4,11 @@
 
 use std::{collections::BTreeSet, time::Duration};
 
-use common::{FAR, ROOM, queue};
+use common::{FAR_DEADLINE, ONE_FREE_SLOT, queue};
 use hinge_cases::cases;
 use hinge_fair::{
-    Class, Epoch, MAX_FORGOTTEN, ORIGIN_FORGOTTEN_AFTER, ORIGIN_SILENT_AFTER, Offer, Origin, Queue,
-    SCALE, Sum, Sums, SumsReport, TeamSum, Totals, TotalsReply,
+    Class, Epoch, MAX_TOMBSTONES, ORIGIN_EXPIRY_TIMEOUT, ORIGIN_SILENCE_TIMEOUT, Offer, Origin,
+    Queue, SCALE, ServiceSum, ServiceSums, SumsReport, TeamSum, Totals, TotalsReply,
 };
 use quickcheck::quickcheck;
 
@@ -20,16 +20,21 @@
 const SOON: Duration = Duration::from_secs(1);
 const TEAMS: [&str; 3] = ["a", "b", "c"];
 
-fn sum(units: u64, backlogged: bool) -> Sum {
-    Sum {
+fn sum(units: u64, backlogged: bool) -> ServiceSum {
+    ServiceSum {
         service_units: units,
         normalised_units: units,
         backlogged,
-        ..Sum::default()
+        ..ServiceSum::default()
     }
 }
 
-fn report(source: &str, incarnation: u64, version: u64, teams: &[(&str, Sum)]) -> SumsReport {
+fn report(
+    source: &str,
+    incarnation: u64,
+    version: u64,
+    teams: &[(&str, ServiceSum)],
+) -> SumsReport {
     let origin = Origin {
         source: source.into(),
         incarnation,
@@ -57,7 +62,7 @@
 }
 
 fn offer(offer_id: u64, team: &str) -> Offer {
-    common::offer(offer_id, team, Class::Standard, 100, FAR)
+    common::offer(offer_id, team, Class::Standard, 100, FAR_DEADLINE)
 }
 
 fn push(queue: &mut Queue<()>, offer_id: u64, team: &str) {
@@ -93,7 +98,11 @@
 
 /// Reports of three sidecars whose sums grow; the last three are their final ones.
 fn history(steps: &[(u8, u8, u8)]) -> Vec<SumsReport> {
-    let mut sums = [Sums::default(), Sums::default(), Sums::default()];
+    let mut sums = [
+        ServiceSums::default(),
+        ServiceSums::default(),
+        ServiceSums::default(),
+    ];
     let mut reports = Vec::new();
     for (source, team, units) in steps {
         let sidecar = usize::from(*source) % sums.len();
@@ -106,7 +115,7 @@
     reports
 }
 
-fn full_report(sidecar: usize, sums: &Sums) -> SumsReport {
+fn full_report(sidecar: usize, sums: &ServiceSums) -> SumsReport {
     let mut report = report(TEAMS[sidecar], 1, sums.mark(), &[]);
     for (team, version, sum) in sums.changes_since(0) {
         let team = TEAMS[team as usize].into();
@@ -116,7 +125,7 @@
 }
 
 fn merged<'a>(reports: impl Iterator<Item = &'a SumsReport>) -> (Vec<Option<u64>>, Vec<String>) {
-    let mut totals = Totals::open_root(1);
+    let mut totals = Totals::new_root(1);
     for report in reports {
         assert!(totals.merge(SOON, report).is_some());
     }
@@ -138,7 +147,7 @@
     }
 
     fn changes_since_a_mark_are_the_changed_sums_only(before: Vec<u8>, after: Vec<u8>) -> bool {
-        let mut sums = Sums::default();
+        let mut sums = ServiceSums::default();
         for team in &before {
             sums.set(u32::from(*team), sum(1, false));
         }
@@ -153,7 +162,7 @@
 
 cases! {
     a_restarted_sidecar_adds_to_what_it_gave => {
-        let mut totals = Totals::open_root(1);
+        let mut totals = Totals::new_root(1);
         let old = report("s", 1, 1, &[("a", sum(70, true))]);
         let new = report("s", 2, 1, &[("a", sum(5, false))]);
         let later = report("s", 1, 2, &[("a", sum(90, true))]);
@@ -165,32 +174,32 @@
     }
 
     a_forgotten_origin_starts_anew => {
-        let mut totals = Totals::open_root(1);
+        let mut totals = Totals::new_root(1);
         let known = report("s", 1, 1, &[("a", sum(70, true))]);
         assert!(totals.merge(SOON, &known).is_some());
-        totals.expire(SOON + ORIGIN_FORGOTTEN_AFTER * 2);
+        totals.expire(SOON + ORIGIN_EXPIRY_TIMEOUT * 2);
         let reply = totals.merge(SOON, &known).expect("a root replies");
         assert!(reply.restart);
         assert_eq!(totals.service_units("a"), Some(70));
     }
 
     memory_is_bounded_though_sidecars_come_and_go => {
-        let mut totals = Totals::open_root(1);
+        let mut totals = Totals::new_root(1);
         let mut now = SOON;
-        for source in 0..MAX_FORGOTTEN + 1000 {
-            now += ORIGIN_FORGOTTEN_AFTER / 10;
+        for source in 0..MAX_TOMBSTONES + 1000 {
+            now += ORIGIN_EXPIRY_TIMEOUT / 10;
             let report = report(&source.to_string(), 1, 1, &[("a", sum(1, true))]);
             assert!(totals.merge(now, &report).is_some());
             totals.expire(now);
         }
-        assert!(totals.origin_count() <= MAX_FORGOTTEN + 11);
-        assert_eq!(totals.service_units("a"), Some(MAX_FORGOTTEN as u64 + 1000));
+        assert!(totals.origin_count() <= MAX_TOMBSTONES + 11);
+        assert_eq!(totals.service_units("a"), Some(MAX_TOMBSTONES as u64 + 1000));
     }
 
     a_silent_sidecar_holds_no_floor_down => {
-        let mut totals = Totals::open_root(1);
+        let mut totals = Totals::new_root(1);
         assert!(totals.merge(SOON, &report("dead", 1, 1, &[("a", sum(1, true))])).is_some());
-        let later = SOON + ORIGIN_SILENT_AFTER * 2;
+        let later = SOON + ORIGIN_SILENCE_TIMEOUT * 2;
         let live = report("live", 1, 1, &[("b", sum(500, true))]);
         assert_eq!(totals.merge(later, &live).and_then(|reply| reply.floor_units), Some(1));
         totals.expire(later);
@@ -199,16 +208,16 @@
         assert!(totals.merge(later, &report("dead", 1, 2, &[("a", sum(2, true))])).is_some());
         assert_eq!(totals.normalised("a"), Some(2));
         // A flag that rose during the silence is another matter.
-        let latest = later + ORIGIN_SILENT_AFTER * 2;
+        let latest = later + ORIGIN_SILENCE_TIMEOUT * 2;
         totals.expire(latest);
         assert!(totals.merge(latest, &live).is_some());
-        let rose = Sum { backlog_count: 1, ..sum(2, true) };
+        let rose = ServiceSum { backlog_count: 1, ..sum(2, true) };
         assert!(totals.merge(latest, &report("dead", 1, 3, &[("a", rose)])).is_some());
         assert_eq!(totals.normalised("a"), Some(500));
     }
 
     a_team_back_from_idle_is_lifted_to_the_least_of_the_fleet => {
-        let mut totals = Totals::open_root(1);
+        let mut totals = Totals::new_root(1);
         let busy = [("a", sum(900, true)), ("b", sum(800, true)), ("c", sum(10, false))];
         assert!(totals.merge(SOON, &report("s", 1, 1, &busy)).is_some());
         let back = [("c", sum(10, true))];
@@ -221,7 +230,7 @@
     }
 
     a_sidecar_counts_what_others_gave => {
-        let mut totals = Totals::open_root(1);
+        let mut totals = Totals::new_root(1);
         let mut queue = sidecar();
         serve(&mut queue, 8, "b", 50);
         let early = exchange(&mut queue, &mut totals, SOON);
@@ -233,14 +242,14 @@
         let a = queue.account(0).effective();
         let b = queue.account(1).effective();
         assert_eq!((a, b), (70 * SCALE, 60 * SCALE));
-        assert_eq!(queue.pick(SOON, ROOM).map(|picked| picked.offer_id), Some(2));
+        assert_eq!(queue.pick(SOON, ONE_FREE_SLOT).map(|picked| picked.offer_id), Some(2));
     }
 
     a_restarted_relay_counts_nothing_twice => {
-        let mut root = Totals::open_root(1);
+        let mut root = Totals::new_root(1);
         let mut queue = sidecar();
         for incarnation in 1..5 {
-            let mut relay = Totals::open_relay("relay", incarnation);
+            let mut relay = Totals::new_relay("relay", incarnation);
             assert_eq!(relay.merge(SOON, &queue.report("sidecar", 1)), None);
             forward(&mut relay, &mut root, SOON);
             serve(&mut queue, 10 * incarnation, "a", 100);
@@ -257,13 +266,13 @@
 
     a_new_root_goes_on_where_the_old_one_was => {
         let mut queue = sidecar();
-        let mut old = Totals::open_root(1);
+        let mut old = Totals::new_root(1);
         exchange(&mut queue, &mut old, SOON);
         assert!(old.merge(SOON, &report("other", 1, 1, &[("b", sum(500 * SCALE, true))])).is_some());
         serve(&mut queue, 8, "a", 100);
         let late = exchange(&mut queue, &mut old, SOON);
         serve(&mut queue, 9, "a", 30);
-        let mut new = Totals::open_root(2);
+        let mut new = Totals::new_root(2);
         exchange(&mut queue, &mut new, SOON);
         queue.apply_totals(SOON, &late);
         assert_eq!(queue.report("sidecar", 1).epoch.map(|epoch| epoch.root), Some(2));
@@ -273,12 +282,12 @@
     }
 
     a_lead_from_a_partition_is_forgiven_and_paid_back => {
-        let mut totals = Totals::open_root(1);
+        let mut totals = Totals::new_root(1);
         let mut queue = sidecar();
         exchange(&mut queue, &mut totals, SOON);
         let far = report("far", 1, 1, &[("a", sum(0, true))]);
         assert!(totals.merge(SOON, &far).is_some());
-        let later = SOON + ORIGIN_SILENT_AFTER * 2;
+        let later = SOON + ORIGIN_SILENCE_TIMEOUT * 2;
         exchange(&mut queue, &mut totals, later);
         totals.expire(later);
         let rejoined = report("far", 1, 2, &[("a", sum(90_000 * SCALE, true))]);
--- a/crates/sidecar/src/core.rs
+++ b/crates/sidecar/src/core.rs
@@ -9,7 +9,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use hinge_fair::{Class, Limits, Offer, Picked, Queue, Room};
+use hinge_fair::{Class, FreeSlots, Limits, Offer, Picked, Queue};
 use hinge_outcome::run::RunMemory;
 use hinge_outcome::{ClaimId, Reason, RunEvent, RunState, RunTable, Verdict};
 use hinge_placement::slots::{EngineReport, Need, Room as SlotRoom, SlotRules, Slots};
@@ -376,7 +376,7 @@
     }
 
     /// Returns what the queue may pick from; while an offer waits for KV cache, only urgent ones may pass it.
-    fn room(&self, now: Duration) -> Room {
+    fn room(&self, now: Duration) -> FreeSlots {
         let is_urgent = |ticket: &Ticket| self.need(*ticket).is_urgent;
         let has_common = self.parked.is_empty() && self.slots.free_slots(now) > 0;
         let smallest = Need {
@@ -385,7 +385,7 @@
         };
         let has_urgent =
             !self.parked.iter().any(is_urgent) && self.slots.room(smallest, now) == SlotRoom::Now;
-        Room {
+        FreeSlots {
             free_slots: u32::from(has_common || has_urgent),
             reserved_slots: u32::from(!has_common),
         }
--- a/crates/sidecar/tests/decisions.rs
+++ b/crates/sidecar/tests/decisions.rs
@@ -168,7 +168,7 @@
         core.charge(claim, 8);
         assert_eq!(core.cancel(claim, NOW), Verdict::Failed { reason: Reason::Cancelled });
         let team = core.queue().team_index("school").expect("the team has offered");
-        assert_eq!(core.queue().account(team).units(), 38);
+        assert_eq!(core.queue().account(team).service_units(), 38);
     }
     an_offer_that_is_withdrawn_leaves_its_place => {
         let mut core = core(1, 0, 0);
--- a/crates/state/src/service.rs
+++ b/crates/state/src/service.rs
@@ -32,7 +32,7 @@
     let teams = message.sums.iter().map(|sum| fair::TeamSum {
         team: sum.team.clone(),
         version: sum.version,
-        sum: fair::Sum {
+        sum: fair::ServiceSum {
             service_units: sum.service_units,
             normalised_units: sum.normalised_units,
             backlogged: sum.backlogged,
