--- a/crates/fair/benches/pick.rs
+++ b/crates/fair/benches/pick.rs
@@ -1,4 +1,4 @@
-//! Measures a pick among 150 backlogged of 1,500 teams, what is merged in a second, and bytes of memory.
+//! Benchmarks of picks with 150 backlogged of 1,500 teams, of a second's exchange of sums, and of memory use.
 
 use std::{collections::BTreeSet, fs, hint::black_box, time::Duration};
 
@@ -19,10 +19,10 @@
     reserved_slots: 0,
 };
 
-/// Page size of the machines that this runs on; the kernel reports resident memory in pages.
+/// Page size of the machine, as the kernel reports resident memory in pages.
 const PAGE_BYTES: u64 = 4096;
 
-/// Copies of a queue over which memory is averaged, so that pages and allocator slack weigh little.
+/// Number of queues over which memory is averaged, so that page granularity and allocator slack matter little.
 const COPIES: u32 = 40;
 
 fn name(team: u32) -> String {
@@ -58,7 +58,7 @@
     }
 }
 
-/// Picks and ends a request, and lets another one of the same team wait.
+/// Picks and finishes a request, and pushes another one of the same team.
 fn pick_finish_push(queue: &mut Queue<u64>, offers: &mut [Offer]) {
     let picked = queue.pick(NOW, ONE_FREE_SLOT).expect("offers wait");
     let again = &mut offers[picked.team as usize];
@@ -82,7 +82,7 @@
         assert_eq!(pushed, Ok(None));
     }
     criterion.bench_function("pick", |bencher| {
-        // Batches keep the picks apart from the pushes that make up for them.
+        // Measures the picks without the pushes that replace the picked offers.
         bencher.iter_custom(|iterations| {
             let mut spent = Duration::ZERO;
             for _ in 0..iterations {
@@ -107,7 +107,7 @@
     });
 }
 
-/// Compares the ordered set with a scan, on bare keys.
+/// Compares an ordered set with a scan, on keys alone.
 fn bench_order(criterion: &mut Criterion) {
     let keys = |teams: u32| (0..teams).map(|team| (u64::from(team) * 7_919 % 1_000, team));
     let mut ordered: BTreeSet<(NormalisedUnits, TeamIndex)> = keys(BACKLOGGED).collect();
@@ -143,7 +143,7 @@
     for _ in 0..3 {
         exchange(&mut queue, &mut totals);
     }
-    // A sidecar that serves 20 requests a second reports 20 teams at most, and hears of those that wait.
+    // A sidecar that serves 20 requests a second reports at most 20 teams, and gets the totals of backlogged ones.
     criterion.bench_function("serve_20_and_exchange_sums", |bencher| {
         bencher.iter(|| {
             for _ in 0..20 {
--- a/crates/fair/src/choose.rs
+++ b/crates/fair/src/choose.rs
@@ -1,4 +1,4 @@
-//! Chooses the team whose turn it is.
+//! Chooses the team and class to serve next.
 
 use crate::{
     offer::{Class, FreeSlots},
@@ -7,7 +7,7 @@
 };
 
 impl<T> Queue<T> {
-    /// Returns the team and class whose turn it is.
+    /// Returns the team and class to serve next.
     pub(crate) fn choose(&self, slots: FreeSlots) -> Option<(TeamIndex, Class)> {
         if slots.free_slots == 0 {
             return None;
@@ -16,19 +16,19 @@
         if slots.free_slots <= slots.reserved_slots {
             return urgent.map(|index| (index, Class::Urgent));
         }
-        // Precedence orders the teams only. Inside its turn a team still owes its lower classes their part, or its own
-        // urgent offers would starve them.
+        // Urgent precedence decides between teams only. Within the team's turn its lower classes still get their part,
+        // or its own urgent offers would starve them.
         let index = urgent.or(self.next_by_service())?;
         let class = self.team(index).next_class();
-        let class = class.expect("a ready team has a waiting offer");
+        let class = class.expect("a backlogged team has a waiting offer");
         Some((index, class))
     }
 
-    /// Returns the team with the least effective service, unless that would pass over another for too long.
+    /// Returns the team with the least effective service, unless another team has been passed over for too long.
     ///
-    /// What is expected of other sidecars may be wrong, in a long silence without limit. It may put a team back
-    /// only as far as the estimates of its own requests could, were they in all slots: this is what the bound allows
-    /// for, and so the expectation adds nothing to it.
+    /// The service expected from other sidecars may be wrong, and by any amount while no totals arrive. It may
+    /// therefore delay a team only as far as estimates of the team's own requests in all slots could. The fairness bound
+    /// already allows for those, so the expectation doesn't widen it.
     fn next_by_service(&self) -> Option<TeamIndex> {
         let (_, first) = *self.ready.first()?;
         let (least_ceiling, passed_over) = *self.ceilings.first()?;
@@ -36,7 +36,7 @@
         Some(if goes_first { first } else { passed_over })
     }
 
-    /// Returns the team with urgent offers that has most of its allowance left, if any team has.
+    /// Returns the team with urgent offers that has the most of its urgent allowance left, if any has some left.
     fn urgent_within_allowance(&self) -> Option<TeamIndex> {
         let (precedence, index) = *self.urgent.first()?;
         let (_, least) = *self.ready.first()?;
--- a/crates/fair/src/deadline.rs
+++ b/crates/fair/src/deadline.rs
@@ -1,4 +1,4 @@
-//! Refuses at once what can't start in time, and says when to come back.
+//! Refusal of offers that can't start before their deadline.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 };
 
 impl<T> Queue<T> {
-    /// Takes out every offer whose deadline can't be met.
+    /// Removes every waiting offer whose deadline can't be met.
     pub fn expire(&mut self, now: Duration) -> Vec<Expired<T>> {
         let late = self.late_offers(now);
         late.into_iter()
@@ -17,7 +17,7 @@
             .collect()
     }
 
-    /// Returns how many of the team's picks come before the given place.
+    /// Returns the number of the team's picks before an offer with the given class and key.
     pub(crate) fn position(&self, index: TeamIndex, class: Class, order_key: OrderKey) -> usize {
         let team = self.team(index);
         let higher = Class::ALL.into_iter().filter(|other| *other < class);
@@ -30,7 +30,7 @@
         Team::<T>::picks_before(higher, in_class.count())
     }
 
-    /// Returns how many picks of the whole queue serve `offers` offers of one team.
+    /// Returns the estimated number of picks of the whole queue until `offers` offers of the team are picked.
     pub(crate) fn picks_before(&self, index: TeamIndex, offers: usize) -> u64 {
         let team = self.team(index);
         let share = u64::from(team.account.share());
@@ -39,7 +39,7 @@
         (offers as u64).saturating_mul(shares).div_ceil(share)
     }
 
-    /// Returns whether an offer at this position of its team starts after its deadline.
+    /// Returns whether an offer at this position in its team is expected to start after its deadline.
     pub(crate) fn is_late(
         &self,
         now: Duration,
@@ -65,7 +65,7 @@
         late
     }
 
-    /// Adds the late offers of one class to `late`, and returns how many others the class has.
+    /// Adds the late offers of one class to `late`, and returns the number of its other offers.
     fn late_in_class(
         &self,
         now: Duration,
--- a/crates/fair/src/drain_rate.rs
+++ b/crates/fair/src/drain.rs
@@ -1,21 +1,23 @@
-//! Observes how fast a queue drains, to say when to come back.
+//! Estimates how fast a queue drains, to compute retry delays.
 
 use std::time::Duration;
 
-/// Picks before the observed rate is believed; fewer say more about the first arrivals than about the endpoint.
+/// Picks needed before the rate is used; fewer reflect the first arrivals rather than the endpoint.
 const MIN_PICKS: u32 = 8;
 
-/// Weight of one observation is one in this many; sixteen smooths over the mix of short and long requests.
+/// Inverse weight of a new observation in the moving average; 16 smooths over the mix of short and long requests.
 const SMOOTHING_DIVISOR: u128 = 16;
 
-/// Retry delay before anything is known.
-const DEFAULT_DELAY: Duration = Duration::from_secs(1);
+/// Retry delay before the drain rate is known.
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Bounds of a retry delay: below, callers would spin; above, they would miss that the queue has drained.
-const MIN_DELAY: Duration = Duration::from_millis(50);
-const MAX_DELAY: Duration = Duration::from_mins(1);
+/// Minimum retry delay; with a shorter one, callers would spin.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Smoothed time between two picks while offers wait.
+/// Maximum retry delay; with a longer one, callers would miss that the queue has drained.
+const MAX_RETRY_DELAY: Duration = Duration::from_mins(1);
+
+/// An exponential moving average of the time between two picks while offers wait.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DrainRate {
     pick_count: u32,
@@ -24,13 +26,13 @@
 }
 
 impl DrainRate {
-    /// Notes that the queue has begun to fill.
+    /// Records that an offer arrived in an empty queue.
     pub(crate) fn record_backlog_start(&mut self, now: Duration) {
-        // Time without waiting offers says nothing about the endpoint's speed.
+        // The time that the queue was empty doesn't reflect the endpoint's speed.
         self.interval_start = now;
     }
 
-    /// Notes that an offer was picked.
+    /// Records that an offer was picked.
     pub(crate) fn record_pick(&mut self, now: Duration) {
         let observed = now.saturating_sub(self.interval_start).as_nanos();
         self.interval_start = now;
@@ -42,7 +44,7 @@
         self.pick_count = self.pick_count.saturating_add(1);
     }
 
-    /// Returns the time in which `picks` offers leave the queue, once enough was observed.
+    /// Returns the estimated time for `picks` picks, or `None` before enough picks were observed.
     pub(crate) fn time_for_picks(&self, picks: u64) -> Option<Duration> {
         if self.pick_count < MIN_PICKS {
             return None;
@@ -52,9 +54,9 @@
         Some(Duration::from_nanos(nanos))
     }
 
-    /// Returns the retry delay for a caller ahead of whom `picks` offers leave the queue.
+    /// Returns the retry delay for a caller who has to wait for `picks` picks.
     pub(crate) fn retry_after(&self, picks: u64) -> Duration {
-        let wait = self.time_for_picks(picks).unwrap_or(DEFAULT_DELAY);
-        wait.clamp(MIN_DELAY, MAX_DELAY)
+        let wait = self.time_for_picks(picks).unwrap_or(DEFAULT_RETRY_DELAY);
+        wait.clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY)
     }
 }
--- a/crates/fair/src/exchange.rs
+++ b/crates/fair/src/exchange.rs
@@ -1,4 +1,4 @@
-//! Exchanges a sidecar's sums for the totals of the fleet.
+//! Exchange of a sidecar's sums for the totals of the fleet.
 
 use std::time::Duration;
 
@@ -9,17 +9,17 @@
     upstream::{EpochChange, TeamTotal, TotalsReply},
 };
 
-/// How long a team that the last reply lists as backlogged in the fleet counts as not idle.
+/// Time for which a team that the last reply lists as backlogged in the fleet counts as not idle.
 ///
-/// Five reports of one second: a lost reply or two don't matter, and a sidecar that is cut off goes back to its own
-/// knowledge soon.
+/// Five reports at one per second tolerate one or two lost replies, and a sidecar that is cut off soon falls back to
+/// its local state.
 pub const BACKLOG_LISTING_TTL: Duration = Duration::from_secs(5);
 
 impl<T> Queue<T> {
-    /// Returns the sums that the merging process has not confirmed yet, to be sent about once a second.
+    /// Returns a report of the sums that the merging process has not confirmed yet, to be sent about once a second.
     ///
-    /// A report without changes still says that this sidecar lives. A lost report needs no resending: the next one
-    /// carries its changes too.
+    /// A report without changes still serves as a heartbeat. A lost report needs no retry: the next one includes its
+    /// changes.
     pub fn report(&mut self, source: &str, incarnation: u64) -> SumsReport {
         self.flush_dirty_sums();
         let since = self.upstream.mark();
@@ -35,9 +35,9 @@
             .report(source, incarnation, self.sums.mark(), changes)
     }
 
-    /// Takes in the totals of the fleet; late, duplicate and reordered replies are harmless.
+    /// Applies the totals of the fleet; late, duplicate and reordered replies are harmless.
     ///
-    /// The caller drops a reply to another incarnation of this sidecar.
+    /// The caller must drop replies to another incarnation of this sidecar.
     pub fn apply_totals(&mut self, now: Duration, reply: &TotalsReply) {
         match self.upstream.update_epoch(reply) {
             EpochChange::Stale => return,
@@ -47,17 +47,17 @@
         }
         self.reply_count += 1;
         self.listing_expires_at = now + BACKLOG_LISTING_TTL;
-        let peer_ratio_before = self.peer_ratio;
-        self.peer_ratio.decay();
+        let peer_service_before = self.peer_service;
+        self.peer_service.decay();
         for total in &reply.teams {
             self.apply_total(total);
         }
         if self.upstream.update_floor(reply) {
-            // Minutes of the others' service that come at once say nothing of how they and this sidecar serve together.
-            self.peer_ratio = peer_ratio_before;
+            // Minutes of peer service that arrive at once don't reflect the current ratio of peer to own service.
+            self.peer_service = peer_service_before;
             self.forgive_leads();
         }
-        // This also files all teams that wait by the ratio just learnt.
+        // This also updates the sort keys of all backlogged teams with the new ratio.
         if let Some(floor) = self.upstream.floor {
             self.limit_forgiveness(floor);
         }
@@ -71,11 +71,11 @@
         }
     }
 
-    /// Starts the sums anew with what the root is not known to count.
+    /// Resets the sums to the service that the root is not known to have counted.
     fn restart_sums(&mut self, new_root: bool) {
         self.flush_dirty_sums();
         for index in 0..self.teams.len() {
-            let index = TeamIndex::try_from(index).expect("teams fit 32 bits");
+            let index = TeamIndex::try_from(index).expect("the number of teams fits in 32 bits");
             let unrooted = self.sums.unrooted(index);
             self.update_team(index, |team| {
                 if new_root {
@@ -94,10 +94,10 @@
         };
         let remote = total.normalised_units.saturating_sub(total.yours_units);
         let reply_count = self.reply_count;
-        let mut peer_ratio = self.peer_ratio;
+        let mut peer_service = self.peer_service;
         self.update_team(index, |team| {
             team.account
-                .update_merged(remote, total.yours_units, &mut peer_ratio);
+                .update_merged(remote, total.yours_units, &mut peer_service);
             team.account.update_remote(remote);
             team.account.update_lift(total.lift_units);
             if total.settled {
@@ -105,19 +105,19 @@
                 team.listed_in_reply = reply_count;
             }
         });
-        self.peer_ratio = peer_ratio;
+        self.peer_service = peer_service;
     }
 
-    /// Forgives large leads, after service that nobody here knew of has come in at once.
+    /// Forgives large leads after service that was unknown here has arrived at once.
     fn forgive_leads(&mut self) {
         let Some(floor) = self.upstream.floor else {
             return;
         };
         let max_request_units = self.limits.max_request_units;
         for index in 0..self.teams.len() {
-            let index = TeamIndex::try_from(index).expect("teams fit 32 bits");
+            let index = TeamIndex::try_from(index).expect("the number of teams fits in 32 bits");
             self.update_team(index, |team| {
-                team.account.forgive_above(floor, max_request_units);
+                team.account.forgive_lead_above(floor, max_request_units);
             });
         }
     }
--- a/crates/fair/src/lib.rs
+++ b/crates/fair/src/lib.rs
@@ -1,20 +1,20 @@
-//! Decides whom a pool serves next, and how far apart the teams' service may drift.
+//! Weighted fair queueing across the sidecars of a pool, with a bound on the service gap between teams.
 //!
-//! Two parties use this crate. A sidecar holds a [`Queue`] of offers and grants its free slots from it. A merging process
-//! (control or a relay) holds [`Totals`] of every sidecar's [`Sums`] and returns the totals of backlogged teams, which
-//! the sidecar hands to [`Queue::apply_totals`].
+//! A sidecar grants its free slots from a [`Queue`] of offers. A merging process (control or a relay) combines the
+//! [`ServiceSums`] of every sidecar in [`Totals`] and replies with the totals of backlogged teams, which the sidecar passes
+//! to [`Queue::apply_totals`].
 //!
-//! Everything here is a pure decision: the caller passes the time as a [`std::time::Duration`] since a fixed start, there
-//! is no I/O, and equal calls give equal results. The derivation of the rules is in `docs/design/fair-service.md`.
+//! Everything here is deterministic and does no I/O: the caller passes the time as a [`std::time::Duration`] since a fixed
+//! start, and equal calls give equal results. The rules are derived in `docs/design/fair-service.md`.
 
 mod bound;
 mod choose;
 mod deadline;
-mod drain_rate;
+mod drain;
 mod exchange;
 mod offer;
 mod origin_record;
-mod peer_ratio;
+mod peers;
 mod queue;
 mod reply;
 mod shed;
--- a/crates/fair/src/offer.rs
+++ b/crates/fair/src/offer.rs
@@ -1,4 +1,4 @@
-//! Defines what enters and leaves the queue.
+//! Types that enter and leave the queue.
 
 use std::{error::Error, fmt, time::Duration};
 
@@ -7,19 +7,19 @@
 /// Number of urgency classes.
 pub(crate) const CLASSES: usize = 3;
 
-/// How urgent a request is; a class orders work and is never free of charge.
+/// Urgency class of a request; it affects the order of work, and every class is charged in full.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Class {
-    /// Goes first, and may use the headroom, while its team is near its share.
+    /// Served first, also from reserved slots, while its team is within its urgent allowance.
     Urgent,
-    /// The ordinary class.
+    /// The default class.
     Standard,
-    /// Work that may wait longest.
+    /// Work that tolerates the longest wait.
     Batch,
 }
 
 impl Class {
-    /// All classes, the most urgent first.
+    /// All classes, most urgent first.
     pub const ALL: [Self; CLASSES] = [Self::Urgent, Self::Standard, Self::Batch];
 
     pub(crate) fn rank(self) -> usize {
@@ -31,10 +31,10 @@
     }
 }
 
-/// Bounds of one queue.
+/// Limits of one queue.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Most offers that wait in the whole queue.
+    /// Maximum number of waiting offers in the whole queue.
     pub max_waiting: usize,
     /// Service units of the largest request that the pool admits.
     pub max_request_units: u64,
@@ -43,7 +43,7 @@
 /// A request that asks for a slot.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Offer {
-    /// Id that the entry chose; it is unique at this sidecar while the offer waits or runs.
+    /// Id chosen by the entry, unique at this sidecar while the offer waits or runs.
     pub offer_id: u64,
     /// Name of the team that is charged.
     pub team: Box<str>,
@@ -51,20 +51,20 @@
     pub class: Class,
     /// Estimated cost in service units.
     pub estimated_units: u64,
-    /// Latest useful start, on the clock that also gives `now`.
+    /// Latest useful start, on the same clock as `now`.
     pub deadline: Duration,
 }
 
-/// Free slots of the endpoint.
+/// The free slots of the endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct FreeSlots {
-    /// Slots that are free now.
+    /// Number of slots that are free now.
     pub free_slots: u32,
-    /// How many of the free slots are kept as headroom for urgent offers.
+    /// Number of the free slots that are reserved for urgent offers.
     pub reserved_slots: u32,
 }
 
-/// An offer that was given a slot; its estimate is charged.
+/// An offer that was picked for a slot and whose estimate is charged.
 #[derive(Debug, Eq, PartialEq)]
 pub struct Picked<T> {
     /// Id of the offer.
@@ -79,66 +79,66 @@
     pub deadline: Duration,
     /// How long the offer waited here.
     pub waited: Duration,
-    /// What the caller stored with the offer.
+    /// Value that the caller stored with the offer.
     pub payload: T,
 }
 
-/// A waiting offer that made room for another one.
+/// A waiting offer that was removed from a full queue in favour of a new one.
 #[derive(Debug, Eq, PartialEq)]
 pub struct Shed<T> {
     /// Id of the offer.
     pub offer_id: u64,
-    /// Team that stood furthest above its share of the queue.
+    /// Team of the offer, which was furthest above its share of the queue.
     pub team: TeamIndex,
-    /// Why, and when to come back.
+    /// Reason, and when to retry.
     pub refusal: Refusal,
-    /// What the caller stored with the offer.
+    /// Value that the caller stored with the offer.
     pub payload: T,
 }
 
-/// A waiting offer whose deadline can't be met.
+/// A waiting offer that was removed because its deadline can't be met.
 #[derive(Debug, Eq, PartialEq)]
 pub struct Expired<T> {
     /// Id of the offer.
     pub offer_id: u64,
     /// Team of the offer.
     pub team: TeamIndex,
-    /// Why, and when to come back.
+    /// Reason, and when to retry.
     pub refusal: Refusal,
-    /// What the caller stored with the offer.
+    /// Value that the caller stored with the offer.
     pub payload: T,
 }
 
-/// Why an offer doesn't wait here.
+/// Why an offer is refused.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Reason {
     /// The team is not configured here.
     UnknownTeam,
-    /// An offer of this id waits or runs already.
+    /// An offer with this id already waits or runs.
     Duplicate,
-    /// The team has as many offers waiting as it may.
+    /// The team has reached its limit of waiting offers.
     TeamFull,
-    /// The queue is full and the team stands furthest above its share.
+    /// The queue is full and the team is furthest above its share.
     QueueFull,
-    /// The deadline has passed, or passes before the offer's turn at the observed rate.
+    /// The deadline has passed, or would pass before the offer's turn at the observed drain rate.
     DeadlineUnmeetable,
 }
 
-/// A refusal: the request did not run, and when to come back.
+/// Why an offer was refused, and when to retry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
     /// Why the offer was refused.
     pub reason: Reason,
-    /// After what time a new offer is likely to find a place.
+    /// Delay after which a new offer is likely to be accepted.
     pub retry_after: Duration,
 }
 
 impl Refusal {
-    /// Returns whether the request is proven not to have run because of this offer.
+    /// Returns whether this offer certainly didn't cause the request to run.
     #[must_use]
     pub fn is_not_run(&self) -> bool {
         match self.reason {
-            // The offer that holds the id may be running.
+            // The earlier offer with this id may be running.
             Reason::Duplicate => false,
             Reason::UnknownTeam
             | Reason::TeamFull
@@ -151,8 +151,8 @@
 impl fmt::Display for Refusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let reason = match self.reason {
-            Reason::UnknownTeam => "the team is not known here",
-            Reason::Duplicate => "an offer of this id waits or runs already",
+            Reason::UnknownTeam => "the team is not configured here",
+            Reason::Duplicate => "an offer with this id already waits or runs",
             Reason::TeamFull => "the team's queue is full",
             Reason::QueueFull => "the queue is full and the team is furthest above its share",
             Reason::DeadlineUnmeetable => "the deadline can't be met",
--- a/crates/fair/src/origin_record.rs
+++ b/crates/fair/src/origin_record.rs
@@ -1,4 +1,4 @@
-//! Keeps what one origin reported last.
+//! The state that a merging process keeps of one origin.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -7,21 +7,21 @@
     team::TeamIndex,
 };
 
-/// Incarnation and generation; a larger one is a newer run.
+/// Incarnation and generation of an origin; a larger pair is a newer run.
 pub(crate) type RunId = (u64, u32);
 
 pub(crate) fn run_id(origin: &Origin) -> RunId {
     (origin.incarnation, origin.generation)
 }
 
-/// The last report of one origin.
+/// The merged reports of one origin.
 #[derive(Clone, Debug)]
 pub(crate) struct OriginRecord {
     pub(crate) run: RunId,
     pub(crate) live: bool,
     pub(crate) last_report_at: Duration,
     pub(crate) mark: u64,
-    /// Mark of our own report that carries this origin's sums up to the second mark, until the root confirms it.
+    /// Mark of this relay's unconfirmed report to the root, and the origin's mark that the report covers.
     pub(crate) sent: Option<(u64, u64)>,
     pub(crate) rooted_mark: u64,
     pub(crate) teams: BTreeMap<TeamIndex, (u64, ServiceSum)>,
--- a/crates/fair/src/queue.rs
+++ b/crates/fair/src/queue.rs
@@ -1,4 +1,4 @@
-//! Holds the offers of one sidecar and picks whom to grant a slot.
+//! The queue of offers at one sidecar.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -6,16 +6,16 @@
 };
 
 use crate::{
-    drain_rate::DrainRate,
+    drain::DrainRate,
     offer::{Class, FreeSlots, Limits, Offer, Picked, Reason, Refusal, Shed},
-    peer_ratio::PeerRatio,
+    peers::PeerService,
     shed::furthest_above_share,
     sums::ServiceSums,
     team::{Account, Floor, NormalisedUnits, OrderKey, Team, TeamIndex, WaitingOffer},
     upstream::Upstream,
 };
 
-/// Where a waiting offer is filed.
+/// Location of a waiting offer in the queue.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OfferLocation {
     pub(crate) team: TeamIndex,
@@ -23,7 +23,7 @@
     order_key: OrderKey,
 }
 
-/// A request whose estimate is charged.
+/// A running request whose estimate is charged.
 #[derive(Clone, Copy, Debug)]
 struct Running {
     team: TeamIndex,
@@ -31,42 +31,42 @@
     streamed_units: u64,
 }
 
-/// The offers that wait at one sidecar, and the service of each team.
+/// A weighted fair queue of the offers that wait at one sidecar, with the service of each team.
 ///
-/// `T` is what the caller stores with an offer, such as the open exchange with the entry.
+/// `T` is a value that the caller stores with an offer, such as the open exchange with the entry.
 #[derive(Debug)]
 pub struct Queue<T> {
     pub(crate) limits: Limits,
     pub(crate) teams: Vec<Team<T>>,
     pub(crate) sums: ServiceSums,
     pub(crate) upstream: Upstream,
-    /// Teams whose sums have changed since they were last set.
+    /// Teams whose service may differ from `sums`.
     pub(crate) dirty: Vec<TeamIndex>,
-    /// Replies taken in.
+    /// Number of replies applied.
     pub(crate) reply_count: u64,
-    /// Until when the last reply tells which teams are backlogged in the fleet.
+    /// Time until which the last reply's list of teams that are backlogged in the fleet is valid.
     pub(crate) listing_expires_at: Duration,
     team_indexes: HashMap<Box<str>, TeamIndex>,
-    /// Backlogged teams by effective service.
+    /// Backlogged teams, by effective service.
     pub(crate) ready: BTreeSet<(NormalisedUnits, TeamIndex)>,
-    /// The subset of `ready` that has urgent offers and an allowance, by counted service less the allowance.
+    /// The subset of `ready` with urgent offers and an allowance, by counted service less the allowance.
     pub(crate) urgent: BTreeSet<(NormalisedUnits, TeamIndex)>,
-    /// Backlogged teams by what another may have and still go first.
+    /// Backlogged teams, by the counted service up to which another team may be picked before them.
     pub(crate) ceilings: BTreeSet<(NormalisedUnits, TeamIndex)>,
-    pub(crate) peer_ratio: PeerRatio,
-    /// Most requests that ran at once.
+    pub(crate) peer_service: PeerService,
+    /// Maximum number of requests that ran at once.
     max_running: u64,
     pub(crate) locations: HashMap<u64, OfferLocation>,
     running: HashMap<u64, Running>,
     arrival_count: u64,
     pub(crate) backlogged_shares: u64,
     pub(crate) drain_rate: DrainRate,
-    /// Service of the team picked last, for a team that comes back when nobody else waits.
+    /// Service floor at the last pick, for a team that returns while no other team waits.
     last_floor: Option<Floor>,
 }
 
 impl<T> Queue<T> {
-    /// Returns an empty queue that knows no team.
+    /// Returns an empty queue without teams.
     #[must_use]
     pub fn new(limits: Limits) -> Self {
         Self {
@@ -81,7 +81,7 @@
             ready: BTreeSet::new(),
             urgent: BTreeSet::new(),
             ceilings: BTreeSet::new(),
-            peer_ratio: PeerRatio::default(),
+            peer_service: PeerService::default(),
             max_running: 0,
             locations: HashMap::new(),
             running: HashMap::new(),
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Adds a team or changes its share and how many of its offers may wait.
+    /// Adds a team, or changes its share and its limit of waiting offers.
     pub fn set_team(&mut self, team: &str, share: u32, max_waiting: usize) -> TeamIndex {
         let Some(index) = self.team_index(team) else {
             return self.add_team(team, share, max_waiting);
@@ -106,7 +106,7 @@
         index
     }
 
-    /// Changes which part of a team's service may go first as urgent; with 0 its urgent offers count as standard.
+    /// Changes the urgent allowance of a team; with 0 its urgent offers get no precedence over other teams.
     pub fn set_urgent_allowance(&mut self, index: TeamIndex, allowance_ppm: u32) {
         let max_request_units = self.limits.max_request_units;
         self.update_team(index, |team| {
@@ -131,7 +131,7 @@
         &self.team(team).name
     }
 
-    /// Returns the service of a team as this sidecar knows it.
+    /// Returns the service of a team as known to this sidecar.
     ///
     /// # Panics
     ///
@@ -141,13 +141,13 @@
         &self.team(team).account
     }
 
-    /// Returns the number of offers that wait.
+    /// Returns the number of waiting offers.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.locations.len()
     }
 
-    /// Returns the number of a team's offers that wait.
+    /// Returns the number of a team's waiting offers.
     ///
     /// # Panics
     ///
@@ -157,27 +157,27 @@
         self.team(team).waiting
     }
 
-    /// Returns the number of requests whose estimate is charged.
+    /// Returns the number of running requests.
     #[must_use]
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Returns the least effective service among the teams that wait here.
+    /// Returns the least effective service among the teams that are backlogged here.
     #[must_use]
     pub fn floor(&self) -> Option<NormalisedUnits> {
         self.ready.first().map(|(service, _)| *service)
     }
 
-    /// Adds an offer; when the queue is full, another waiting offer may be shed for it.
+    /// Adds an offer; if the queue is full, another waiting offer may be shed in its favour.
     ///
     /// # Errors
     ///
-    /// When the offer can't wait here; the refusal says why and when to come back.
+    /// When the offer is refused; the refusal contains the reason and the retry delay.
     ///
     /// # Panics
     ///
-    /// When the queue's own tables disagree, which is a broken invariant.
+    /// When the queue's internal tables are inconsistent, which is a bug.
     pub fn push(
         &mut self,
         now: Duration,
@@ -193,25 +193,25 @@
         Ok(shed)
     }
 
-    /// Takes a waiting offer back, because its entry withdrew it.
+    /// Removes a waiting offer that its entry has withdrawn.
     ///
     /// # Panics
     ///
-    /// When the queue's own tables disagree, which is a broken invariant.
+    /// When the queue's internal tables are inconsistent, which is a bug.
     pub fn remove(&mut self, offer_id: u64) -> Option<T> {
         let location = self.locations.remove(&offer_id)?;
         let waiting = self.update_team(location.team, |team| {
             team.remove(location.class, location.order_key)
         });
-        let waiting = waiting.expect("a filed offer waits in its team");
+        let waiting = waiting.expect("a located offer waits in its team");
         Some(waiting.payload)
     }
 
-    /// Picks the offer that gets the next slot and charges its estimate.
+    /// Picks the offer for the next slot and charges its estimate.
     ///
     /// # Panics
     ///
-    /// When the queue's own tables disagree, which is a broken invariant.
+    /// When the queue's internal tables are inconsistent, which is a bug.
     pub fn pick(&mut self, now: Duration, slots: FreeSlots) -> Option<Picked<T>> {
         let (index, class) = self.choose(slots)?;
         self.last_floor = self.local_floor();
@@ -236,7 +236,7 @@
         })
     }
 
-    /// Charges the estimate of a request that did not wait here, such as one granted at once.
+    /// Charges the estimate of a request that did not wait here, such as one granted immediately.
     ///
     /// [`Queue::pick`] does this for the offers that it returns.
     ///
@@ -250,7 +250,7 @@
         Ok(index)
     }
 
-    /// Charges units as they are served; they use up the estimate before they add to it.
+    /// Charges units as they are served; they consume the estimate first.
     ///
     /// Returns whether the request is running here.
     pub fn charge(&mut self, offer_id: u64, units: u64) -> bool {
@@ -268,10 +268,10 @@
         true
     }
 
-    /// Ends a request, and corrects its estimate to what it cost.
+    /// Ends a request and replaces its estimate by the actual cost.
     ///
-    /// Units that were charged as served stay charged even if `actual_units` is less, so that sums never fall. With 0 a
-    /// grant that lost its race is taken back. Returns whether the request was running here.
+    /// Units that were charged as served stay charged even if `actual_units` is less, so that sums never decrease. With 0,
+    /// a grant that lost to another sidecar's is cancelled. Returns whether the request was running here.
     pub fn finish(&mut self, offer_id: u64, actual_units: u64) -> bool {
         let Some(running) = self.running.remove(&offer_id) else {
             return false;
@@ -289,7 +289,8 @@
     }
 
     fn add_team(&mut self, name: &str, share: u32, max_waiting: usize) -> TeamIndex {
-        let index = TeamIndex::try_from(self.teams.len()).expect("teams fit 32 bits");
+        let index =
+            TeamIndex::try_from(self.teams.len()).expect("the number of teams fits in 32 bits");
         let mut team = Team::new(name.into(), share, max_waiting);
         team.refresh_allowance(self.limits.max_request_units);
         self.teams.push(team);
@@ -301,21 +302,21 @@
         &self.teams[index as usize]
     }
 
-    /// Changes a team and files it anew under its effective service.
+    /// Changes a team and updates its keys in the ordered sets.
     pub(crate) fn update_team<R>(
         &mut self,
         index: TeamIndex,
         change: impl FnOnce(&mut Team<T>) -> R,
     ) -> R {
-        let ratio = self.peer_ratio.ratio();
+        let ratio = self.peer_service.ratio();
         let team = &mut self.teams[index as usize];
         let ready_before = (team.ready_key, index);
         let ceiling_before = (team.ceiling_key, index);
         let urgent_before = (team.urgent_key, index);
-        let was = (team.waiting > 0, team.may_use_urgent_allowance());
+        let state_before = (team.waiting > 0, team.may_use_urgent_allowance());
         let share_before = u64::from(team.account.share());
         let result = change(team);
-        team.account.set_peers_ratio(ratio);
+        team.account.set_peer_ratio(ratio);
         team.ready_key = team.account.effective();
         team.ceiling_key = team
             .account
@@ -324,8 +325,8 @@
         let ready_after = (team.ready_key, index);
         let urgent_after = (team.urgent_key, index);
         let ceiling_after = (team.ceiling_key, index);
-        let is = (team.waiting > 0, team.may_use_urgent_allowance());
-        if is.0 && !was.0 {
+        let state_after = (team.waiting > 0, team.may_use_urgent_allowance());
+        if state_after.0 && !state_before.0 {
             team.backlog_count += 1;
         }
         if !team.dirty {
@@ -333,26 +334,26 @@
             self.dirty.push(index);
         }
         let share_after = u64::from(team.account.share());
-        if was.0 {
+        if state_before.0 {
             self.backlogged_shares -= share_before;
         }
-        if is.0 {
+        if state_after.0 {
             self.backlogged_shares += share_after;
         }
         replace_key(
             &mut self.ceilings,
-            was.0.then_some(ceiling_before),
-            is.0.then_some(ceiling_after),
+            state_before.0.then_some(ceiling_before),
+            state_after.0.then_some(ceiling_after),
         );
         replace_key(
             &mut self.ready,
-            was.0.then_some(ready_before),
-            is.0.then_some(ready_after),
+            state_before.0.then_some(ready_before),
+            state_after.0.then_some(ready_after),
         );
         replace_key(
             &mut self.urgent,
-            was.1.then_some(urgent_before),
-            is.1.then_some(urgent_after),
+            state_before.1.then_some(urgent_before),
+            state_after.1.then_some(urgent_after),
         );
         result
     }
@@ -445,10 +446,10 @@
         self.locations.insert(offer.offer_id, location);
     }
 
-    /// Returns the service to which a team that was idle here is lifted until the totals tell.
+    /// Returns the service to which a team that was idle here is lifted until totals arrive.
     fn lift_floor(&self, now: Duration, index: TeamIndex) -> Option<Floor> {
         let team = self.team(index);
-        // A team that the fleet's totals list as backlogged was not idle, and what it lacks is owed to it.
+        // A team that the fleet's totals list as backlogged was not idle, so a lift would deprive it of service that it is due.
         let is_listed = team.listed_in_reply == self.reply_count && now < self.listing_expires_at;
         if team.waiting > 0 || is_listed {
             return None;
--- a/crates/fair/src/reply.rs
+++ b/crates/fair/src/reply.rs
@@ -1,4 +1,4 @@
-//! Composes the answer to a report.
+//! Builds the reply to a report.
 
 use std::time::Duration;
 
@@ -11,7 +11,9 @@
 };
 
 impl Totals {
-    /// Returns the least service of the fleet, or below this relay while it can't hear the root.
+    /// Returns the least service among the fleet's backlogged teams.
+    ///
+    /// A relay that gets no replies from the root uses the teams below itself as well.
     fn floor(&self, now: Duration) -> Option<NormalisedUnits> {
         match &self.role {
             Role::Root => self.least_service(&[]).or(self.last_floor),
--- a/crates/fair/src/shed.rs
+++ b/crates/fair/src/shed.rs
@@ -1,11 +1,11 @@
-//! Chooses which team gives up a place when the queue is full.
+//! Chooses the team that loses a waiting offer when the queue is full.
 
 use crate::team::{NormalisedUnits, Team, TeamIndex, normalise};
 
-/// Returns the team that stands furthest above its share of the waiting places, counting a newcomer.
+/// Returns the team that is furthest above its share of the queue, with the new offer of `newcomer` counted.
 ///
-/// Waiting offers divided by the share are compared, not service: a flood is served at its share like every other team,
-/// and what it takes too much of is the queue. Teams that are equal there differ by their service.
+/// Compares waiting offers divided by the share, not service: a team that floods the queue is served at its share like
+/// any other, but occupies too much of the queue. Ties are broken by effective service.
 pub(crate) fn furthest_above_share<'a, T: 'a>(
     teams: impl Iterator<Item = (TeamIndex, &'a Team<T>)>,
     newcomer: TeamIndex,
--- a/crates/fair/src/sums.rs
+++ b/crates/fair/src/sums.rs
@@ -1,4 +1,4 @@
-//! Keeps monotone sums of service per team, and what of them has reached the root.
+//! Monotone per-team sums of service, and the part of them that the root has counted.
 
 use std::collections::BTreeSet;
 
@@ -6,45 +6,47 @@
 
 use crate::team::{NormalisedUnits, TeamIndex};
 
-/// Names one run of a source of sums; sums of different origins add up, sums of one origin replace each other.
+/// One run of a source of sums; sums of different origins are added, and a newer sum of one origin replaces the older.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Origin {
     /// Id of the sidecar or relay.
     pub source: Box<str>,
-    /// Number of the process run; a restarted process takes a higher one.
+    /// Number of the process run, which increases with each restart.
     pub incarnation: u64,
-    /// How often this run has started its sums anew, because the merging process above it changed.
+    /// Number of times that this run has reset its sums because the merging process above it changed.
     pub generation: u32,
 }
 
-/// Names the state that a merging process has built up; sums reported to another epoch are not counted in this one.
+/// Identity of the state that a merging process has accumulated; sums reported to another epoch are not counted in it.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Epoch {
-    /// Run of the root, the control instance that adds up the whole fleet.
+    /// Run of the root, the control instance that merges the sums of the whole fleet.
     pub root: u64,
     /// Run of the merging process itself.
     pub merger: u64,
-    /// How often this run has dropped its records, because the process above it changed.
+    /// Number of times that this run has dropped its records because the process above it changed.
     pub turn: u32,
 }
 
-/// The sums of one team at one origin; only `backlogged` may fall.
+/// The sums of one team at one origin; every field but `backlogged` is monotone.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ServiceSum {
-    /// Service units given.
+    /// Service units delivered.
     pub service_units: u64,
-    /// Service divided by the share in force when it was given.
+    /// Service divided by the share in force when it was delivered.
     pub normalised_units: NormalisedUnits,
-    /// Whether offers of the team wait.
+    /// Whether offers of the team are waiting.
     pub backlogged: bool,
-    /// How often the team became backlogged.
+    /// Number of times that the team became backlogged.
     pub backlog_count: u64,
-    /// Fleet-wide lift as far as it is known.
+    /// Latest known fleet-wide lift.
+    ///
+    /// A lift is added to a team's normalised service when the team returns from idle, so that idle time earns no credit.
     pub lift_units: NormalisedUnits,
 }
 
 impl ServiceSum {
-    /// Returns the sums with each monotone field at the larger value, and the flag of `newer`.
+    /// Returns the field-wise maximum of the monotone fields, with the backlogged flag of `newer`.
     fn raised_to(self, newer: Self) -> Self {
         Self {
             service_units: self.service_units.max(newer.service_units),
@@ -56,31 +58,31 @@
     }
 }
 
-/// A changed sum on its way to a merging process.
+/// A changed sum in a report to a merging process.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TeamSum {
     /// Name of the team.
     pub team: Box<str>,
-    /// Mark of the change; the larger one is newer.
+    /// Mark of the change; a larger mark is newer.
     pub version: u64,
     /// The sums.
     pub sum: ServiceSum,
 }
 
-/// What an origin reports: the sums that changed since the merging process last confirmed.
+/// The sums of an origin that changed since the mark that the merging process last confirmed.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SumsReport {
-    /// Who reports.
+    /// The reporting origin.
     pub origin: Origin,
-    /// State of the merging process that the sums are meant for, once it is known.
+    /// Epoch of the merging process that the sums are meant for, once known.
     pub epoch: Option<Epoch>,
-    /// Mark that the report reaches to.
+    /// Mark up to which the report covers all changes.
     pub mark: u64,
     /// Changed sums.
     pub teams: Vec<TeamSum>,
 }
 
-/// Normalised and plain units that belong together.
+/// An amount of service in plain and in normalised units.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ServiceAmount {
     pub(crate) service_units: u64,
@@ -107,12 +109,12 @@
 struct TeamEntry {
     sum: ServiceSum,
     version: u64,
-    /// What the oldest report that is not yet confirmed by the root carried, and that report's mark.
+    /// Mark and contents of the oldest report that the root has not confirmed yet.
     sent: Option<(u64, ServiceAmount)>,
     rooted: ServiceAmount,
 }
 
-/// The sums of every team at one origin, with marks that tell what has changed.
+/// The sums of every team at one origin, with a mark for each change.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceSums {
     entries: Vec<TeamEntry>,
@@ -136,7 +138,7 @@
             .map_or_else(ServiceSum::default, |entry| entry.sum)
     }
 
-    /// Raises the sums of a team; a field that would fall stays, except for the flag.
+    /// Raises the sums of a team; a field that would decrease keeps its value, except for the backlogged flag.
     pub fn set(&mut self, team: TeamIndex, sum: ServiceSum) {
         let index = team as usize;
         if self.entries.len() <= index {
@@ -154,7 +156,7 @@
         entry.version = self.mark;
     }
 
-    /// Yields the sums that changed after `mark`, with the mark of the change, the oldest change first.
+    /// Yields the sums that changed after `mark`, each with the mark of its change, oldest first.
     pub fn changes_since(
         &self,
         mark: u64,
@@ -163,7 +165,7 @@
         changed.map(|(version, team)| (*team, *version, self.get(*team)))
     }
 
-    /// Notes that a report of everything up to the current mark leaves.
+    /// Records that a report of the changes after `since`, up to the current mark, is sent.
     pub(crate) fn record_sent(&mut self, since: u64) {
         let changed = self.changed.range((since + 1, 0)..);
         for (_, team) in changed {
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Notes that the root counts everything that reports up to `mark` carried.
+    /// Records that the root has counted all reports up to `mark`.
     pub(crate) fn record_rooted(&mut self, mark: u64) {
         let entries = &mut self.entries;
         self.in_flight.retain(|team| {
@@ -192,14 +194,14 @@
         });
     }
 
-    /// Returns what the root is known to count of a team.
+    /// Returns the service of a team that the root is known to have counted.
     pub(crate) fn rooted(&self, team: TeamIndex) -> ServiceAmount {
         self.entries
             .get(team as usize)
             .map_or_else(ServiceAmount::default, |entry| entry.rooted)
     }
 
-    /// Returns what the root is not known to count of a team.
+    /// Returns the service of a team that the root is not known to have counted.
     pub(crate) fn unrooted(&self, team: TeamIndex) -> ServiceAmount {
         ServiceAmount::from_sum(&self.get(team)).minus(self.rooted(team))
     }
--- a/crates/fair/src/totals.rs
+++ b/crates/fair/src/totals.rs
@@ -1,8 +1,8 @@
-//! Merges the sums of many origins, at a relay for one data centre and at the root for the fleet.
+//! Merging of the sums of many origins, at a relay for one data centre and at the root for the fleet.
 //!
-//! A merging process replaces sums of one origin and adds sums of different origins. It keeps each origin's last report, so
-//! a report counts once however often and in whatever order it arrives. What an origin has given stays in the added
-//! sums when its record goes, so a restarted sidecar's service is folded in without a step of its own.
+//! A merging process replaces sums of the same origin and adds sums of different origins. It keeps the last reported sums
+//! of each origin, so a report counts once, no matter how often or in which order it arrives. An origin's service stays in
+//! the combined sums when its record is dropped, so the earlier service of a restarted sidecar needs no extra step.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap, VecDeque},
@@ -16,34 +16,34 @@
     upstream::{EpochChange, TeamTotal, TotalsReply, Upstream},
 };
 
-/// Silence after which an origin's backlogged flags no longer count.
+/// Time without reports after which an origin's backlogged flags no longer count.
 ///
-/// Five reports of one second. A shorter time would drop a team's place for a lost report; a longer one would keep
-/// the floor of a dead sidecar's teams, and lift returning teams too little.
+/// Equals five reports at one per second. A shorter timeout would drop a team's backlogged flag after a lost report. A
+/// longer one would let the teams of a dead sidecar keep the floor down, and lift returning teams too little.
 pub const ORIGIN_SILENCE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Silence after which an origin's record is dropped; its service stays counted.
+/// Time without reports after which an origin's record is dropped; its service stays counted.
 ///
-/// Longer than the minutes for which regions lose each other, so that a rejoin needs no new generation.
+/// It exceeds network partitions between regions, which last for minutes, so that a rejoin needs no new generation.
 pub const ORIGIN_EXPIRY_TIMEOUT: Duration = Duration::from_mins(10);
 
-/// Forgotten origins whose late reports are recognised.
+/// Maximum number of expired origins whose late reports are still recognised.
 ///
-/// At 380 restarts a day this is ten days; a process that is silent for longer has no report under way.
+/// At 380 restarts a day this covers ten days; a process that was silent for longer has no report in flight.
 pub const MAX_TOMBSTONES: usize = 4096;
 
-/// What is known of a team beside the sums added here.
+/// The state of a team besides its combined sums.
 #[derive(Clone, Debug)]
 pub(crate) struct TeamState {
     pub(crate) name: Box<str>,
     pub(crate) remote: NormalisedUnits,
     /// Whether the process above lists the team as backlogged.
     pub(crate) listed_as_backlogged: bool,
-    /// Live origins at which the team is backlogged.
+    /// Number of live origins at which the team is backlogged.
     backlogged_origins: u32,
 }
 
-/// Whether a merging process is the top of the tree.
+/// Position of a merging process in the tree.
 #[derive(Clone, Debug)]
 pub(crate) enum Role {
     Root,
@@ -55,7 +55,7 @@
     },
 }
 
-/// The sums of all origins below a merging process.
+/// The sums of all origins below a merging process, combined per team.
 #[derive(Clone, Debug)]
 pub struct Totals {
     pub(crate) role: Role,
@@ -73,7 +73,7 @@
 }
 
 impl Totals {
-    /// Returns the empty state of a root; each term of leadership needs a `root` number of its own.
+    /// Returns the empty state of a root; each leadership term needs a unique `root` number.
     #[must_use]
     pub fn new_root(root: u64) -> Self {
         let epoch = Epoch {
@@ -84,7 +84,7 @@
         Self::new(Role::Root, Some(epoch))
     }
 
-    /// Returns the empty state of a relay; it confirms nothing before it has heard from the root.
+    /// Returns the empty state of a relay, which confirms nothing before its first reply from the root.
     #[must_use]
     pub fn new_relay(source: &str, incarnation: u64) -> Self {
         let role = Role::Relay {
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Merges a report and returns the reply, or nothing while a relay doesn't know its root.
+    /// Merges a report and returns the reply, or `None` while a relay doesn't know its root.
     pub fn merge(&mut self, now: Duration, report: &SumsReport) -> Option<TotalsReply> {
         let epoch = self.epoch?;
         if report.epoch != Some(epoch) {
@@ -142,7 +142,7 @@
         Some(self.reply(now, epoch, &report.origin))
     }
 
-    /// Ends the flags of silent origins and forgets those that stay silent.
+    /// Clears the backlogged flags of silent origins and drops the records of expired ones.
     pub fn expire(&mut self, now: Duration) {
         let mut expired = Vec::new();
         let mut silent = Vec::new();
@@ -164,9 +164,9 @@
         }
     }
 
-    /// Returns a relay's own report to the root: the sums of its origins, added up per team.
+    /// Returns a relay's own report to the root: the sums of its origins, combined per team.
     ///
-    /// The root itself reports to nobody.
+    /// Returns `None` for the root itself.
     pub fn report(&mut self) -> Option<SumsReport> {
         let Role::Relay {
             source,
@@ -194,9 +194,9 @@
         Some(report)
     }
 
-    /// Takes in the root's reply to a relay's report.
+    /// Applies the root's reply to a relay's report.
     ///
-    /// The caller drops a reply to another incarnation of this relay.
+    /// The caller must drop replies to another incarnation of this relay.
     pub fn apply_totals(&mut self, now: Duration, reply: &TotalsReply) {
         let Role::Relay {
             incarnation,
@@ -228,14 +228,14 @@
         }
     }
 
-    /// Returns the normalised service of a team with its lift, as far as it is known here.
+    /// Returns the normalised service of a team including its lift, as known here.
     #[must_use]
     pub fn normalised(&self, team: &str) -> Option<NormalisedUnits> {
         let index = self.team_indexes.get(team)?;
         Some(self.service(*index))
     }
 
-    /// Returns the service units that the origins below have given to a team since this state was opened.
+    /// Returns the service units that the origins below have delivered to a team since this state was created.
     #[must_use]
     pub fn service_units(&self, team: &str) -> Option<u64> {
         let index = self.team_indexes.get(team)?;
@@ -250,7 +250,7 @@
             .map(move |team| (name(*team), self.service(*team)))
     }
 
-    /// Returns the number of origins on record, live, silent and forgotten.
+    /// Returns the number of live, silent and expired origins that are remembered.
     #[must_use]
     pub fn origin_count(&self) -> usize {
         self.origins.len() + self.tombstones.len()
@@ -268,7 +268,8 @@
         if let Some(index) = self.team_indexes.get(name) {
             return *index;
         }
-        let index = TeamIndex::try_from(self.teams.len()).expect("teams fit 32 bits");
+        let index =
+            TeamIndex::try_from(self.teams.len()).expect("the number of teams fits in 32 bits");
         self.team_indexes.insert(name.into(), index);
         self.teams.push(TeamState {
             name: name.into(),
@@ -279,15 +280,15 @@
         index
     }
 
-    /// Merges the sums of a report and returns the teams that are back from idle.
+    /// Merges the sums of a report and returns the teams that returned from idle.
     fn merge_sums(&mut self, now: Duration, report: &SumsReport) -> Vec<TeamIndex> {
         let source = &*report.origin.source;
         let mut record = self
             .origins
             .remove(source)
-            .expect("the record was added above");
-        // The flags of a silent origin come back as they were: its teams were backlogged all the time, and what the fleet
-        // owes them must not be lifted away. Only a rise of the flag means that a team was idle.
+            .expect("the origin has a record");
+        // The flags of a silent origin are restored: its teams were backlogged all the time, and a lift would deprive them
+        // of service that they are due. Only a newly set flag means that a team was idle.
         let was_silent = !record.live;
         if was_silent {
             record.live = true;
@@ -309,7 +310,7 @@
         returning
     }
 
-    /// Merges one sum and returns whether the team is back from idle.
+    /// Merges one sum and returns whether the team returned from idle.
     fn merge_sum(
         &mut self,
         record: &mut OriginRecord,
@@ -327,9 +328,10 @@
         combined.service_units += new.service_units.saturating_sub(known.service_units);
         combined.normalised_units += new.normalised_units.saturating_sub(known.normalised_units);
         combined.lift_units = combined.lift_units.max(new.lift_units);
-        let elsewhere = self.teams[team as usize].backlogged_origins - u32::from(known.backlogged);
+        let other_origins =
+            self.teams[team as usize].backlogged_origins - u32::from(known.backlogged);
         let became_backlogged = new.backlogged && !known.backlogged;
-        // A team that was idle for a moment between two reports is as good as backlogged, but not during a long silence.
+        // A team that was idle briefly between two reports counts as backlogged throughout, but not after a long silence.
         let idled_while_silent =
             was_silent && new.backlogged && new.backlog_count > known.backlog_count;
         if became_backlogged {
@@ -338,8 +340,8 @@
         if known.backlogged && !new.backlogged {
             self.clear_backlogged(team);
         }
-        // A rise counts for the process above too, unless the team was waiting elsewhere below this one.
-        let is_returning = elsewhere == 0 && (became_backlogged || idled_while_silent);
+        // The team also becomes backlogged for the process above, unless it was waiting at another origin below this one.
+        let is_returning = other_origins == 0 && (became_backlogged || idled_while_silent);
         combined.backlog_count += u64::from(is_returning);
         combined.backlogged = self.teams[team as usize].backlogged_origins > 0;
         self.combined.set(team, combined);
@@ -368,10 +370,10 @@
         self.combined.set(team, ServiceSum { backlogged, ..sum });
     }
 
-    /// Raises teams that are back from idle to the least served of the others: idle time earns no credit.
+    /// Lifts teams that returned from idle to the least served of the others, so that idle time earns no credit.
     ///
-    /// Only the root lifts. It alone sees every backlogged team, and one place that lifts makes the value the same for
-    /// every sidecar.
+    /// Only the root does this: it alone sees every backlogged team, and a single source makes the lift the same for every
+    /// sidecar.
     fn lift_returning(&mut self, returning: &[TeamIndex]) {
         if !matches!(self.role, Role::Root) {
             return;
@@ -449,11 +451,11 @@
         self.combined.set(index, ServiceSum { lift_units, ..sum });
     }
 
-    /// Drops all records, because the process above changed; the origins report again what the root doesn't count.
+    /// Drops all records after the process above changed; the origins report again what the root hasn't counted.
     fn start_turn(&mut self, new_root: bool) {
         self.turn += 1;
         for index in 0..self.teams.len() {
-            let team = TeamIndex::try_from(index).expect("teams fit 32 bits");
+            let team = TeamIndex::try_from(index).expect("the number of teams fits in 32 bits");
             let rooted = self.combined.rooted(team).normalised_units;
             let state = &mut self.teams[index];
             state.remote = if new_root { 0 } else { state.remote + rooted };
--- a/crates/fair/src/upstream.rs
+++ b/crates/fair/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Follows the merging process above a sidecar or relay: its epoch, its confirmations, and its replies' order.
+//! A receiver's view of the merging process above it: its epoch, its confirmations, and the order of its replies.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,58 +7,58 @@
     team::NormalisedUnits,
 };
 
-/// The total of one team, as a merging process returns it to one origin.
+/// The total of one team in a merging process's reply to one origin.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TeamTotal {
     /// Name of the team.
     pub team: Box<str>,
-    /// Normalised service that the whole fleet gave, without lifts.
+    /// Normalised service that the whole fleet delivered, without lifts.
     pub normalised_units: NormalisedUnits,
-    /// The part of it that the receiver itself reported.
+    /// The part of `normalised_units` that the receiver itself reported.
     pub yours_units: NormalisedUnits,
     /// Fleet-wide lift.
     pub lift_units: NormalisedUnits,
-    /// Whether the root has seen the team backlogged, so that the lift is final.
+    /// Whether the root has seen the team as backlogged, which makes the lift final.
     pub settled: bool,
 }
 
-/// What a merging process answers to a report.
+/// A merging process's reply to a report.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TotalsReply {
     /// Incarnation of the report's origin.
     pub incarnation: u64,
     /// Generation of the report's origin.
     pub generation: u32,
-    /// State that the merging process holds; reports must name it to be counted.
+    /// Current epoch of the merging process, which a report must name to be counted.
     pub epoch: Epoch,
-    /// Whether the origin must start its sums anew, because its record was forgotten.
+    /// Whether the origin must reset its sums because its record has expired.
     pub restart: bool,
-    /// Mark up to which the origin's sums are merged here.
+    /// Mark up to which this process has merged the origin's sums.
     pub mark: u64,
-    /// Mark up to which the origin's sums are counted at the root.
+    /// Mark up to which the root has counted the origin's sums.
     pub rooted_mark: u64,
-    /// Least normalised service among the backlogged teams of the fleet, or the last one known.
+    /// Least normalised service among the fleet's backlogged teams, or the last known one.
     pub floor_units: Option<NormalisedUnits>,
-    /// How often long unheard origins came back, here and above.
+    /// Number of times that an origin returned after a long silence, here and above.
     pub rejoin_count: u64,
     /// Totals of the teams that the origin reports as backlogged.
     pub teams: Vec<TeamTotal>,
 }
 
-/// What a reply means for the sums of its receiver.
+/// The effect of a reply's epoch on the sums of its receiver.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum EpochChange {
-    /// It answers an older generation and says nothing.
+    /// The reply answers an older generation and is ignored.
     Stale,
-    /// The sums go on.
+    /// The epoch is the same and the sums continue.
     Unchanged,
-    /// The sums start anew; the root still counts what it confirmed.
+    /// The sums are reset; the root still counts what it has confirmed.
     MergerChanged,
-    /// The sums start anew; the root counts nothing yet.
+    /// The sums are reset; the new root has not counted anything yet.
     RootChanged,
 }
 
-/// State about the merging process above.
+/// The latest known state of the merging process above.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Upstream {
     pub(crate) generation: u32,
@@ -69,12 +69,12 @@
 }
 
 impl Upstream {
-    /// Returns the mark after which sums are reported.
+    /// Returns the confirmed mark, after which changes are reported.
     pub(crate) fn mark(&self) -> u64 {
         self.mark
     }
 
-    /// Returns a report of the given changes.
+    /// Returns a report with the given changes.
     pub(crate) fn report(
         &self,
         source: &str,
@@ -95,9 +95,9 @@
         }
     }
 
-    /// Takes in the head of a reply.
+    /// Applies the epoch and the mark of a reply.
     pub(crate) fn update_epoch(&mut self, reply: &TotalsReply) -> EpochChange {
-        // A reply to an older generation may come from a process that is gone; going back to its epoch would make this
+        // A reply to an older generation may come from a process that is gone. Returning to its epoch would make this
         // origin report the same service to two processes in turn.
         if reply.generation != self.generation {
             return EpochChange::Stale;
@@ -118,10 +118,10 @@
         EpochChange::RootChanged
     }
 
-    /// Takes in the least service of the fleet and returns whether long unheard origins have come back.
+    /// Applies the fleet's floor and returns whether origins have returned after a long silence.
     pub(crate) fn update_floor(&mut self, reply: &TotalsReply) -> bool {
         let rejoined = reply.rejoin_count > self.rejoin_count;
-        // The floor falls only when teams rejoin that were served less elsewhere; any other lower value is an older one.
+        // The floor falls only when origins rejoin whose teams were served less; any other lower value is outdated.
         self.floor = if rejoined {
             reply.floor_units
         } else {
--- a/crates/fair/tests/common/mod.rs
+++ b/crates/fair/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Builds the queues and offers that several tests use.
+//! Queues and offers for the tests.
 
 use std::time::Duration;
 
--- a/crates/fair/tests/expected_service.rs
+++ b/crates/fair/tests/expected_service.rs
@@ -1,4 +1,4 @@
-//! Checks what a sidecar expects of the others between two totals.
+//! Tests of the service that a sidecar expects from its peers between two totals.
 
 mod common;
 
@@ -10,7 +10,7 @@
 
 const NOW: Duration = Duration::from_secs(1);
 const SIDECARS: usize = 10;
-/// Largest request; a sidecar runs one at a time, so this is how far an expectation may put a team back.
+/// Size of the largest request, and the limit of a delay by expected service, as a sidecar runs one request at a time.
 const MAX_REQUEST_UNITS: u64 = 100;
 
 struct Fleet {
@@ -20,7 +20,7 @@
 }
 
 impl Fleet {
-    /// Ten sidecars at which two teams wait, that have served each of them alike.
+    /// Returns ten sidecars at which two teams wait and have been served equally.
     fn after_even_service() -> Self {
         let sidecar = || common::queue(99, MAX_REQUEST_UNITS, &[("a", 1, 99), ("b", 1, 99)]);
         let mut fleet = Self {
@@ -61,7 +61,7 @@
         assert!(queue.finish(offer.offer_id, units));
     }
 
-    /// Reports twice, so that all know of all.
+    /// Exchanges reports and totals twice, so that every sidecar knows the service of all.
     fn exchange(&mut self) {
         for _ in 0..2 {
             for (name, queue) in self.sidecars.iter_mut().enumerate() {
@@ -85,16 +85,16 @@
 }
 
 cases! {
-    a_sidecar_expects_the_others_to_do_as_it_does => {
+    a_sidecar_expects_peers_to_serve_like_itself => {
         let mut fleet = Fleet::after_even_service();
         fleet.serve(0, "a", 10);
         let expected = fleet.account(0, "a").expected_remote() / SCALE;
-        // Half of nine others; what they gave before the last of the exchanges reached them makes it a little less or more.
+        // Half of nine peers; the service they delivered before the last exchange reached them shifts it a little.
         assert!((40..=55).contains(&expected), "{expected} units");
         assert_eq!(fleet.account(0, "b").expected_remote(), 0);
     }
 
-    totals_that_hold_the_service_end_the_expectation => {
+    totals_replace_expected_service => {
         let mut fleet = Fleet::after_even_service();
         fleet.serve(0, "a", 10);
         fleet.exchange();
@@ -104,20 +104,20 @@
         assert_eq!(fleet.account(0, "a").effective(), counted);
     }
 
-    what_is_expected_is_never_reported => {
+    expected_service_is_never_reported => {
         let mut fleet = Fleet::after_even_service();
         fleet.serve(0, "a", 10);
         assert_eq!(fleet.account(0, "a").own(), 210 * SCALE);
-        // A team lifted to what is expected of the others reports no service either.
+        // A team that is lifted to the expected service of the others reports no service either.
         let lifted = fleet.account(0, "b").normalised();
         fleet.push(0, "b");
         assert_eq!(fleet.account(0, "b").normalised(), lifted);
         fleet.exchange();
-        let given = (SIDECARS as u64 * 200 + 10) * SCALE;
-        assert_eq!(fleet.root.normalised("a"), Some(given));
+        let delivered = (SIDECARS as u64 * 200 + 10) * SCALE;
+        assert_eq!(fleet.root.normalised("a"), Some(delivered));
     }
 
-    a_lift_to_what_is_expected_is_no_service => {
+    a_lift_to_expected_service_is_not_counted => {
         let mut fleet = Fleet::after_even_service();
         let queue = &mut fleet.sidecars[0];
         queue.set_team("c", 1, 99);
@@ -129,20 +129,20 @@
         assert_eq!(c.counted(), a.counted());
     }
 
-    an_expectation_puts_a_team_back_by_its_own_slots_at_most => {
+    expected_service_delays_a_team_by_its_own_slots_at_most => {
         let mut fleet = Fleet::after_even_service();
-        // The others gave b 200 units that a lacks, and then this sidecar hears nothing more and serves a only.
+        // The peers served b 200 units more than a. Then this sidecar receives no more totals and serves only a.
         for sidecar in 1..3 {
             fleet.serve(sidecar, "b", 100);
         }
         fleet.exchange();
         fleet.serve(0, "a", 90);
         let [a, b] = ["a", "b"].map(|team| fleet.account(0, team).effective());
-        assert!(a > b, "what is expected puts a behind");
-        assert_eq!(fleet.pick_team(0), "a", "a lacks more than a largest request");
+        assert!(a > b, "expected service puts a behind b");
+        assert_eq!(fleet.pick_team(0), "a", "a is behind b by more than the largest request");
     }
 
-    within_that_the_expectation_decides => {
+    expected_service_decides_within_the_limit => {
         let mut fleet = Fleet::after_even_service();
         fleet.serve(1, "b", 50);
         fleet.exchange();
@@ -150,7 +150,7 @@
         assert_eq!(fleet.pick_team(0), "b");
     }
 
-    a_sidecar_that_starts_expects_nothing => {
+    a_new_sidecar_expects_no_remote_service => {
         let mut fleet = Fleet::after_even_service();
         fleet.sidecars[0] = common::queue(99, MAX_REQUEST_UNITS, &[("a", 1, 99), ("b", 1, 99)]);
         fleet.push(0, "a");
--- a/crates/fair/tests/fleet.rs
+++ b/crates/fair/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Runs sidecars, relays and a root in virtual time, with faults, and compares the gap with its bound.
+//! Simulation of sidecars, relays and a root with faults in virtual time, which compares the service gap with its bound.
 
 mod common;
 
@@ -22,18 +22,19 @@
 ];
 const SIDECARS: usize = 4;
 const SLOTS: usize = 2;
-const MAX_REQUEST: u64 = 40;
-/// Ticks between two reports, and how long a message travels at most.
-const REPORT_EVERY: u64 = 10;
-const MAX_DELAY: u64 = 5;
-/// Losses in a row on one link, so that the staleness has a bound.
-const MAX_LOSSES: u32 = 2;
+const MAX_REQUEST_UNITS: u64 = 40;
+/// Ticks between two reports.
+const REPORT_INTERVAL_TICKS: u64 = 10;
+/// Maximum delay of a message, in ticks.
+const MAX_DELAY_TICKS: u64 = 5;
+/// Maximum number of consecutive losses on one link, which bounds the staleness.
+const MAX_CONSECUTIVE_LOSSES: u32 = 2;
 /// Ticks after which a team's offers move to other sidecars.
-const RESAMPLE_EVERY: u64 = 50;
-const RUN: u64 = 9_000;
-const PARTITION: std::ops::Range<u64> = 2_000..3_500;
+const RESAMPLE_INTERVAL_TICKS: u64 = 50;
+const RUN_TICKS: u64 = 9_000;
+const PARTITION_TICKS: std::ops::Range<u64> = 2_000..3_500;
 
-/// What goes wrong in a run.
+/// A kind of fault in a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     Loss,
@@ -44,7 +45,7 @@
 
 use Fault::{Loss, Partition, RelayRestart, SidecarRestart};
 
-/// A link that delays, repeats, reorders and loses messages.
+/// A link that delays, duplicates, reorders and loses messages.
 struct Link<M> {
     messages: Vec<(u64, M)>,
     losses: u32,
@@ -59,13 +60,13 @@
     }
 
     fn send(&mut self, rng: &mut SmallRng, tick: u64, lossy: bool, message: M) {
-        let lost = lossy && self.losses < MAX_LOSSES && rng.random_ratio(1, 4);
+        let lost = lossy && self.losses < MAX_CONSECUTIVE_LOSSES && rng.random_ratio(1, 4);
         self.losses = if lost { self.losses + 1 } else { 0 };
         if lost {
             return;
         }
         for _ in 0..if lossy { rng.random_range(1..=2) } else { 1 } {
-            let arrives_at = tick + rng.random_range(1..=MAX_DELAY);
+            let arrives_at = tick + rng.random_range(1..=MAX_DELAY_TICKS);
             self.messages.push((arrives_at, message.clone()));
         }
     }
@@ -78,11 +79,11 @@
     }
 }
 
-/// A sidecar's queue or a relay's totals, with the links to the process above.
+/// A sidecar or relay, with the links to the process above.
 struct Node<S> {
     state: S,
     incarnation: u64,
-    /// Offer, team and units that are left, for each busy slot.
+    /// Offer id, team and remaining units for each busy slot.
     running: Vec<(u64, usize, u64)>,
     up: Link<SumsReport>,
     down: Link<TotalsReply>,
@@ -110,14 +111,14 @@
     root: Totals,
     next_id: u64,
     served: [u64; TEAMS.len()],
-    /// Units that the fleet's sums miss or count twice, at most.
+    /// Maximum number of units that the fleet's sums miss or count twice.
     miscounted: u64,
-    /// The sidecars at which each team has an offer, and the offer's id.
+    /// The sidecars at which each team has an offer, with the offer's id.
     offered: [[(usize, u64); 2]; TEAMS.len()],
 }
 
 fn sidecar(incarnation: u64) -> Node<Queue<u64>> {
-    Node::new(queue(99, MAX_REQUEST, &TEAMS), incarnation)
+    Node::new(queue(99, MAX_REQUEST_UNITS, &TEAMS), incarnation)
 }
 
 impl Fleet {
@@ -146,7 +147,7 @@
     }
 
     fn is_partitioned(&self) -> bool {
-        self.has(Partition) && PARTITION.contains(&self.tick)
+        self.has(Partition) && PARTITION_TICKS.contains(&self.tick)
     }
 
     fn advance_tick(&mut self) {
@@ -157,10 +158,10 @@
         self.exchange();
     }
 
-    /// Keeps offers of each team at two sidecars; team 0 is never seen by the others.
+    /// Keeps offers of each team at two sidecars; those of team 0 never move to other sidecars.
     fn resample_offers(&mut self) {
         for team in 0..TEAMS.len() {
-            if self.tick % RESAMPLE_EVERY == 1 {
+            if self.tick % RESAMPLE_INTERVAL_TICKS == 1 {
                 for (sidecar, offer_id) in self.offered[team] {
                     self.sidecars[sidecar].state.remove(offer_id);
                 }
@@ -185,10 +186,10 @@
         }
         self.next_id += 1;
         *offer_id = self.next_id;
-        let cost = self.rng.random_range(1..=MAX_REQUEST);
-        // Hints are rough: off by up to a half either way.
-        let hint = (cost * self.rng.random_range(50..=150) / 100).clamp(1, MAX_REQUEST);
-        let offer = offer(*offer_id, name, Class::Standard, hint, FAR_DEADLINE);
+        let cost = self.rng.random_range(1..=MAX_REQUEST_UNITS);
+        // Estimates are off by up to a half either way.
+        let estimate = (cost * self.rng.random_range(50..=150) / 100).clamp(1, MAX_REQUEST_UNITS);
+        let offer = offer(*offer_id, name, Class::Standard, estimate, FAR_DEADLINE);
         assert_eq!(queue.push(now, &offer, cost), Ok(None));
     }
 
@@ -203,12 +204,15 @@
                 let slot = (picked.offer_id, team, picked.payload);
                 sidecar.running.push(slot);
             }
-            for (offer_id, team, rest) in &mut sidecar.running {
-                *rest -= 1;
+            for (offer_id, team, remaining) in &mut sidecar.running {
+                *remaining -= 1;
                 self.served[*team] += 1;
                 assert!(sidecar.state.charge(*offer_id, 1));
             }
-            for (offer_id, _, _) in sidecar.running.extract_if(.., |(_, _, rest)| *rest == 0) {
+            for (offer_id, _, _) in sidecar
+                .running
+                .extract_if(.., |(_, _, remaining)| *remaining == 0)
+            {
                 assert!(sidecar.state.finish(offer_id, 0));
             }
         }
@@ -220,7 +224,7 @@
             let index = self.rng.random_range(0..SIDECARS);
             let incarnation = self.sidecars[index].incarnation + 1;
             self.sidecars[index] = sidecar(incarnation);
-            // What was given since the last report that arrived is lost.
+            // The service since the last report that arrived is lost.
             self.miscounted += staleness * SLOTS as u64;
         }
         if self.has(RelayRestart) && self.tick % 2_300 == 1_200 {
@@ -228,7 +232,7 @@
             let incarnation = self.relays[index].incarnation + 1;
             let totals = Totals::new_relay(&index.to_string(), incarnation);
             self.relays[index] = Node::new(totals, incarnation);
-            // What was forwarded but not yet confirmed to the sidecars is counted twice.
+            // Service that was forwarded but not yet confirmed to the sidecars is counted twice.
             self.miscounted += staleness * (SIDECARS * SLOTS / 2) as u64;
         }
     }
@@ -237,7 +241,7 @@
         let (now, tick, lossy, cut) =
             (self.now(), self.tick, self.has(Loss), self.is_partitioned());
         let (rng, root) = (&mut self.rng, &mut self.root);
-        let reports = tick.is_multiple_of(REPORT_EVERY);
+        let reports = tick.is_multiple_of(REPORT_INTERVAL_TICKS);
         root.expire(now);
         for (index, relay) in self.relays.iter_mut().enumerate() {
             let passes = !(cut && index == 1);
@@ -281,23 +285,26 @@
         FairnessBound {
             pool_slots: (SIDECARS * SLOTS) as u64,
             sidecar_slots: SLOTS as u64,
-            max_request_units: MAX_REQUEST,
+            max_request_units: MAX_REQUEST_UNITS,
             units_per_s: (SIDECARS * SLOTS) as u64 * 100,
             staleness: ticks(staleness_ticks(self.has(Loss))),
-            visibility: ticks(RESAMPLE_EVERY),
+            visibility: ticks(RESAMPLE_INTERVAL_TICKS),
             miscounted_units: self.miscounted,
             urgent_allowance_ppm: 0,
         }
     }
 
-    /// Returns the largest part of its bound that a gap between two teams takes, in percent.
+    /// Returns the largest gap between two teams, in percent of its bound.
     fn worst_percent(&self) -> u64 {
         let bound = self.bound();
-        let length = PARTITION.end.min(self.tick).saturating_sub(PARTITION.start);
-        // By the end of a run nothing of the partition may be left.
-        let counts = self.has(Partition) && self.tick < RUN;
-        let length = ticks(if counts { length } else { 0 });
-        let since = ticks(self.tick.saturating_sub(PARTITION.end));
+        let length = PARTITION_TICKS
+            .end
+            .min(self.tick)
+            .saturating_sub(PARTITION_TICKS.start);
+        // By the end of a run, the effect of the partition must be gone.
+        let partition_counts = self.has(Partition) && self.tick < RUN_TICKS;
+        let length = ticks(if partition_counts { length } else { 0 });
+        let since = ticks(self.tick.saturating_sub(PARTITION_TICKS.end));
         let shares: u32 = TEAMS.iter().map(|team| team.1).sum();
         let percent = |i: usize, j: usize| {
             let lead = self.service(i).saturating_sub(self.service(j));
@@ -316,24 +323,25 @@
     TICK * u32::try_from(count).expect("a run is short")
 }
 
-/// Two hops up and two down, each after the losses in a row that a link allows.
+/// Returns the time of two hops up and two down, each after the maximum number of consecutive losses.
 fn staleness_ticks(lossy: bool) -> u64 {
-    let losses = if lossy { MAX_LOSSES } else { 0 };
-    4 * (u64::from(losses + 1) * REPORT_EVERY + MAX_DELAY)
+    let losses = if lossy { MAX_CONSECUTIVE_LOSSES } else { 0 };
+    4 * (u64::from(losses + 1) * REPORT_INTERVAL_TICKS + MAX_DELAY_TICKS)
 }
 
-/// Runs the fleet and returns the largest part of the bound that was used, in percent.
+/// Runs the fleet and returns the largest gap seen, in percent of its bound.
 fn run(seed: u64, faults: &[Fault]) -> u64 {
     let mut fleet = Fleet::new(seed, faults);
     let mut worst = 0;
     let mut window = fleet.served;
-    for tick in 1..=RUN {
+    for tick in 1..=RUN_TICKS {
         fleet.advance_tick();
         worst = worst.max(fleet.worst_percent());
-        // The least share is a seventh of 4,000 units; a forgiven team keeps half, and half of that is granularity.
+        // The smallest share is a seventh of 4,000 units. A team with a forgiven lead keeps half of it, and half of that is
+        // allowed for granularity.
         if tick.is_multiple_of(500) {
-            let given = fleet.served.iter().zip(window);
-            let least = given.map(|(after, before)| after - before).min();
+            let served = fleet.served.iter().zip(window);
+            let least = served.map(|(after, before)| after - before).min();
             assert!(least >= Some(4_000 / 7 / 4), "{least:?} units by {tick}");
             window = fleet.served;
         }
@@ -362,11 +370,11 @@
     assert!(worst <= percent, "{worst}% of the bound");
 }
 
-// The bound is worst-case, so these limits lie nearer to what was measured, to show a gap that widens.
+// The bound is a worst case, so these limits are tighter, to detect a gap that widens.
 cases! {
     stays_within:
-    calm => (&[], 30),
+    no_faults => (&[], 30),
     lossy => (&[Loss], 20),
     partitioned => (&[Partition], 60),
-    everything => (&[Loss, SidecarRestart, RelayRestart, Partition], 15),
+    all_faults => (&[Loss, SidecarRestart, RelayRestart, Partition], 15),
 }
--- a/crates/fair/tests/queue.rs
+++ b/crates/fair/tests/queue.rs
@@ -1,4 +1,4 @@
-//! Checks whom the queue picks, refuses and sheds.
+//! Tests of which offers the queue picks, refuses, sheds and expires.
 
 mod common;
 
@@ -14,7 +14,7 @@
     Duration::from_millis(millis)
 }
 
-/// A queue with its clock and the next offer id.
+/// A queue with a clock and a counter of offer ids.
 struct TestQueue {
     queue: Queue<()>,
     now: Duration,
@@ -54,14 +54,14 @@
         self.queue.pick(self.now, slots)
     }
 
-    /// Serves one request in full and returns its team.
+    /// Picks and finishes one request, and returns its team.
     fn serve(&mut self, slots: FreeSlots) -> Option<String> {
         let picked = self.pick(slots)?;
         assert!(self.queue.finish(picked.offer_id, REQUEST_UNITS));
         Some(self.queue.team_name(picked.team).to_owned())
     }
 
-    /// Serves `count` requests and returns how many of them were the team's.
+    /// Serves `count` requests and returns the number of them that were the team's.
     fn count_served(&mut self, team: &str, count: usize) -> usize {
         let names = (0..count).filter_map(|_| self.serve(ONE_FREE_SLOT));
         names.filter(|name| name == team).count()
@@ -91,7 +91,7 @@
         fixture.fill("flood", Class::Standard, 900);
         assert_eq!(fixture.count_served("flood", 500), 500);
         fixture.fill("small", Class::Standard, 2);
-        // Lifted to the floor, its first turn comes within one request of the flood, and the next after 50.
+        // The small team is lifted to the floor: it has its first turn within one request of the flood, and the next 50 later.
         assert_eq!(fixture.count_served("small", 2), 1);
         assert_eq!(fixture.count_served("small", 52), 1);
     }
@@ -104,7 +104,7 @@
         assert_eq!(fixture.count_served("idle", 100), 50);
     }
 
-    a_streamed_unit_costs_what_a_unit_at_the_end_costs => {
+    streamed_and_final_charges_cost_the_same => {
         let mut fixture = TestQueue::new(9, &[("streamed", 7, 9), ("whole", 7, 9)]);
         for team in ["streamed", "whole"] {
             let offer = fixture.offer(team, Class::Standard, FAR_DEADLINE);
@@ -138,18 +138,18 @@
         assert_eq!(fixture.push("new", Class::Standard), Ok(Some("flood".into())));
         assert_eq!(fixture.push("flood", Class::Standard), Err(Reason::QueueFull));
         assert_eq!(fixture.queue.waiting(), 10);
-        // The newest offer went, so the flood's first one is still waiting.
+        // The flood's newest offer was shed, and its first one still waits.
         assert_eq!((fixture.queue.remove(10), fixture.queue.remove(8)), (None, Some(())));
     }
 
-    a_team_has_a_bound_of_its_own => {
+    each_team_has_its_own_queue_limit => {
         let mut fixture = TestQueue::new(100, &[("team", 1, 2)]);
         fixture.fill("team", Class::Standard, 2);
         assert_eq!(fixture.push("team", Class::Standard), Err(Reason::TeamFull));
         assert_eq!(fixture.push("stranger", Class::Standard), Err(Reason::UnknownTeam));
     }
 
-    only_urgent_offers_use_the_headroom => {
+    only_urgent_offers_use_reserved_slots => {
         let mut fixture = TestQueue::new(100, &[("a", 1, 9), ("b", 1, 9)]);
         fixture.fill("a", Class::Batch, 1);
         assert_eq!(fixture.pick(one_free_slot(1)), None);
@@ -161,10 +161,10 @@
         let mut fixture = TestQueue::new(1000, &[("urgent", 1, 300), ("batch", 1, 300)]);
         fixture.fill("urgent", Class::Urgent, 300);
         fixture.fill("batch", Class::Batch, 300);
-        // A fifth of the window, and the request that reaches beyond it.
+        // A fifth of the window, and the request that exceeds it.
         let ahead = usize::try_from(URGENT_WINDOW_REQUESTS / 5).expect("small") + 1;
-        let from_headroom = (0..300).map_while(|_| fixture.serve(one_free_slot(1))).count();
-        assert_eq!(from_headroom, ahead);
+        let from_reserved = (0..300).map_while(|_| fixture.serve(one_free_slot(1))).count();
+        assert_eq!(from_reserved, ahead);
         let served = fixture.count_served("urgent", 200);
         assert!(served.abs_diff(100) <= 1, "the urgent team got {served} of 200");
     }
@@ -176,17 +176,17 @@
             for (team, class) in [("urgent", Class::Urgent), ("default", Class::Urgent), ("batch", Class::Batch)] {
                 fixture.fill(team, class, 300);
             }
-            let from_headroom = (0..300).map_while(|_| fixture.serve(one_free_slot(1))).collect::<Vec<_>>();
-            let of = |team: &str| from_headroom.iter().filter(|name| *name == team).count();
+            let from_reserved = (0..300).map_while(|_| fixture.serve(one_free_slot(1))).collect::<Vec<_>>();
+            let of = |team: &str| from_reserved.iter().filter(|name| *name == team).count();
             assert_eq!((of("urgent"), of("default"), of("batch")), (ahead, 5, 0));
-            // A greater allowance gives no greater rate: the teams draw level, and have their shares from then on.
+            // A larger allowance gives no higher rate: the teams become level and are then served by their shares.
             fixture.count_served("batch", 60);
             let served = fixture.count_served("urgent", 90);
             assert!(served.abs_diff(30) <= 1, "the urgent team got {served} of 90");
         }
     }
 
-    an_allowance_that_falls_counts_at_once => {
+    a_lower_allowance_takes_effect_immediately => {
         let mut fixture = TestQueue::new(1000, &[("urgent", 1, 300), ("batch", 1, 300)]);
         fixture.fill("urgent", Class::Urgent, 9);
         fixture.fill("batch", Class::Batch, 9);
@@ -205,12 +205,12 @@
         assert!(batch >= 4, "batch work had {batch} of 40 turns");
     }
 
-    a_deadline_that_cannot_be_met_is_refused_at_once => {
+    an_unmeetable_deadline_is_refused_immediately => {
         let mut fixture = TestQueue::new(1000, &[("team", 1, 300), ("other", 1, 300)]);
         fixture.fill("team", Class::Standard, 20);
         fixture.fill("other", Class::Standard, 20);
         assert_eq!(fixture.count_served("team", 20), 10);
-        // Ten offers wait in front, at two picks of 10 ms each.
+        // Ten offers wait ahead, and each takes two picks of 10 ms.
         let soon = fixture.offer("team", Class::Standard, FAR_DEADLINE + ms(1));
         let too_soon = Offer { deadline: fixture.now + ms(150), class: Class::Batch, ..soon.clone() };
         let refusal = fixture.queue.push(fixture.now, &too_soon, ()).expect_err("it can't start in time");
@@ -220,7 +220,7 @@
         assert_eq!(fixture.queue.push(fixture.now, &soon, ()), Ok(None));
     }
 
-    waiting_offers_expire_when_their_turn_comes_too_late => {
+    waiting_offers_expire_when_they_would_start_too_late => {
         let mut fixture = TestQueue::new(1000, &[("team", 1, 300)]);
         for _ in 0..10 {
             let batch = fixture.offer("team", Class::Batch, ms(600));
@@ -228,7 +228,7 @@
         }
         fixture.fill("team", Class::Standard, 100);
         assert_eq!(fixture.count_served("team", 10), 10);
-        // One batch offer had its turn. The others have one in nine picks at 10 ms each: five start by 600 ms.
+        // One batch offer has been served. The others get one in nine picks of 10 ms each: five start by 600 ms.
         let expired = fixture.queue.expire(fixture.now);
         let ids: Vec<u64> = expired.iter().map(|expired| expired.offer_id).collect();
         assert_eq!(ids, [7, 8, 9, 10]);
