--- a/crates/fair/src/offer.rs
+++ b/crates/fair/src/offer.rs
@@ -77,7 +77,7 @@
     pub estimated_units: u64,
     /// Latest useful start.
     pub deadline: Duration,
-    /// How long the offer waited here.
+    /// Time that the offer waited here.
     pub waited: Duration,
     /// Value that the caller stored with the offer.
     pub payload: T,
--- a/crates/fair/src/queue.rs
+++ b/crates/fair/src/queue.rs
@@ -242,7 +242,7 @@
     ///
     /// # Errors
     ///
-    /// When the team is unknown, or the id waits or runs already.
+    /// When the team is unknown, or an offer with this id already waits or runs.
     pub fn start(&mut self, offer: &Offer) -> Result<TeamIndex, Refusal> {
         let index = self.check_team_and_id(offer)?;
         self.update_team(index, |team| team.account.reserve(offer.estimated_units));
--- a/crates/fair/src/sums.rs
+++ b/crates/fair/src/sums.rs
@@ -65,7 +65,7 @@
     pub team: Box<str>,
     /// Mark of the change; a larger mark is newer.
     pub version: u64,
-    /// The sums.
+    /// Current sums of the team.
     pub sum: ServiceSum,
 }
 
