--- a/crates/bench/benches/decisions.rs
+++ b/crates/bench/benches/decisions.rs
@@ -295,25 +295,25 @@
             beta: 0.5,
         },
         Method::Learnt(Rules {
-            kv_permille: 900,
-            kv_part_permille: 1000,
+            kv_quantile_permille: 900,
+            kv_reserve_permille: 1000,
             ..rules
         }),
         Method::Learnt(Rules {
-            kv_part_permille: 1000,
+            kv_reserve_permille: 1000,
             ..rules
         }),
         Method::Learnt(Rules {
-            kv_part_permille: 750,
+            kv_reserve_permille: 750,
             ..rules
         }),
         Method::Learnt(rules),
         Method::Learnt(Rules {
-            kv_permille: 900,
+            kv_quantile_permille: 900,
             ..rules
         }),
         Method::Learnt(Rules {
-            service_permille: 700,
+            service_quantile_permille: 700,
             ..rules
         }),
     ];
@@ -340,12 +340,14 @@
         Method::Learnt(rules) => {
             let Rules {
                 grouping,
-                service_permille,
-                kv_permille,
-                kv_part_permille,
+                service_quantile_permille,
+                kv_quantile_permille,
+                kv_reserve_permille,
                 ..
             } = rules;
-            format!("{grouping:?} {service_permille} {kv_permille} {kv_part_permille}")
+            format!(
+                "{grouping:?} {service_quantile_permille} {kv_quantile_permille} {kv_reserve_permille}"
+            )
         }
         other => format!("{} {kv_part_permille}", other.name()),
     };
--- a/crates/bench/src/candidates.rs
+++ b/crates/bench/src/candidates.rs
@@ -72,7 +72,7 @@
             Method::Oracle | Method::Hint => State::Fixed,
             Method::PoolMean => State::Mean(256.0),
             Method::LastActual | Method::Successive { .. } => State::Groups(HashMap::new()),
-            Method::Learnt(rules) => State::Learnt(Estimator::open(rules)),
+            Method::Learnt(rules) => State::Learnt(Estimator::new(rules)),
         };
         Self {
             method,
@@ -83,7 +83,7 @@
 
     /// Returns the estimate of a request; the true cost is for the oracle alone.
     pub(crate) fn estimate(&self, features: &Features<'_>, generated: u64) -> Estimate {
-        let hint = features.hint.unwrap_or(256);
+        let hint = features.hinted_tokens.unwrap_or(256);
         let tokens = match &self.state {
             State::Learnt(estimator) => return estimator.estimate(features),
             State::Fixed if self.method == Method::Oracle => generated,
@@ -102,7 +102,7 @@
 
     pub(crate) fn learn(&mut self, features: &Features<'_>, actual_units: u64) {
         let generated = to_f64(actual_units.saturating_sub(features.prompt_tokens / 10));
-        let hint = to_f64(features.hint.unwrap_or(256));
+        let hint = to_f64(features.hinted_tokens.unwrap_or(256));
         match (&mut self.state, self.method) {
             (State::Mean(mean), _) => *mean += (generated - *mean) / MEAN_OF,
             (State::Groups(groups), Method::Successive { alpha, beta }) => {
--- a/crates/bench/src/entry.rs
+++ b/crates/bench/src/entry.rs
@@ -4,7 +4,7 @@
 
 use hinge_estimate::{Estimate, Features};
 use hinge_fair::Class;
-use hinge_placement::{ChooseRules, Chooser, HealthRules, Load, choose::Plan};
+use hinge_placement::{AttemptOffers, HealthRules, Load, SelectionRules, SidecarSelector};
 use smallvec::SmallVec;
 
 use crate::{
@@ -47,7 +47,7 @@
     pub(crate) entry: usize,
     pub(crate) open: SmallVec<[usize; 12]>,
     pub(crate) estimate: Estimate,
-    plan: Option<Plan>,
+    plan: Option<AttemptOffers>,
     rounds: u32,
     /// Latest start that keeps the promise to urgent requests.
     start_by: Option<Duration>,
@@ -77,22 +77,22 @@
 #[derive(Debug)]
 pub(crate) struct Entry {
     pub(crate) is_dead: bool,
-    chooser: Chooser,
+    chooser: SidecarSelector,
     loads: Vec<u64>,
     candidate: Candidate,
 }
 
 impl Entry {
     pub(crate) fn open(setup: &Setup, id: usize) -> Self {
-        let rules = ChooseRules {
+        let rules = SelectionRules {
             first_offers: setup.tuning.first_offers,
             widen_after: setup.tuning.widen_after,
             max_open: setup.tuning.max_open,
             max_rotate_after: setup.tuning.max_rotate_after,
             max_urgent_rotate_after: setup.tuning.max_urgent_rotate_after,
-            ..ChooseRules::default()
+            ..SelectionRules::default()
         };
-        let mut chooser = Chooser::open(rules, HealthRules::default(), id as u64);
+        let mut chooser = SidecarSelector::new(rules, HealthRules::default(), id as u64);
         let sidecars: Vec<u64> = (0..setup.shape.workers() as u64).collect();
         chooser.set_members(&sidecars, setup.shape.entries(), Duration::ZERO);
         Self {
@@ -111,7 +111,7 @@
         model: "",
         prompt_tokens: job.prompt_tokens,
         max_tokens: job.max_tokens,
-        hint: Some(job.hint),
+        hinted_tokens: Some(job.hint),
     }
 }
 
@@ -178,7 +178,7 @@
             return self.route(request);
         }
         let is_urgent = self.jobs[request].class == Class::Urgent;
-        let plan = Plan::open(None, &[], &mut self.rng).urgent(is_urgent);
+        let plan = AttemptOffers::new(None, &[], &mut self.rng).with_urgency(is_urgent);
         self.requests[request].plan = Some(plan);
         self.requests[request].rounds = 0;
         self.next_round(request);
@@ -279,7 +279,7 @@
             self.withdraw(from, gate, request);
             let plan = self.requests[request].plan.as_mut();
             let plan = plan.expect("an offered request has a plan");
-            plan.withdrawn(gate as u64);
+            plan.record_withdrawal(gate as u64);
         }
         if let Some(wait) = wait {
             self.after(wait, Event::Widen { request, round });
@@ -299,7 +299,7 @@
         }
         one.open.retain(|open| *open != gate);
         if let Some(plan) = &mut one.plan {
-            plan.refused(gate as u64);
+            plan.record_refusal(gate as u64);
         }
         if one.open.is_empty() {
             self.next_round(request);
@@ -323,7 +323,7 @@
         self.requests[request].state = State::Bound { gate, endpoint };
         self.entries[self.requests[request].entry]
             .chooser
-            .note_bound(gate as u64);
+            .record_assignment(gate as u64);
         let bind = Event::Bind {
             gate,
             request,
@@ -446,7 +446,7 @@
         for entry in &mut self.entries {
             for (endpoint, load) in loads.iter().enumerate() {
                 entry.loads[endpoint] = u64::from(load.running) + u64::from(load.waiting);
-                entry.chooser.saw_load(endpoint as u64, *load, self.now);
+                entry.chooser.record_load(endpoint as u64, *load, self.now);
             }
         }
     }
--- a/crates/bench/src/setup.rs
+++ b/crates/bench/src/setup.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use hinge_estimate::Rules;
-use hinge_placement::ChooseRules;
+use hinge_placement::SelectionRules;
 
 use crate::{candidates::Method, faults::Fault, workload::Shape};
 
@@ -77,7 +77,7 @@
 
 impl Default for Tuning {
     fn default() -> Self {
-        let rules = ChooseRules::default();
+        let rules = SelectionRules::default();
         Self {
             first_offers: rules.first_offers,
             widen_after: rules.widen_after,
--- a/crates/entry/src/choose.rs
+++ b/crates/entry/src/choose.rs
@@ -8,7 +8,7 @@
 use hinge_config::effective::Limits;
 use hinge_member::MemberList;
 use hinge_outcome::{Outcome, Reason, SidecarId, sidecar_id};
-use hinge_placement::{ChooseRules, Chooser, HealthRules, Plan, Sample};
+use hinge_placement::{AttemptOffers, HealthRules, Sample, SelectionRules, SidecarSelector};
 use hinge_schema::messages::{Member as Process, Role};
 use smallvec::SmallVec;
 
@@ -71,8 +71,8 @@
 
 #[derive(Debug)]
 struct Inner {
-    chooser: Chooser,
-    rules: (ChooseRules, HealthRules),
+    chooser: SidecarSelector,
+    rules: (SelectionRules, HealthRules),
     /// Epoch and version of the member list that the choice is made from.
     seen: Option<(u64, u64)>,
     processes: HashMap<SidecarId, Arc<Process>>,
@@ -100,9 +100,9 @@
 
 impl PoolChoice {
     fn open(entry: u64) -> Self {
-        let rules = (ChooseRules::default(), HealthRules::default());
+        let rules = (SelectionRules::default(), HealthRules::default());
         let inner = Inner {
-            chooser: Chooser::open(rules.0, rules.1, entry),
+            chooser: SidecarSelector::new(rules.0, rules.1, entry),
             rules,
             seen: None,
             processes: HashMap::new(),
@@ -123,7 +123,7 @@
         }
         if inner.rules != rules {
             // Rules stand for the life of a chooser. A change of them is rare, and forgets who was ejected.
-            inner.chooser = Chooser::open(rules.0, rules.1, self.entry);
+            inner.chooser = SidecarSelector::new(rules.0, rules.1, self.entry);
             inner.rules = rules;
         }
         let staying = members.pool(pool).iter().filter(|sidecar| !sidecar.leaving);
@@ -138,7 +138,7 @@
     }
 
     /// Returns the next round of a plan, or `None` when no offer is open and every sidecar has refused.
-    pub fn next_round(&self, plan: &mut Plan, now: Duration) -> Option<Round> {
+    pub fn next_round(&self, plan: &mut AttemptOffers, now: Duration) -> Option<Round> {
         let inner = self.lock();
         let round = inner.chooser.next_round(plan, now, &mut rand::rng())?;
         let target = |id: &SidecarId| {
@@ -154,7 +154,7 @@
 
     /// Counts a request that was bound to a sidecar.
     pub fn note_bound(&self, sidecar: SidecarId) {
-        self.lock().chooser.note_bound(sidecar);
+        self.lock().chooser.record_assignment(sidecar);
     }
 
     /// Takes a sample of a sidecar, and returns whether it is ejected by it.
@@ -180,7 +180,9 @@
     /// Takes the result of a probe.
     pub fn probed(&self, sidecar: SidecarId, is_ok: bool, now: Duration) {
         let mut inner = self.lock();
-        inner.chooser.probed(sidecar, is_ok, now, &mut rand::rng());
+        inner
+            .chooser
+            .record_probe(sidecar, is_ok, now, &mut rand::rng());
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
@@ -188,15 +190,15 @@
     }
 }
 
-fn rules(limits: &Limits) -> (ChooseRules, HealthRules) {
+fn rules(limits: &Limits) -> (SelectionRules, HealthRules) {
     let widen_after = Duration::from_millis(limits.widen_after_ms);
     let max_open = limits.max_open_offers.max(limits.offers_per_request);
-    let choose = ChooseRules {
+    let choose = SelectionRules {
         first_offers: usize::try_from(limits.offers_per_request).unwrap_or(1),
         max_open: usize::try_from(max_open).unwrap_or(1),
         widen_after,
         max_widen_after: widen_after.saturating_mul(MAX_WIDENING),
-        ..ChooseRules::default()
+        ..SelectionRules::default()
     };
     let health = HealthRules {
         max_reduced_permille: limits.max_ejected / PPM_PER_PERMILLE,
@@ -209,7 +211,7 @@
 #[must_use]
 pub fn sample_of(outcome: Outcome) -> Option<Sample> {
     match outcome.reason()? {
-        Reason::EndpointTimeout => Some(Sample::Hung),
+        Reason::EndpointTimeout => Some(Sample::TimedOut),
         Reason::EndpointRefused
         | Reason::EndpointFailed
         | Reason::SidecarLost
--- a/crates/entry/src/estimates.rs
+++ b/crates/entry/src/estimates.rs
@@ -64,7 +64,7 @@
         if learnt.weights != (pool.kind, pool.weights.clone()) {
             *learnt = Learnt::open(pool);
         }
-        let is_known = learnt.estimator.knows(&features);
+        let is_known = learnt.estimator.has_samples(&features);
         let estimate = learnt.estimator.estimate(&features);
         drop(pools);
         let hinted = asked.hint_units.filter(|_| !is_known);
@@ -101,8 +101,8 @@
         let rules = Rules {
             prompt_units_permille: weights.prompt * PERMILLE,
             generated_units_permille: weights.generated * PERMILLE,
-            default_tokens: match pool.kind {
-                PoolKind::Model => Rules::default().default_tokens,
+            default_generated_tokens: match pool.kind {
+                PoolKind::Model => Rules::default().default_generated_tokens,
                 // Nothing is known of a plain call but that it takes a while; the sidecar charges what it took.
                 PoolKind::Service => 1,
             },
@@ -110,7 +110,7 @@
         };
         Self {
             weights: (pool.kind, pool.weights.clone()),
-            estimator: Estimator::open(rules),
+            estimator: Estimator::new(rules),
         }
     }
 
@@ -146,7 +146,7 @@
 
 fn features(asked: &CostFeatures, weights: UnitWeights) -> Features<'_> {
     let prompt_units = asked.prompt_tokens.saturating_mul(weights.prompt);
-    let hint = asked
+    let hinted_tokens = asked
         .hint_units
         .map(|units| units.saturating_sub(prompt_units) / weights.generated.max(1));
     Features {
@@ -159,6 +159,6 @@
         model: &asked.model,
         prompt_tokens: asked.prompt_tokens,
         max_tokens: asked.max_tokens,
-        hint,
+        hinted_tokens,
     }
 }
--- a/crates/entry/src/offers.rs
+++ b/crates/entry/src/offers.rs
@@ -7,7 +7,7 @@
 use futures::stream::FuturesUnordered;
 use futures::{FutureExt, StreamExt};
 use hinge_outcome::{Attempt, Event, Holder, Outcome, Reason, SidecarId, Step};
-use hinge_placement::{Plan, Sample};
+use hinge_placement::{AttemptOffers, Sample};
 use hinge_schema::messages::{
     FromSidecar, Granted, NotRunReason, Offer, Refused, ToSidecar, UrgencyClass,
 };
@@ -109,7 +109,7 @@
 struct Race<'a> {
     job: &'a Job,
     request_id: u64,
-    plan: Plan,
+    plan: AttemptOffers,
     open: FuturesUnordered<BoxFuture<'static, OfferEnd>>,
     /// Withdraws the offer that is open at a sidecar.
     withdrawals: SmallVec<[(SidecarId, Arc<Notify>); 4]>,
@@ -124,8 +124,8 @@
         let prefix = job.estimate.prefix_hash;
         let prefix = (prefix != 0).then_some(prefix);
         Self {
-            plan: Plan::open(prefix, &job.avoid, &mut rand::rng())
-                .urgent(job.class == UrgencyClass::Urgent),
+            plan: AttemptOffers::new(prefix, &job.avoid, &mut rand::rng())
+                .with_urgency(job.class == UrgencyClass::Urgent),
             job,
             request_id,
             open: FuturesUnordered::new(),
@@ -230,8 +230,8 @@
         };
         self.withdrawals.retain(|(id, _)| *id != sidecar);
         match ended {
-            OfferEnd::Granted(_) | OfferEnd::Withdrawn(_) => self.plan.withdrawn(sidecar),
-            OfferEnd::Refused(..) | OfferEnd::Lost(_) => self.plan.refused(sidecar),
+            OfferEnd::Granted(_) | OfferEnd::Withdrawn(_) => self.plan.record_withdrawal(sidecar),
+            OfferEnd::Refused(..) | OfferEnd::Lost(_) => self.plan.record_refusal(sidecar),
         }
     }
 
--- a/crates/estimate/src/estimator.rs
+++ b/crates/estimate/src/estimator.rs
@@ -7,7 +7,7 @@
 
 use hinge_fair::Class;
 
-use crate::group::Group;
+use crate::histogram::TokenHistogram;
 
 /// Groups that one team holds: twice what the bench's teams send; the one added first goes first.
 pub const MAX_TEAM_GROUPS: usize = 16;
@@ -16,7 +16,7 @@
 pub const MAX_TEAMS: usize = 2048;
 
 /// Most memory of one team's groups, in bytes, beside its name and its place in the tables.
-pub const TEAM_BYTES: usize = MAX_TEAM_GROUPS * size_of::<(u64, Group)>();
+pub const MAX_TEAM_BYTES: usize = MAX_TEAM_GROUPS * size_of::<(u64, TokenHistogram)>();
 
 /// What is known of a request before it runs.
 #[derive(Clone, Copy, Debug)]
@@ -32,7 +32,7 @@
     /// Most tokens that the caller lets the model generate; 0 when it does not say.
     pub max_tokens: u64,
     /// Tokens that the caller expects to be generated.
-    pub hint: Option<u64>,
+    pub hinted_tokens: Option<u64>,
 }
 
 /// What a request is expected to cost.
@@ -59,11 +59,11 @@
     /// Which requests count as similar.
     pub grouping: Grouping,
     /// Part of a group's requests, in thousandths, that cost no more than the service estimate.
-    pub service_permille: u16,
+    pub service_quantile_permille: u16,
     /// Part of a group's requests, in thousandths, that generate no more than the KV estimate.
-    pub kv_permille: u16,
+    pub kv_quantile_permille: u16,
     /// Part of that, in thousandths, that is set aside: runs are at different stages, so that few are at their end.
-    pub kv_part_permille: u16,
+    pub kv_reserve_permille: u16,
     /// Answers that a group must have seen before it is believed.
     pub min_weight: u16,
     /// Service units of a thousand prompt tokens.
@@ -71,7 +71,7 @@
     /// Service units of a thousand generated tokens.
     pub generated_units_permille: u64,
     /// Generated tokens that are expected when nothing is known.
-    pub default_tokens: u64,
+    pub default_generated_tokens: u64,
 }
 
 impl Default for Rules {
@@ -79,13 +79,13 @@
     fn default() -> Self {
         Self {
             grouping: Grouping::Similar,
-            service_permille: 500,
-            kv_permille: 500,
-            kv_part_permille: 500,
+            service_quantile_permille: 500,
+            kv_quantile_permille: 500,
+            kv_reserve_permille: 500,
             min_weight: 4,
             prompt_units_permille: 100,
             generated_units_permille: 1000,
-            default_tokens: 256,
+            default_generated_tokens: 256,
         }
     }
 }
@@ -94,14 +94,14 @@
 #[derive(Debug)]
 pub struct Estimator {
     rules: Rules,
-    teams: HashMap<Box<str>, VecDeque<(u64, Group)>>,
+    teams: HashMap<Box<str>, VecDeque<(u64, TokenHistogram)>>,
     order: VecDeque<Box<str>>,
 }
 
 impl Estimator {
     /// Opens an estimator that has learnt nothing.
     #[must_use]
-    pub fn open(rules: Rules) -> Self {
+    pub fn new(rules: Rules) -> Self {
         Self {
             rules,
             teams: HashMap::new(),
@@ -111,9 +111,9 @@
 
     /// Returns whether enough similar requests have ended for their costs to count.
     #[must_use]
-    pub fn knows(&self, features: &Features<'_>) -> bool {
+    pub fn has_samples(&self, features: &Features<'_>) -> bool {
         let group = self.group(features);
-        let median = group.and_then(|group| group.quantile(self.rules.service_permille));
+        let median = group.and_then(|group| group.quantile(self.rules.service_quantile_permille));
         median.is_some()
     }
 
@@ -122,14 +122,14 @@
     pub fn estimate(&self, features: &Features<'_>) -> Estimate {
         let group = self.group(features);
         let known = |permille| group.and_then(|group| group.quantile(permille));
-        let expected = known(self.rules.service_permille);
+        let expected = known(self.rules.service_quantile_permille);
         let expected = expected.unwrap_or_else(|| self.unlearnt(features));
-        let most = known(self.rules.kv_permille).unwrap_or(expected);
+        let most = known(self.rules.kv_quantile_permille).unwrap_or(expected);
         let capped = |tokens: u64| match features.max_tokens {
             0 => tokens,
             max => tokens.min(max),
         };
-        let part = u64::from(self.rules.kv_part_permille);
+        let part = u64::from(self.rules.kv_reserve_permille);
         Estimate {
             service_units: self.units(features.prompt_tokens, capped(expected)),
             kv_tokens: features.prompt_tokens + capped(most) * part / 1000,
@@ -150,18 +150,18 @@
         if groups.len() == MAX_TEAM_GROUPS {
             groups.pop_front();
         }
-        let mut group = Group::default();
+        let mut group = TokenHistogram::default();
         group.learn(generated);
         groups.push_back((key, group));
     }
 
     /// Returns the number of groups that are held for all teams.
     #[must_use]
-    pub fn groups(&self) -> usize {
+    pub fn group_count(&self) -> usize {
         self.teams.values().map(VecDeque::len).sum()
     }
 
-    fn team_mut(&mut self, team: &str) -> &mut VecDeque<(u64, Group)> {
+    fn team_mut(&mut self, team: &str) -> &mut VecDeque<(u64, TokenHistogram)> {
         if !self.teams.contains_key(team) {
             if self.teams.len() == MAX_TEAMS {
                 let oldest = self.order.pop_front();
@@ -173,7 +173,7 @@
         self.teams.entry(team.into()).or_default()
     }
 
-    fn group(&self, features: &Features<'_>) -> Option<&Group> {
+    fn group(&self, features: &Features<'_>) -> Option<&TokenHistogram> {
         let key = self.key(features);
         let groups = self.teams.get(features.team)?;
         let (_, group) = groups.iter().find(|(held, _)| *held == key)?;
@@ -182,7 +182,9 @@
 
     /// Returns the generated tokens to expect of a group that is not known yet.
     fn unlearnt(&self, features: &Features<'_>) -> u64 {
-        features.hint.unwrap_or(self.rules.default_tokens)
+        features
+            .hinted_tokens
+            .unwrap_or(self.rules.default_generated_tokens)
     }
 
     fn units(&self, prompt_tokens: u64, generated_tokens: u64) -> u64 {
--- a/crates/estimate/src/group.rs
+++ b/crates/estimate/src/histogram.rs
@@ -10,13 +10,13 @@
 
 /// The costs of one group of similar requests, in a histogram of half doublings.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Group {
+pub struct TokenHistogram {
     counts: [u16; CELLS],
     total: u16,
     last_tokens: u32,
 }
 
-impl Group {
+impl TokenHistogram {
     /// Counts a cost, in tokens.
     pub fn learn(&mut self, tokens: u64) {
         self.counts[cell(tokens)] += 1;
--- a/crates/estimate/src/lib.rs
+++ b/crates/estimate/src/lib.rs
@@ -5,9 +5,9 @@
 //! `docs/design/cost-estimate.md`.
 
 mod estimator;
-mod group;
+mod histogram;
 
 pub use crate::estimator::{
-    Estimate, Estimator, Features, Grouping, MAX_TEAM_GROUPS, MAX_TEAMS, Rules, TEAM_BYTES,
+    Estimate, Estimator, Features, Grouping, MAX_TEAM_BYTES, MAX_TEAM_GROUPS, MAX_TEAMS, Rules,
 };
-pub use crate::group::Group;
+pub use crate::histogram::TokenHistogram;
--- a/crates/estimate/tests/estimator.rs
+++ b/crates/estimate/tests/estimator.rs
@@ -2,7 +2,8 @@
 
 use hinge_cases::cases;
 use hinge_estimate::{
-    Estimate, Estimator, Features, Group, MAX_TEAM_GROUPS, MAX_TEAMS, Rules, TEAM_BYTES,
+    Estimate, Estimator, Features, MAX_TEAM_BYTES, MAX_TEAM_GROUPS, MAX_TEAMS, Rules,
+    TokenHistogram,
 };
 use hinge_fair::Class;
 use quickcheck::quickcheck;
@@ -14,13 +15,13 @@
         model: "forecast",
         prompt_tokens: 1000,
         max_tokens: 4096,
-        hint: Some(50),
+        hinted_tokens: Some(50),
     }
 }
 
 /// Returns an estimator that has learnt answers of these lengths to `request("a")`.
 fn learnt(lengths: &[u64]) -> Estimator {
-    let mut estimator = Estimator::open(Rules::default());
+    let mut estimator = Estimator::new(Rules::default());
     for length in lengths {
         estimator.learn(&request("a"), 100 + length);
     }
@@ -39,7 +40,7 @@
     }
 
     without_a_hint_the_default_counts => {
-        let features = Features { hint: None, ..request("a") };
+        let features = Features { hinted_tokens: None, ..request("a") };
         assert_eq!(learnt(&[]).estimate(&features).service_units, 356);
     }
 
@@ -79,9 +80,9 @@
         for max_tokens in 1..100 {
             estimator.learn(&ask(max_tokens), 500);
         }
-        assert_eq!(estimator.groups(), 1 + MAX_TEAM_GROUPS);
+        assert_eq!(estimator.group_count(), 1 + MAX_TEAM_GROUPS);
         assert!(is_near(estimator.estimate(&request("a")).service_units - 100, 800));
-        assert_eq!(TEAM_BYTES, 1280);
+        assert_eq!(MAX_TEAM_BYTES, 1280);
     }
 
     teams_are_bounded => {
@@ -89,7 +90,7 @@
         for team in 0..MAX_TEAMS {
             estimator.learn(&request(&team.to_string()), 500);
         }
-        assert_eq!(estimator.groups(), MAX_TEAMS);
+        assert_eq!(estimator.group_count(), MAX_TEAMS);
         assert_eq!(estimator.estimate(&request("a")).service_units, 150);
     }
 }
@@ -113,7 +114,7 @@
 
 #[expect(clippy::needless_pass_by_value, reason = "quickcheck passes values")]
 fn a_quantile_is_near_an_answer(lengths: Vec<u16>, permille: u16) -> bool {
-    let mut group = Group::default();
+    let mut group = TokenHistogram::default();
     // Fewer than are halved, so that all of them count.
     let lengths: Vec<u64> = lengths
         .iter()
--- a/crates/placement/benches/choose.rs
+++ b/crates/placement/benches/choose.rs
@@ -3,29 +3,31 @@
 use std::{hint::black_box, time::Duration};
 
 use criterion::{Criterion, criterion_group, criterion_main};
-use hinge_placement::{ChooseRules, Chooser, HealthRules, Load, Plan, SidecarId, hash::mix};
+use hinge_placement::{
+    AttemptOffers, HealthRules, Load, SelectionRules, SidecarId, SidecarSelector, hash::mix,
+};
 use rand::{SeedableRng, rngs::SmallRng};
 
 const SIDECARS: u64 = 200;
 const ENTRIES: usize = 300;
 
-fn pool() -> Chooser {
+fn pool() -> SidecarSelector {
     let sidecars: Vec<SidecarId> = (0..SIDECARS).map(|index| mix(7, index)).collect();
-    let mut chooser = Chooser::open(ChooseRules::default(), HealthRules::default(), 42);
-    chooser.set_members(&sidecars, ENTRIES, Duration::ZERO);
+    let mut selector = SidecarSelector::new(SelectionRules::default(), HealthRules::default(), 42);
+    selector.set_members(&sidecars, ENTRIES, Duration::ZERO);
     for (id, running) in sidecars.iter().zip((0..8).cycle()) {
         let load = Load {
             slots: 8,
             running,
             waiting: 0,
         };
-        chooser.saw_load(*id, load, Duration::ZERO);
+        selector.record_load(*id, load, Duration::ZERO);
     }
-    chooser
+    selector
 }
 
 fn choose(c: &mut Criterion) {
-    let chooser = pool();
+    let selector = pool();
     let now = Duration::from_millis(500);
     let mut rng = SmallRng::seed_from_u64(1);
     for (name, prefix) in [
@@ -34,16 +36,16 @@
     ] {
         c.bench_function(name, |b| {
             b.iter(|| {
-                let mut plan = Plan::open(black_box(prefix), &[], &mut rng);
-                chooser.next_round(&mut plan, now, &mut rng)
+                let mut attempt = AttemptOffers::new(black_box(prefix), &[], &mut rng);
+                selector.next_round(&mut attempt, now, &mut rng)
             });
         });
     }
     c.bench_function("all_rounds", |b| {
         b.iter(|| {
-            let mut plan = Plan::open(black_box(Some(99)), &[], &mut rng);
+            let mut attempt = AttemptOffers::new(black_box(Some(99)), &[], &mut rng);
             let mut count = 0;
-            while let Some(round) = chooser.next_round(&mut plan, now, &mut rng) {
+            while let Some(round) = selector.next_round(&mut attempt, now, &mut rng) {
                 count += round.sidecars.len();
             }
             count
--- a/crates/placement/src/health.rs
+++ b/crates/placement/src/health.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Share of an endpoint that gets all the offers it would get by itself, in thousandths.
-pub const FULL_SHARE: u32 = 1000;
+pub const FULL_SHARE_PERMILLE: u32 = 1000;
 
 /// Sets when an endpoint is ejected and how it comes back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -34,7 +34,8 @@
     /// Share at the start of that time, in thousandths.
     pub ramp_start_permille: u32,
     /// Time at full share after which former ejections no longer count.
-    pub forgive_after: Duration,
+    #[serde(rename = "forgive_after")]
+    pub reset_backoff_after: Duration,
 }
 
 impl Default for HealthRules {
@@ -56,7 +57,7 @@
             probes_needed: 2,
             ramp: Duration::from_secs(30),
             ramp_start_permille: 50,
-            forgive_after: Duration::from_mins(5),
+            reset_backoff_after: Duration::from_mins(5),
         }
     }
 }
@@ -72,7 +73,7 @@
     /// The endpoint, or the way to it, failed.
     Failed,
     /// The endpoint was silent beyond the limit.
-    Hung,
+    TimedOut,
 }
 
 /// Says how an endpoint stands.
@@ -92,7 +93,7 @@
 
 /// Judges one endpoint.
 #[derive(Debug, Clone)]
-pub struct Health {
+pub struct EndpointHealth {
     standing: Standing,
     failures_in_row: u32,
     samples: u32,
@@ -104,10 +105,10 @@
 /// Weight of a new sample in the running means is one in this many; about the last dozen samples count.
 const MEAN_WEIGHT: u32 = 8;
 
-impl Health {
+impl EndpointHealth {
     /// Opens the record of an endpoint at full share.
     #[must_use]
-    pub fn open(now: Duration) -> Self {
+    pub fn new(now: Duration) -> Self {
         Self {
             standing: Standing::Admitted { since: now },
             failures_in_row: 0,
@@ -122,7 +123,7 @@
     #[must_use]
     pub fn share_permille(&self, rules: &HealthRules, now: Duration) -> u32 {
         match self.standing {
-            Standing::Admitted { .. } => FULL_SHARE,
+            Standing::Admitted { .. } => FULL_SHARE_PERMILLE,
             Standing::Ejected { .. } => 0,
             Standing::Ramping { since } => ramp_share(rules, now.saturating_sub(since)),
         }
@@ -153,9 +154,10 @@
                 self.failure_permille -= self.failure_permille.div_ceil(MEAN_WEIGHT);
                 self.wait_us = mean(self.wait_us, wait_us, self.samples);
             }
-            Sample::Failed | Sample::Hung => {
+            Sample::Failed | Sample::TimedOut => {
                 self.failures_in_row = self.failures_in_row.saturating_add(1);
-                self.failure_permille += (FULL_SHARE - self.failure_permille) / MEAN_WEIGHT;
+                self.failure_permille +=
+                    (FULL_SHARE_PERMILLE - self.failure_permille) / MEAN_WEIGHT;
             }
         }
     }
@@ -172,7 +174,7 @@
     /// Ejects the endpoint until a probe, at a time drawn from the upper half of its doubling wait.
     pub fn eject(&mut self, rules: &HealthRules, now: Duration, rng: &mut impl Rng) {
         let is_forgiven = match self.standing {
-            Standing::Admitted { since } => now.saturating_sub(since) >= rules.forgive_after,
+            Standing::Admitted { since } => now.saturating_sub(since) >= rules.reset_backoff_after,
             Standing::Ejected { .. } | Standing::Ramping { .. } => false,
         };
         if is_forgiven {
@@ -204,7 +206,13 @@
     }
 
     /// Takes the result of a probe.
-    pub fn probed(&mut self, is_ok: bool, rules: &HealthRules, now: Duration, rng: &mut impl Rng) {
+    pub fn record_probe(
+        &mut self,
+        is_ok: bool,
+        rules: &HealthRules,
+        now: Duration,
+        rng: &mut impl Rng,
+    ) {
         let Standing::Ejected { probes_passed, .. } = self.standing else {
             return;
         };
@@ -255,18 +263,18 @@
 /// that fails has no use for slots, so no fraction of the pool is kept up here; the sidecar refuses with a proven
 /// "not run".
 #[derive(Debug)]
-pub struct SelfHealth {
+pub struct LocalEndpointHealth {
     rules: HealthRules,
-    health: Health,
+    health: EndpointHealth,
 }
 
-impl SelfHealth {
+impl LocalEndpointHealth {
     /// Opens the record of an endpoint at full share.
     #[must_use]
-    pub fn open(rules: HealthRules, now: Duration) -> Self {
+    pub fn new(rules: HealthRules, now: Duration) -> Self {
         Self {
             rules,
-            health: Health::open(now),
+            health: EndpointHealth::new(now),
         }
     }
 
@@ -285,7 +293,7 @@
     #[must_use]
     pub fn slot_limit(&self, slots: u32, now: Duration) -> u32 {
         let share = self.health.share_permille(&self.rules, now);
-        slots.saturating_mul(share).div_ceil(FULL_SHARE)
+        slots.saturating_mul(share).div_ceil(FULL_SHARE_PERMILLE)
     }
 
     /// Returns whether the sidecar should probe its endpoint now.
@@ -294,19 +302,19 @@
     }
 
     /// Takes the result of a probe.
-    pub fn probed(&mut self, is_ok: bool, now: Duration, rng: &mut impl Rng) {
-        self.health.probed(is_ok, &self.rules, now, rng);
+    pub fn record_probe(&mut self, is_ok: bool, now: Duration, rng: &mut impl Rng) {
+        self.health.record_probe(is_ok, &self.rules, now, rng);
     }
 }
 
 /// Returns the share after this time of a ramp, in thousandths.
 fn ramp_share(rules: &HealthRules, elapsed: Duration) -> u32 {
     if elapsed >= rules.ramp {
-        return FULL_SHARE;
+        return FULL_SHARE_PERMILLE;
     }
-    let start = rules.ramp_start_permille.min(FULL_SHARE);
-    let gained =
-        u128::from(FULL_SHARE - start) * elapsed.as_micros() / rules.ramp.as_micros().max(1);
+    let start = rules.ramp_start_permille.min(FULL_SHARE_PERMILLE);
+    let gained = u128::from(FULL_SHARE_PERMILLE - start) * elapsed.as_micros()
+        / rules.ramp.as_micros().max(1);
     start + u32::try_from(gained).expect("less than a full share")
 }
 
--- a/crates/placement/src/hints.rs
+++ b/crates/placement/src/hints.rs
@@ -14,17 +14,17 @@
 
 /// Remembers, up to a bound, which sidecars have cached a prefix.
 #[derive(Debug)]
-pub struct Hints {
+pub struct CacheHints {
     max_prefixes: usize,
     prefixes: HashMap<PrefixHash, SmallVec<[SidecarId; MAX_PER_PREFIX]>>,
     // Order in which the prefixes came; the oldest makes room for a new one.
     order: VecDeque<PrefixHash>,
 }
 
-impl Hints {
+impl CacheHints {
     /// Opens an empty memory for at most `max_prefixes` prefixes.
     #[must_use]
-    pub fn open(max_prefixes: usize) -> Self {
+    pub fn new(max_prefixes: usize) -> Self {
         Self {
             max_prefixes,
             prefixes: HashMap::new(),
@@ -51,7 +51,7 @@
     }
 
     /// Notes that a sidecar's endpoint has cached a prefix.
-    pub fn cached(&mut self, prefix: PrefixHash, sidecar: SidecarId) {
+    pub fn record_cached(&mut self, prefix: PrefixHash, sidecar: SidecarId) {
         if self.max_prefixes == 0 {
             return;
         }
@@ -72,7 +72,7 @@
     /// Notes that a sidecar's endpoint has dropped a prefix.
     ///
     /// The prefix itself stays until it makes room, so that its place in the order needs no search.
-    pub fn dropped(&mut self, prefix: PrefixHash, sidecar: SidecarId) {
+    pub fn record_evicted(&mut self, prefix: PrefixHash, sidecar: SidecarId) {
         if let Some(sidecars) = self.prefixes.get_mut(&prefix) {
             sidecars.retain(|id| *id != sidecar);
         }
--- a/crates/placement/src/eject.rs
+++ b/crates/placement/src/pool_health.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     SidecarId,
-    health::{FULL_SHARE, Health, HealthRules, Sample},
+    health::{EndpointHealth, FULL_SHARE_PERMILLE, HealthRules, Sample},
 };
 
 /// Sidecars with enough samples that a median needs; two endpoints can't tell which of them is the slow one.
@@ -20,13 +20,13 @@
 #[derive(Debug)]
 pub struct PoolHealth {
     rules: HealthRules,
-    sidecars: HashMap<SidecarId, Health>,
+    sidecars: HashMap<SidecarId, EndpointHealth>,
 }
 
 impl PoolHealth {
     /// Opens the record of a pool without sidecars.
     #[must_use]
-    pub fn open(rules: HealthRules) -> Self {
+    pub fn new(rules: HealthRules) -> Self {
         Self {
             rules,
             sidecars: HashMap::new(),
@@ -41,11 +41,14 @@
             .map(|id| {
                 (
                     *id,
-                    former.get(id).cloned().unwrap_or_else(|| Health::open(now)),
+                    former
+                        .get(id)
+                        .cloned()
+                        .unwrap_or_else(|| EndpointHealth::new(now)),
                 )
             })
             .collect();
-        while self.reduced_len(now) > self.max_reduced() {
+        while self.reduced_count(now) > self.max_reduced() {
             self.admit_one(now);
         }
     }
@@ -63,9 +66,9 @@
         };
         health.settle(&self.rules, now);
         health.observe(sample);
-        let is_reduced = health.share_permille(&self.rules, now) < FULL_SHARE;
+        let is_reduced = health.share_permille(&self.rules, now) < FULL_SHARE_PERMILLE;
         let is_bad = health.is_failing(&self.rules) || self.is_slow(sidecar);
-        let has_room = is_reduced || self.reduced_len(now) < self.max_reduced();
+        let has_room = is_reduced || self.reduced_count(now) < self.max_reduced();
         if is_bad
             && has_room
             && let Some(health) = self.sidecars.get_mut(&sidecar)
@@ -89,9 +92,15 @@
     }
 
     /// Takes the result of a probe.
-    pub fn probed(&mut self, sidecar: SidecarId, is_ok: bool, now: Duration, rng: &mut impl Rng) {
+    pub fn record_probe(
+        &mut self,
+        sidecar: SidecarId,
+        is_ok: bool,
+        now: Duration,
+        rng: &mut impl Rng,
+    ) {
         if let Some(health) = self.sidecars.get_mut(&sidecar) {
-            health.probed(is_ok, &self.rules, now, rng);
+            health.record_probe(is_ok, &self.rules, now, rng);
         }
     }
 
@@ -100,22 +109,25 @@
     pub fn share_permille(&self, sidecar: SidecarId, now: Duration) -> u32 {
         self.sidecars
             .get(&sidecar)
-            .map_or(FULL_SHARE, |health| health.share_permille(&self.rules, now))
+            .map_or(FULL_SHARE_PERMILLE, |health| {
+                health.share_permille(&self.rules, now)
+            })
     }
 
     /// Returns the number of sidecars below their full share.
     #[must_use]
-    pub fn reduced_len(&self, now: Duration) -> usize {
+    pub fn reduced_count(&self, now: Duration) -> usize {
         self.sidecars
             .values()
-            .filter(|health| health.share_permille(&self.rules, now) < FULL_SHARE)
+            .filter(|health| health.share_permille(&self.rules, now) < FULL_SHARE_PERMILLE)
             .count()
     }
 
     /// Returns how many sidecars may be below their full share at once.
     #[must_use]
     pub fn max_reduced(&self) -> usize {
-        self.sidecars.len() * self.rules.max_reduced_permille as usize / FULL_SHARE as usize
+        self.sidecars.len() * self.rules.max_reduced_permille as usize
+            / FULL_SHARE_PERMILLE as usize
     }
 
     /// Returns whether a sidecar's mean wait is far above the median of the pool's.
@@ -134,7 +146,7 @@
         let middle = (waits.len() - 1) / 2;
         let (_, median_us, _) = waits.select_nth_unstable(middle);
         let limit_us = u128::from((*median_us).max(1)) * u128::from(self.rules.slow_permille)
-            / u128::from(FULL_SHARE);
+            / u128::from(FULL_SHARE_PERMILLE);
         u128::from(wait_us) > limit_us
     }
 
@@ -144,7 +156,7 @@
             .sidecars
             .iter_mut()
             .map(|(id, health)| (health.share_permille(rules, now), *id, health))
-            .filter(|(share, _, _)| *share < FULL_SHARE)
+            .filter(|(share, _, _)| *share < FULL_SHARE_PERMILLE)
             .max_by_key(|(share, id, _)| (*share, *id));
         if let Some((_, _, health)) = nearest {
             health.admit(now);
--- a/crates/placement/src/choose.rs
+++ b/crates/placement/src/selection.rs
@@ -15,18 +15,18 @@
 
 use crate::{
     EntryId, PrefixHash, SidecarId,
-    eject::PoolHealth,
     hash::{mix, rank},
-    health::{FULL_SHARE, HealthRules},
-    hints::Hints,
+    health::{FULL_SHARE_PERMILLE, HealthRules},
+    hints::CacheHints,
+    pool_health::PoolHealth,
 };
 
-mod plan;
+mod attempt;
 mod rules;
 
-pub use plan::Plan;
-use plan::Stage;
-pub use rules::{AffinityScope, ChooseRules};
+pub use attempt::AttemptOffers;
+use attempt::Stage;
+pub use rules::{AffinityScope, SelectionRules};
 
 /// Holds a sidecar's load, as its last message told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -60,7 +60,7 @@
 pub struct Round {
     /// Sidecars to offer the request to; none if all that may get an offer hold one.
     pub sidecars: SmallVec<[SidecarId; 4]>,
-    /// Sidecar whose offer is to be withdrawn once the new one is out; [`Plan::withdrawn`] is called then.
+    /// Sidecar whose offer is to be withdrawn once the new one is out; [`AttemptOffers::record_withdrawal`] is called then.
     pub withdraw: Option<SidecarId>,
     /// Wait for a grant before the next round; a round whose offers were all refused need not be waited for.
     pub widen_after: Duration,
@@ -68,8 +68,8 @@
 
 /// Chooses among the sidecars of one pool for one entry.
 #[derive(Debug)]
-pub struct Chooser {
-    rules: ChooseRules,
+pub struct SidecarSelector {
+    rules: SelectionRules,
     entry: EntryId,
     subset: Vec<SidecarId>,
     beyond: Vec<SidecarId>,
@@ -79,13 +79,13 @@
     /// Health of the pool's sidecars.
     pub health: PoolHealth,
     /// Cache events of the pool's endpoints.
-    pub hints: Hints,
+    pub hints: CacheHints,
 }
 
-impl Chooser {
+impl SidecarSelector {
     /// Opens the choice of an entry in a pool without sidecars.
     #[must_use]
-    pub fn open(rules: ChooseRules, health_rules: HealthRules, entry: EntryId) -> Self {
+    pub fn new(rules: SelectionRules, health_rules: HealthRules, entry: EntryId) -> Self {
         Self {
             rules,
             entry,
@@ -93,8 +93,8 @@
             beyond: Vec::new(),
             loads: HashMap::new(),
             back_at: HashMap::new(),
-            health: PoolHealth::open(health_rules),
-            hints: Hints::open(rules.max_hints),
+            health: PoolHealth::new(health_rules),
+            hints: CacheHints::new(rules.max_hints),
         }
     }
 
@@ -116,9 +116,15 @@
     }
 
     /// Takes the result of a probe; a sidecar that is readmitted by it is preferred by requests that wait.
-    pub fn probed(&mut self, sidecar: SidecarId, is_ok: bool, now: Duration, rng: &mut impl Rng) {
+    pub fn record_probe(
+        &mut self,
+        sidecar: SidecarId,
+        is_ok: bool,
+        now: Duration,
+        rng: &mut impl Rng,
+    ) {
         let before = self.health.share_permille(sidecar, now);
-        self.health.probed(sidecar, is_ok, now, rng);
+        self.health.record_probe(sidecar, is_ok, now, rng);
         if before == 0 && self.health.share_permille(sidecar, now) > 0 {
             self.back_at.insert(sidecar, now);
         }
@@ -131,12 +137,12 @@
     }
 
     /// Notes a sidecar's load from its message.
-    pub fn saw_load(&mut self, sidecar: SidecarId, load: Load, now: Duration) {
+    pub fn record_load(&mut self, sidecar: SidecarId, load: Load, now: Duration) {
         self.loads.insert(sidecar, Seen { load, at: now });
     }
 
     /// Counts a request that this entry has just bound, as the sidecar's next message is still to come.
-    pub fn note_bound(&mut self, sidecar: SidecarId) {
+    pub fn record_assignment(&mut self, sidecar: SidecarId) {
         if let Some(seen) = self.loads.get_mut(&sidecar) {
             seen.load.running = seen.load.running.saturating_add(1);
         }
@@ -172,25 +178,30 @@
     ///
     /// A round is without sidecars while all of them hold an offer, or while the last withdrawal is still due. So there is
     /// always a next round as long as an offer is open.
-    pub fn next_round(&self, plan: &mut Plan, now: Duration, rng: &mut impl Rng) -> Option<Round> {
-        plan.opened_at.get_or_insert(now);
+    pub fn next_round(
+        &self,
+        attempt: &mut AttemptOffers,
+        now: Duration,
+        rng: &mut impl Rng,
+    ) -> Option<Round> {
+        attempt.opened_at.get_or_insert(now);
         let max_open = self.rules.max_open.max(1);
-        let is_full = plan.open.len() >= max_open;
+        let is_full = attempt.open.len() >= max_open;
         let mut sidecars = SmallVec::new();
-        if plan.open.len() <= max_open {
-            let most = max_open.saturating_sub(plan.open.len()).max(1);
-            self.pick(plan, most, now, rng, &mut sidecars);
+        if attempt.open.len() <= max_open {
+            let most = max_open.saturating_sub(attempt.open.len()).max(1);
+            self.pick(attempt, most, now, rng, &mut sidecars);
         }
-        if sidecars.is_empty() && plan.open.is_empty() {
+        if sidecars.is_empty() && attempt.open.is_empty() {
             return None;
         }
-        let oldest = plan.open.first().copied();
+        let oldest = attempt.open.first().copied();
         let withdraw = oldest.filter(|_| is_full && !sidecars.is_empty());
         for id in &sidecars {
-            plan.offer(*id, now);
+            attempt.offer(*id, now);
         }
-        let widen_after = self.wait(plan, is_full, rng);
-        plan.rounds += 1;
+        let widen_after = self.wait(attempt, is_full, rng);
+        attempt.rounds += 1;
         Some(Round {
             sidecars,
             withdraw,
@@ -199,12 +210,12 @@
     }
 
     /// Returns the wait after a round: it doubles, with a longer limit once offers only move.
-    fn wait(&self, plan: &Plan, is_full: bool, rng: &mut impl Rng) -> Duration {
-        let wait = self.rules.widen_after * (1 << plan.rounds.min(16));
-        if plan.is_first_cycle && !is_full {
+    fn wait(&self, attempt: &AttemptOffers, is_full: bool, rng: &mut impl Rng) -> Duration {
+        let wait = self.rules.widen_after * (1 << attempt.rounds.min(16));
+        if attempt.is_first_cycle && !is_full {
             return wait.min(self.rules.max_widen_after);
         }
-        let max = if plan.is_urgent {
+        let max = if attempt.is_urgent {
             self.rules.max_urgent_rotate_after
         } else {
             self.rules.max_rotate_after
@@ -215,34 +226,39 @@
 
     fn pick(
         &self,
-        plan: &mut Plan,
+        attempt: &mut AttemptOffers,
         most: usize,
         now: Duration,
         rng: &mut impl Rng,
         picked: &mut SmallVec<[SidecarId; 4]>,
     ) {
-        if matches!(plan.stage, Stage::Prefix) {
-            self.pick_by_prefix(plan, now, picked);
+        if matches!(attempt.stage, Stage::Prefix) {
+            self.pick_by_prefix(attempt, now, picked);
             picked.truncate(most);
-            plan.stage = Stage::Load;
+            attempt.stage = Stage::Load;
         }
-        if picked.is_empty() && matches!(plan.stage, Stage::Load) {
-            self.pick_by_load(plan, most, now, rng, picked);
-            plan.stage = Stage::Widen;
+        if picked.is_empty() && matches!(attempt.stage, Stage::Load) {
+            self.pick_by_load(attempt, most, now, rng, picked);
+            attempt.stage = Stage::Widen;
         }
         if picked.is_empty() {
-            if matches!(plan.stage, Stage::Widen) {
+            if matches!(attempt.stage, Stage::Widen) {
                 // Drawn up only now, as most requests find room in the first rounds.
-                let rest = self.rest(plan, now, rng);
-                plan.stage = Stage::Rest(rest);
+                let rest = self.rest(attempt, now, rng);
+                attempt.stage = Stage::Rest(rest);
             }
-            self.pick_rest(plan, most, now, rng, picked);
+            self.pick_rest(attempt, most, now, rng, picked);
         }
     }
 
     /// Picks the prefix's favourites: those that cache events name, then those of the prefix's rendezvous order.
-    fn pick_by_prefix(&self, plan: &Plan, now: Duration, picked: &mut SmallVec<[SidecarId; 4]>) {
-        let Some(prefix) = plan.prefix else {
+    fn pick_by_prefix(
+        &self,
+        attempt: &AttemptOffers,
+        now: Duration,
+        picked: &mut SmallVec<[SidecarId; 4]>,
+    ) {
+        let Some(prefix) = attempt.prefix else {
             return;
         };
         let bound = self.load_bound_permille(now);
@@ -255,7 +271,7 @@
                 return;
             }
             let is_within = self.load_permille(id, now).is_none_or(|load| load <= bound);
-            if is_within && self.may_offer(plan, id, now) && !picked.contains(&id) {
+            if is_within && self.may_offer(attempt, id, now) && !picked.contains(&id) {
                 picked.push(id);
             }
         }
@@ -286,7 +302,7 @@
     /// Picks the less loaded of two random sidecars of the subset, a few times.
     fn pick_by_load(
         &self,
-        plan: &Plan,
+        attempt: &AttemptOffers,
         most: usize,
         now: Duration,
         rng: &mut impl Rng,
@@ -294,8 +310,8 @@
     ) {
         let count = self.rules.first_offers.min(self.subset.len()).min(most);
         for _ in 0..count {
-            let left = self.draw(plan, picked, now, rng);
-            let right = self.draw(plan, picked, now, rng);
+            let left = self.draw(attempt, picked, now, rng);
+            let right = self.draw(attempt, picked, now, rng);
             let better = match (left, right) {
                 (Some(left), Some(right)) => Some(self.less_loaded(left, right, now)),
                 (left, right) => left.or(right),
@@ -308,7 +324,7 @@
 
     fn draw(
         &self,
-        plan: &Plan,
+        attempt: &AttemptOffers,
         picked: &[SidecarId],
         now: Duration,
         rng: &mut impl Rng,
@@ -316,7 +332,7 @@
         // A draw that hits a sidecar which can't be used is made again, a few times only: the rest rounds reach all.
         for _ in 0..DRAWS {
             let id = self.subset[rng.random_range(0..self.subset.len())];
-            if self.may_offer(plan, id, now) && !picked.contains(&id) {
+            if self.may_offer(attempt, id, now) && !picked.contains(&id) {
                 return Some(id);
             }
         }
@@ -334,17 +350,17 @@
     /// cycle's rest, which is the subset, then beyond it, then those to avoid.
     fn pick_rest(
         &self,
-        plan: &mut Plan,
+        attempt: &mut AttemptOffers,
         most: usize,
         now: Duration,
         rng: &mut impl Rng,
         picked: &mut SmallVec<[SidecarId; 4]>,
     ) {
-        let doublings = plan.rounds.min(16);
+        let doublings = attempt.rounds.min(16);
         let count = most.min(self.rules.first_offers.max(1) << doublings);
         while picked.len() < count {
-            let preferred = self.preferred(plan, picked, now);
-            let next = preferred.or_else(|| self.next_of_cycle(plan, picked, now, rng));
+            let preferred = self.preferred(attempt, picked, now);
+            let next = preferred.or_else(|| self.next_of_cycle(attempt, picked, now, rng));
             let Some(id) = next else {
                 return;
             };
@@ -353,58 +369,68 @@
     }
 
     /// Returns a sidecar that came back since its last offer, or one that was seen with free room since then.
-    fn preferred(&self, plan: &Plan, picked: &[SidecarId], now: Duration) -> Option<SidecarId> {
-        let is_free = |id: SidecarId| self.may_move_to(plan, id, now) && !picked.contains(&id);
-        let since = |id| plan.offered_at(id).or(plan.opened_at);
+    fn preferred(
+        &self,
+        attempt: &AttemptOffers,
+        picked: &[SidecarId],
+        now: Duration,
+    ) -> Option<SidecarId> {
+        let is_free = |id: SidecarId| self.may_move_to(attempt, id, now) && !picked.contains(&id);
+        let since = |id| attempt.offered_at(id).or(attempt.opened_at);
         let back = self.back_at.iter();
         let back = back.filter(|(id, at)| Some(**at) > since(**id) && is_free(**id));
-        if let Some((_, id)) = back.map(|(id, _)| (mix(plan.seed, *id), *id)).max() {
+        if let Some((_, id)) = back.map(|(id, _)| (mix(attempt.seed, *id), *id)).max() {
             return Some(id);
         }
         // Only in every other round: a sidecar that always looks free must not keep the others from their turn.
-        if plan.rounds.is_multiple_of(2) {
+        if attempt.rounds.is_multiple_of(2) {
             return None;
         }
         let seen = self.loads.iter();
         let seen = seen.filter(|(id, seen)| Some(seen.at) > since(**id) && is_free(**id));
         let room = seen.filter_map(|(id, _)| Some((self.load_permille(*id, now)?, *id)));
         let room = room.filter(|(load, _)| *load < FULL_LOAD_PERMILLE);
-        let least = room.min_by_key(|(load, id)| (*load, mix(plan.seed, *id)));
+        let least = room.min_by_key(|(load, id)| (*load, mix(attempt.seed, *id)));
         least.map(|(_, id)| id)
     }
 
     /// Returns the next sidecar of the cycle, or of a new one over the whole pool.
     fn next_of_cycle(
         &self,
-        plan: &mut Plan,
+        attempt: &mut AttemptOffers,
         picked: &[SidecarId],
         now: Duration,
         rng: &mut impl Rng,
     ) -> Option<SidecarId> {
-        if let Some(id) = self.pop(plan, picked, now) {
+        if let Some(id) = self.pop(attempt, picked, now) {
             return Some(id);
         }
         if !picked.is_empty() {
             return None;
         }
-        plan.is_first_cycle = false;
-        let mut cycle = self.rest(plan, now, rng);
-        if plan.open.is_empty() {
+        attempt.is_first_cycle = false;
+        let mut cycle = self.rest(attempt, now, rng);
+        if attempt.open.is_empty() {
             // All others have just refused, so that another round of them would only repeat it.
-            cycle.retain(|id| !plan.refused.contains(id));
+            cycle.retain(|id| !attempt.refused.contains(id));
         }
-        plan.stage = Stage::Rest(cycle);
-        self.pop(plan, picked, now)
+        attempt.stage = Stage::Rest(cycle);
+        self.pop(attempt, picked, now)
     }
 
     /// Takes the next of the cycle that may still get an offer.
-    fn pop(&self, plan: &mut Plan, picked: &[SidecarId], now: Duration) -> Option<SidecarId> {
+    fn pop(
+        &self,
+        attempt: &mut AttemptOffers,
+        picked: &[SidecarId],
+        now: Duration,
+    ) -> Option<SidecarId> {
         loop {
-            let Stage::Rest(rest) = &mut plan.stage else {
+            let Stage::Rest(rest) = &mut attempt.stage else {
                 return None;
             };
             let id = rest.pop()?;
-            if self.is_member(id) && self.may_move_to(plan, id, now) && !picked.contains(&id) {
+            if self.is_member(id) && self.may_move_to(attempt, id, now) && !picked.contains(&id) {
                 return Some(id);
             }
         }
@@ -415,11 +441,12 @@
     }
 
     /// Returns every sidecar that may still get an offer, the next one last.
-    fn rest(&self, plan: &Plan, now: Duration, rng: &mut impl Rng) -> Vec<SidecarId> {
-        let mut near: Vec<_> = self.usable(&self.subset, plan, now).collect();
-        let mut far: Vec<_> = self.usable(&self.beyond, plan, now).collect();
+    fn rest(&self, attempt: &AttemptOffers, now: Duration, rng: &mut impl Rng) -> Vec<SidecarId> {
+        let mut near: Vec<_> = self.usable(&self.subset, attempt, now).collect();
+        let mut far: Vec<_> = self.usable(&self.beyond, attempt, now).collect();
         let all = self.subset.iter().chain(&self.beyond).copied();
-        let avoided = all.filter(|id| plan.avoid.contains(id) && self.may_move_to(plan, *id, now));
+        let avoided =
+            all.filter(|id| attempt.avoid.contains(id) && self.may_move_to(attempt, *id, now));
         let mut rest: Vec<_> = avoided.collect();
         near.shuffle(rng);
         far.shuffle(rng);
@@ -431,27 +458,28 @@
     fn usable<'a>(
         &'a self,
         sidecars: &'a [SidecarId],
-        plan: &'a Plan,
+        attempt: &'a AttemptOffers,
         now: Duration,
     ) -> impl Iterator<Item = SidecarId> + 'a {
         let ids = sidecars.iter().copied();
-        ids.filter(move |id| self.may_offer(plan, *id, now))
+        ids.filter(move |id| self.may_offer(attempt, *id, now))
     }
 
-    fn may_offer(&self, plan: &Plan, id: SidecarId, now: Duration) -> bool {
-        let is_offered = plan.is_first_cycle && plan.offered_at(id).is_some();
-        !is_offered && !plan.avoid.contains(&id) && self.may_move_to(plan, id, now)
+    fn may_offer(&self, attempt: &AttemptOffers, id: SidecarId, now: Duration) -> bool {
+        let is_offered = attempt.is_first_cycle && attempt.offered_at(id).is_some();
+        !is_offered && !attempt.avoid.contains(&id) && self.may_move_to(attempt, id, now)
     }
 
     /// Returns whether an offer may move to a sidecar in some cycle.
-    fn may_move_to(&self, plan: &Plan, id: SidecarId, now: Duration) -> bool {
-        !plan.open.contains(&id) && self.has_share(plan, id, now)
+    fn may_move_to(&self, attempt: &AttemptOffers, id: SidecarId, now: Duration) -> bool {
+        !attempt.open.contains(&id) && self.has_share(attempt, id, now)
     }
 
-    /// Returns whether this plan falls into the share of a sidecar that is ejected or comes back.
-    fn has_share(&self, plan: &Plan, id: SidecarId, now: Duration) -> bool {
+    /// Returns whether this attempt falls into the share of a sidecar that is ejected or comes back.
+    fn has_share(&self, attempt: &AttemptOffers, id: SidecarId, now: Duration) -> bool {
         let share = self.health.share_permille(id, now);
-        share >= FULL_SHARE || mix(plan.seed, id) % u64::from(FULL_SHARE) < u64::from(share)
+        share >= FULL_SHARE_PERMILLE
+            || mix(attempt.seed, id) % u64::from(FULL_SHARE_PERMILLE) < u64::from(share)
     }
 }
 
@@ -468,7 +496,7 @@
 const DRAWS: u32 = 4;
 
 /// Returns how many sidecars of a pool an entry is linked with.
-fn subset_len(rules: &ChooseRules, sidecars: usize, entries: usize) -> usize {
+fn subset_len(rules: &SelectionRules, sidecars: usize, entries: usize) -> usize {
     let needed = (sidecars * rules.min_entries_per_sidecar).div_ceil(entries.max(1));
     rules.max_links.max(needed).min(sidecars)
 }
--- a/crates/placement/src/choose/plan.rs
+++ b/crates/placement/src/selection/attempt.rs
@@ -9,7 +9,7 @@
 
 /// Follows the offers of one attempt at a request.
 #[derive(Debug, Clone)]
-pub struct Plan {
+pub struct AttemptOffers {
     pub(super) prefix: Option<PrefixHash>,
     pub(super) avoid: SmallVec<[SidecarId; 4]>,
     pub(super) is_urgent: bool,
@@ -37,10 +37,10 @@
     Rest(Vec<SidecarId>),
 }
 
-impl Plan {
-    /// Opens the plan of an attempt; sidecars to `avoid`, such as those of failed attempts, come last.
+impl AttemptOffers {
+    /// Opens the record of an attempt; sidecars to `avoid`, such as those of failed attempts, come last.
     #[must_use]
-    pub fn open(prefix: Option<PrefixHash>, avoid: &[SidecarId], rng: &mut impl Rng) -> Self {
+    pub fn new(prefix: Option<PrefixHash>, avoid: &[SidecarId], rng: &mut impl Rng) -> Self {
         Self {
             prefix,
             avoid: SmallVec::from_slice(avoid),
@@ -58,7 +58,7 @@
 
     /// Lets the offers of an urgent request move faster.
     #[must_use]
-    pub fn urgent(self, is_urgent: bool) -> Self {
+    pub fn with_urgency(self, is_urgent: bool) -> Self {
         Self { is_urgent, ..self }
     }
 
@@ -69,12 +69,12 @@
     }
 
     /// Notes that an offer was withdrawn; the sidecar may get another one.
-    pub fn withdrawn(&mut self, sidecar: SidecarId) {
+    pub fn record_withdrawal(&mut self, sidecar: SidecarId) {
         self.open.retain(|open| *open != sidecar);
     }
 
     /// Notes that an offer was refused or lost; the sidecar gets another one only while others hold open offers.
-    pub fn refused(&mut self, sidecar: SidecarId) {
+    pub fn record_refusal(&mut self, sidecar: SidecarId) {
         self.open.retain(|open| *open != sidecar);
         if !self.refused.contains(&sidecar) {
             self.refused.push(sidecar);
--- a/crates/placement/src/choose/rules.rs
+++ b/crates/placement/src/selection/rules.rs
@@ -16,7 +16,7 @@
 
 /// Sets how offers are spread.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ChooseRules {
+pub struct SelectionRules {
     /// Sidecars of a pool that an entry is linked with.
     pub max_links: usize,
     /// Entries that each sidecar should be linked with; few entries take more links each for it.
@@ -47,7 +47,7 @@
     pub max_hints: usize,
 }
 
-impl Default for ChooseRules {
+impl Default for SelectionRules {
     /// Returns the defaults.
     ///
     /// Twenty links hold a whole pool of today's sizes, and let 300 entries meet each of 200 sidecars 30 times. An idle
--- a/crates/placement/src/slots.rs
+++ b/crates/placement/src/slots.rs
@@ -40,7 +40,7 @@
     /// The urgent part of the KV cache is in proportion to that of the slots. Engines report about once a second, so a
     /// report may describe the load of two seconds ago, and two reports in a row may be lost before it stops counting.
     #[must_use]
-    pub fn of(slots: u32, kv_tokens: u64, urgent_slots: u32) -> Self {
+    pub fn new(slots: u32, kv_tokens: u64, urgent_slots: u32) -> Self {
         let urgent_kv_tokens = kv_tokens * u64::from(urgent_slots) / u64::from(slots.max(1));
         Self {
             slots,
@@ -55,7 +55,7 @@
 
 /// Says what a request needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Need {
+pub struct Demand {
     /// KV tokens of its prompt and of the answer expected.
     pub kv_tokens: u64,
     /// Whether it may use the urgent headroom.
@@ -64,7 +64,7 @@
 
 /// Answers whether a request has room.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Room {
+pub enum Availability {
     /// It may start now.
     Now,
     /// It may start when other requests have ended.
@@ -102,7 +102,7 @@
 #[derive(Debug)]
 pub struct Slots {
     rules: SlotRules,
-    running: HashMap<ClaimId, Need>,
+    running: HashMap<ClaimId, Demand>,
     own: Level,
     own_urgent: Level,
     // Highest own level in each step of time over the span of a report's lag, oldest first.
@@ -114,7 +114,7 @@
 impl Slots {
     /// Opens the count of an endpoint that runs nothing.
     #[must_use]
-    pub fn open(rules: SlotRules) -> Self {
+    pub fn new(rules: SlotRules) -> Self {
         Self {
             rules,
             running: HashMap::new(),
@@ -139,34 +139,34 @@
 
     /// Returns the number of requests that the sidecar runs.
     #[must_use]
-    pub fn running_len(&self) -> u32 {
+    pub fn running_count(&self) -> u32 {
         self.own.slots
     }
 
     /// Returns whether a request has room.
     #[must_use]
-    pub fn room(&self, need: Need, now: Duration) -> Room {
-        let limit = self.limit(need.is_urgent);
-        if limit.slots == 0 || need.kv_tokens > limit.kv_tokens {
-            return Room::Never;
+    pub fn availability(&self, demand: Demand, now: Duration) -> Availability {
+        let limit = self.limit(demand.is_urgent);
+        if limit.slots == 0 || demand.kv_tokens > limit.kv_tokens {
+            return Availability::Never;
         }
         let foreign = self.foreign(now);
         let total = Level {
             slots: self.own.slots.saturating_add(foreign.slots),
             kv_tokens: self.own.kv_tokens.saturating_add(foreign.kv_tokens),
         };
-        if !fits(total, need, self.limit(true)) {
-            return Room::Later;
+        if !fits(total, demand, self.limit(true)) {
+            return Availability::Later;
         }
         // Urgent work in its own headroom doesn't count against the common part.
         let common = Level {
             slots: total.slots - self.own_urgent.slots,
             kv_tokens: total.kv_tokens - self.own_urgent.kv_tokens,
         };
-        if need.is_urgent || fits(common, need, limit) {
-            Room::Now
+        if demand.is_urgent || fits(common, demand, limit) {
+            Availability::Now
         } else {
-            Room::Later
+            Availability::Later
         }
     }
 
@@ -175,13 +175,13 @@
     /// # Panics
     ///
     /// Panics if the grant holds a slot already.
-    pub fn take(&mut self, claim: ClaimId, need: Need, now: Duration) -> bool {
-        if self.room(need, now) != Room::Now {
+    pub fn acquire(&mut self, claim: ClaimId, demand: Demand, now: Duration) -> bool {
+        if self.availability(demand, now) != Availability::Now {
             return false;
         }
-        let former = self.running.insert(claim, need);
+        let former = self.running.insert(claim, demand);
         assert!(former.is_none(), "a grant takes one slot");
-        self.add(need);
+        self.add(demand);
         self.note_level(now);
         true
     }
@@ -190,12 +190,12 @@
     ///
     /// The count may exceed the endpoint's tokens; nothing further starts until it has fallen.
     pub fn resize(&mut self, claim: ClaimId, kv_tokens: u64, now: Duration) {
-        let Some(need) = self.running.get_mut(&claim) else {
+        let Some(demand) = self.running.get_mut(&claim) else {
             return;
         };
-        let former = *need;
-        need.kv_tokens = kv_tokens;
-        let changed = *need;
+        let former = *demand;
+        demand.kv_tokens = kv_tokens;
+        let changed = *demand;
         self.remove(former);
         self.add(changed);
         self.note_level(now);
@@ -203,11 +203,11 @@
 
     /// Frees what a grant holds, and returns whether it held anything.
     pub fn release(&mut self, claim: ClaimId, now: Duration) -> bool {
-        let Some(need) = self.running.remove(&claim) else {
+        let Some(demand) = self.running.remove(&claim) else {
             return false;
         };
         self.note_level(now);
-        self.remove(need);
+        self.remove(demand);
         true
     }
 
@@ -215,7 +215,7 @@
     ///
     /// The report describes some moment within the longest lag. Only what exceeds the highest own level of that span is
     /// certainly not the sidecar's own, and counts beside its own runs.
-    pub fn report(&mut self, report: EngineReport, now: Duration) {
+    pub fn apply_report(&mut self, report: EngineReport, now: Duration) {
         self.note_level(now);
         let own = self
             .levels
@@ -263,21 +263,21 @@
         }
     }
 
-    fn add(&mut self, need: Need) {
+    fn add(&mut self, demand: Demand) {
         self.own.slots += 1;
-        self.own.kv_tokens += need.kv_tokens;
-        if need.is_urgent {
+        self.own.kv_tokens += demand.kv_tokens;
+        if demand.is_urgent {
             self.own_urgent.slots += 1;
-            self.own_urgent.kv_tokens += need.kv_tokens;
+            self.own_urgent.kv_tokens += demand.kv_tokens;
         }
     }
 
-    fn remove(&mut self, need: Need) {
+    fn remove(&mut self, demand: Demand) {
         self.own.slots -= 1;
-        self.own.kv_tokens -= need.kv_tokens;
-        if need.is_urgent {
+        self.own.kv_tokens -= demand.kv_tokens;
+        if demand.is_urgent {
             self.own_urgent.slots -= 1;
-            self.own_urgent.kv_tokens -= need.kv_tokens;
+            self.own_urgent.kv_tokens -= demand.kv_tokens;
         }
     }
 
@@ -297,6 +297,6 @@
     }
 }
 
-fn fits(used: Level, need: Need, limit: Level) -> bool {
-    used.slots < limit.slots && used.kv_tokens.saturating_add(need.kv_tokens) <= limit.kv_tokens
+fn fits(used: Level, demand: Demand, limit: Level) -> bool {
+    used.slots < limit.slots && used.kv_tokens.saturating_add(demand.kv_tokens) <= limit.kv_tokens
 }
--- a/crates/placement/tests/choice.rs
+++ b/crates/placement/tests/choice.rs
@@ -7,9 +7,9 @@
 
 use hinge_cases::cases;
 use hinge_placement::{
-    ChooseRules, Chooser, HealthRules, Load, Plan, Sample, SidecarId,
+    AttemptOffers, HealthRules, Load, Sample, SelectionRules, SidecarId, SidecarSelector,
     hash::{mix, rank},
-    hints::Hints,
+    hints::CacheHints,
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use rand::{SeedableRng, rngs::StdRng};
@@ -30,19 +30,19 @@
     (0..count).map(|index| mix(7, index)).collect()
 }
 
-/// Returns a chooser without a cap on open offers, so that the rounds end once all of the pool is offered.
-fn chooser(sidecars: &[SidecarId], entries: usize) -> Chooser {
-    let rules = ChooseRules {
+/// Returns a selector without a cap on open offers, so that the rounds end once all of the pool is offered.
+fn selector(sidecars: &[SidecarId], entries: usize) -> SidecarSelector {
+    let rules = SelectionRules {
         max_open: usize::MAX,
-        ..ChooseRules::default()
+        ..SelectionRules::default()
     };
-    chooser_of(rules, sidecars, entries)
+    selector_with(rules, sidecars, entries)
 }
 
-fn chooser_of(rules: ChooseRules, sidecars: &[SidecarId], entries: usize) -> Chooser {
-    let mut chooser = Chooser::open(rules, HealthRules::default(), 42);
-    chooser.set_members(sidecars, entries, NOW);
-    chooser
+fn selector_with(rules: SelectionRules, sidecars: &[SidecarId], entries: usize) -> SidecarSelector {
+    let mut selector = SidecarSelector::new(rules, HealthRules::default(), 42);
+    selector.set_members(sidecars, entries, NOW);
+    selector
 }
 
 fn load(running: u32) -> Load {
@@ -53,9 +53,13 @@
     }
 }
 
-fn rounds(chooser: &Chooser, mut plan: Plan, rng: &mut StdRng) -> Vec<Vec<SidecarId>> {
+fn rounds(
+    selector: &SidecarSelector,
+    mut attempt: AttemptOffers,
+    rng: &mut StdRng,
+) -> Vec<Vec<SidecarId>> {
     let mut all = Vec::new();
-    while let Some(round) = chooser.next_round(&mut plan, NOW, rng) {
+    while let Some(round) = selector.next_round(&mut attempt, NOW, rng) {
         if round.sidecars.is_empty() {
             break;
         }
@@ -80,28 +84,32 @@
 }
 
 impl AnyPool {
-    fn open(self) -> (Vec<SidecarId>, Chooser, StdRng) {
+    fn open(self) -> (Vec<SidecarId>, SidecarSelector, StdRng) {
         let sidecars = ids(self.loads.len() as u64 + 1);
-        let mut chooser = chooser(&sidecars, 300);
+        let mut selector = selector(&sidecars, 300);
         for (id, running) in sidecars.iter().zip(self.loads) {
             let Some(running) = running else { continue };
-            chooser.saw_load(*id, load(running % 12), NOW);
+            selector.record_load(*id, load(running % 12), NOW);
         }
         for (prefix, index) in self.hints {
-            chooser.hints.cached(prefix % 4, mix(7, index % 64));
+            selector.hints.record_cached(prefix % 4, mix(7, index % 64));
         }
-        (sidecars, chooser, rng(self.seed))
+        (sidecars, selector, rng(self.seed))
     }
 }
 
 /// Every sidecar is offered exactly once: the subset before the rest, the one to avoid last.
 fn all_are_offered(pool: AnyPool) -> bool {
     let prefix = pool.seed.is_multiple_of(2).then_some(pool.seed % 4);
-    let (mut sidecars, chooser, mut rng) = pool.open();
+    let (mut sidecars, selector, mut rng) = pool.open();
     let avoid = sidecars[sidecars.len() / 2];
-    let rounds = rounds(&chooser, Plan::open(prefix, &[avoid], &mut rng), &mut rng);
+    let rounds = rounds(
+        &selector,
+        AttemptOffers::new(prefix, &[avoid], &mut rng),
+        &mut rng,
+    );
     let (mut offered, by_prefix) = (rounds.concat(), usize::from(prefix.is_some()));
-    let is_near = |id: &SidecarId| chooser.subset().contains(id) && *id != avoid;
+    let is_near = |id: &SidecarId| selector.subset().contains(id) && *id != avoid;
     let after_prefix = &offered[by_prefix.min(offered.len())..];
     let is_near_first = after_prefix.is_sorted_by_key(|id| (*id == avoid, !is_near(id)));
     let is_avoided = offered.last() == Some(&avoid);
@@ -113,15 +121,19 @@
 /// A prefix's first offer goes to a sidecar within the load bound; a pool that is all above it is chosen by load.
 fn bound_holds(pool: AnyPool) -> bool {
     let prefix = pool.seed % 4;
-    let (sidecars, chooser, mut rng) = pool.open();
-    let round = chooser
-        .next_round(&mut Plan::open(Some(prefix), &[], &mut rng), NOW, &mut rng)
+    let (sidecars, selector, mut rng) = pool.open();
+    let round = selector
+        .next_round(
+            &mut AttemptOffers::new(Some(prefix), &[], &mut rng),
+            NOW,
+            &mut rng,
+        )
         .expect("a pool");
-    let bound = chooser.load_bound_permille(NOW);
-    let load_of = |id: &SidecarId| chooser.load_permille(*id, NOW);
+    let bound = selector.load_bound_permille(NOW);
+    let load_of = |id: &SidecarId| selector.load_permille(*id, NOW);
     let is_within = |id: &SidecarId| load_of(id).is_none_or(|load| load <= bound);
     let favourite = rank(prefix, &sidecars, 1)[0];
-    let hinted = chooser.hints.get(prefix);
+    let hinted = selector.hints.get(prefix);
     let is_hinted = hinted.iter().any(|id| sidecars.contains(id));
     let prefers = is_hinted || !is_within(&favourite) || round.sidecars[..] == [favourite];
     prefers && (round.sidecars.len() != 1 || is_within(&round.sidecars[0]))
@@ -138,72 +150,72 @@
         let sidecars = ids(200);
         let (mut links, mut favourites) = (HashMap::<SidecarId, u32>::new(), HashSet::new());
         for entry in 0..300 {
-            let mut chooser = Chooser::open(ChooseRules::default(), HealthRules::default(), mix(3, entry));
-            chooser.set_members(&sidecars, 300, NOW);
-            assert_eq!(chooser.subset().len(), 20);
-            chooser.subset().iter().for_each(|id| *links.entry(*id).or_default() += 1);
-            favourites.insert(rank(99, chooser.subset(), 1)[0]);
+            let mut selector = SidecarSelector::new(SelectionRules::default(), HealthRules::default(), mix(3, entry));
+            selector.set_members(&sidecars, 300, NOW);
+            assert_eq!(selector.subset().len(), 20);
+            selector.subset().iter().for_each(|id| *links.entry(*id).or_default() += 1);
+            favourites.insert(rank(99, selector.subset(), 1)[0]);
         }
         let (least, most) = (links.values().min(), links.values().max());
         println!("entries of a sidecar: {least:?} to {most:?}, favourites of a prefix: {}", favourites.len());
         assert!(links.len() == 200 && least >= Some(&15) && most <= Some(&50) && favourites.len() <= 60);
     }
     few_entries_reach_the_whole_pool => {
-        assert_eq!(chooser(&ids(200), 3).subset().len(), 200);
-        assert_eq!(chooser(&ids(12), 300).subset().len(), 12);
+        assert_eq!(selector(&ids(200), 3).subset().len(), 200);
+        assert_eq!(selector(&ids(12), 300).subset().len(), 12);
     }
     a_new_sidecar_moves_one_link_at_most => {
         let mut sidecars = ids(201);
-        let after = chooser(&sidecars, 300);
+        let after = selector(&sidecars, 300);
         sidecars.pop();
-        let before = chooser(&sidecars, 300);
+        let before = selector(&sidecars, 300);
         let kept = before.subset().iter().filter(|id| after.subset().contains(id)).count();
         assert!(kept >= 19);
     }
     a_hint_goes_first_and_a_wrong_one_does_no_harm => {
         let sidecars = ids(10);
-        let mut chooser = chooser(&sidecars, 300);
+        let mut selector = selector(&sidecars, 300);
         let favourite = rank(5, &sidecars, 1)[0];
         let other = *sidecars.iter().find(|id| **id != favourite).expect("ten sidecars");
-        chooser.hints.cached(5, 12345);
-        chooser.hints.cached(5, other);
-        let first = |chooser: &Chooser| rounds(chooser, Plan::open(Some(5), &[], &mut rng(1)), &mut rng(2))[0].clone();
-        assert_eq!(first(&chooser), [other]);
-        chooser.hints.dropped(5, other);
-        assert_eq!(first(&chooser), [favourite]);
+        selector.hints.record_cached(5, 12345);
+        selector.hints.record_cached(5, other);
+        let first = |selector: &SidecarSelector| rounds(selector, AttemptOffers::new(Some(5), &[], &mut rng(1)), &mut rng(2))[0].clone();
+        assert_eq!(first(&selector), [other]);
+        selector.hints.record_evicted(5, other);
+        assert_eq!(first(&selector), [favourite]);
     }
     hints_are_bounded => {
-        let mut hints = Hints::open(2);
-        (0..5).for_each(|prefix| hints.cached(prefix, 1));
+        let mut hints = CacheHints::new(2);
+        (0..5).for_each(|prefix| hints.record_cached(prefix, 1));
         assert_eq!((hints.len(), hints.get(2), hints.get(4)), (2, &[][..], &[1][..]));
     }
     the_less_loaded_of_two_is_taken => {
         let sidecars = ids(20);
-        let mut chooser = chooser(&sidecars, 300);
-        sidecars.iter().zip(0..).for_each(|(id, index)| chooser.saw_load(*id, load(index % 2 * 8), NOW));
-        chooser.note_bound(sidecars[0]);
-        assert_eq!(chooser.load_permille(sidecars[0], NOW), Some(125));
+        let mut selector = selector(&sidecars, 300);
+        sidecars.iter().zip(0..).for_each(|(id, index)| selector.record_load(*id, load(index % 2 * 8), NOW));
+        selector.record_assignment(sidecars[0]);
+        assert_eq!(selector.load_permille(sidecars[0], NOW), Some(125));
         let mut rng = rng(1);
         let offers: Vec<_> = (0..1000)
-            .flat_map(|_| chooser.next_round(&mut Plan::open(None, &[], &mut rng), NOW, &mut rng).expect("room").sidecars)
+            .flat_map(|_| selector.next_round(&mut AttemptOffers::new(None, &[], &mut rng), NOW, &mut rng).expect("room").sidecars)
             .collect();
-        let busy = offers.iter().filter(|id| chooser.load_permille(**id, NOW) == Some(1000)).count();
+        let busy = offers.iter().filter(|id| selector.load_permille(**id, NOW) == Some(1000)).count();
         assert_eq!(offers.len(), 2000);
         assert!(busy < 600, "one in four draws hits two busy ones, and {busy} of 2000 went there");
     }
     an_old_load_does_not_count => {
-        let mut chooser = chooser(&ids(2), 300);
-        chooser.saw_load(mix(7, 0), load(8), NOW);
-        assert_eq!(chooser.load_permille(mix(7, 0), NOW + Duration::from_secs(3)), None);
+        let mut selector = selector(&ids(2), 300);
+        selector.record_load(mix(7, 0), load(8), NOW);
+        assert_eq!(selector.load_permille(mix(7, 0), NOW + Duration::from_secs(3)), None);
     }
     an_ejected_sidecar_gets_no_offer => {
         let sidecars = ids(6);
-        let mut chooser = chooser(&sidecars, 300);
+        let mut selector = selector(&sidecars, 300);
         for _ in 0..5 {
-            chooser.health.observe(sidecars[0], Sample::Failed, NOW, &mut rng(1));
+            selector.health.observe(sidecars[0], Sample::Failed, NOW, &mut rng(1));
         }
         for seed in 0..100 {
-            let offered = rounds(&chooser, Plan::open(Some(seed), &[], &mut rng(seed)), &mut rng(seed)).concat();
+            let offered = rounds(&selector, AttemptOffers::new(Some(seed), &[], &mut rng(seed)), &mut rng(seed)).concat();
             assert!(offered.len() == 5 && !offered.contains(&sidecars[0]));
         }
     }
--- a/crates/placement/tests/ejection.rs
+++ b/crates/placement/tests/ejection.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use hinge_cases::cases;
-use hinge_placement::{HealthRules, PoolHealth, Sample, SelfHealth};
+use hinge_placement::{HealthRules, LocalEndpointHealth, PoolHealth, Sample};
 use quickcheck::{Gen, QuickCheck};
 use rand::{SeedableRng, rngs::StdRng};
 
@@ -29,7 +29,7 @@
 }
 
 fn pool(size: u64) -> PoolHealth {
-    let mut pool = PoolHealth::open(HealthRules::default());
+    let mut pool = PoolHealth::new(HealthRules::default());
     pool.set_members(&(0..size).collect::<Vec<_>>(), START);
     pool
 }
@@ -43,12 +43,12 @@
         let id = u64::from(index) % 10;
         match kind % 8 {
             0 => pool.set_members(&(0..=id * 2).collect::<Vec<_>>(), now),
-            1 => pool.probed(id, index < 128, now, &mut rng),
+            1 => pool.record_probe(id, index < 128, now, &mut rng),
             2 => _ = pool.start_probes(now),
             3 | 4 => _ = feed(&mut pool, id, answered(u64::from(wait)), now_ms),
             _ => _ = feed(&mut pool, id, Sample::Failed, now_ms),
         }
-        pool.reduced_len(now) <= pool.max_reduced()
+        pool.reduced_count(now) <= pool.max_reduced()
     })
 }
 
@@ -59,7 +59,7 @@
     }
     failures_in_a_row_eject_and_the_fraction_stops_them => {
         let mut pool = pool(3);
-        let mut fail = |id| feed(&mut pool, id, Sample::Hung, 0);
+        let mut fail = |id| feed(&mut pool, id, Sample::TimedOut, 0);
         assert_eq!([fail(0), fail(1), fail(2)], [true, false, false]);
         assert_eq!(pool.share_permille(0, at(0)), 0);
     }
@@ -87,23 +87,23 @@
         assert!(pool.start_probes(at(499)).is_empty());
         assert_eq!(pool.start_probes(at(1000))[..], [0]);
         assert!(pool.start_probes(at(1001)).is_empty());
-        pool.probed(0, true, at(1100), &mut rng);
+        pool.record_probe(0, true, at(1100), &mut rng);
         assert_eq!((pool.share_permille(0, at(2000)), pool.start_probes(at(2100)).len()), (0, 1));
-        pool.probed(0, true, at(2100), &mut rng);
+        pool.record_probe(0, true, at(2100), &mut rng);
         let shares: Vec<_> = (0..=31).map(|second| pool.share_permille(0, at(2100 + second * 1000))).collect();
         assert!(shares.is_sorted() && shares.windows(2).all(|pair| pair[1] - pair[0] <= 32));
         assert_eq!((shares[0], shares[15], shares[30]), (50, 525, 1000));
-        assert_eq!((pool.reduced_len(at(32_000)), pool.reduced_len(at(32_200))), (1, 0));
+        assert_eq!((pool.reduced_count(at(32_000)), pool.reduced_count(at(32_200))), (1, 0));
     }
     a_failed_probe_and_a_failing_ramp_wait_longer => {
         let (mut pool, mut rng) = (pool(3), rng());
         assert!(feed(&mut pool, 0, Sample::Failed, 0));
         assert_eq!(pool.start_probes(at(1000)).len(), 1);
-        pool.probed(0, false, at(1000), &mut rng);
+        pool.record_probe(0, false, at(1000), &mut rng);
         assert_eq!((pool.start_probes(at(1999)).len(), pool.start_probes(at(3000)).len()), (0, 1));
-        pool.probed(0, true, at(3000), &mut rng);
+        pool.record_probe(0, true, at(3000), &mut rng);
         pool.start_probes(at(4000));
-        pool.probed(0, true, at(4000), &mut rng);
+        pool.record_probe(0, true, at(4000), &mut rng);
         assert!(feed(&mut pool, 0, Sample::Failed, 5000));
         assert_eq!((pool.start_probes(at(6999)).len(), pool.start_probes(at(9000)).len()), (0, 1));
     }
@@ -113,18 +113,18 @@
         assert!(!feed(&mut pool, 0, answered(1), 1) && !feed(&mut pool, 0, Sample::Failed, 2));
         for probe_at in [1000, 2000] {
             assert_eq!((pool.share_permille(0, at(probe_at)), pool.start_probes(at(probe_at)).len()), (0, 1));
-            pool.probed(0, true, at(probe_at), &mut rng());
+            pool.record_probe(0, true, at(probe_at), &mut rng());
         }
         assert!(!pool.observe(0, Sample::Failed, at(2500), &mut rng()));
     }
     a_sidecar_limits_its_own_slots => {
-        let mut health = SelfHealth::open(HealthRules::default(), START);
+        let mut health = LocalEndpointHealth::new(HealthRules::default(), START);
         assert_eq!(health.slot_limit(8, at(0)), 8);
-        assert!((0..5).any(|_| health.observe(Sample::Hung, at(0), &mut rng())));
+        assert!((0..5).any(|_| health.observe(Sample::TimedOut, at(0), &mut rng())));
         assert_eq!(health.slot_limit(8, at(0)), 0);
         for probe_at in [1000, 2000] {
             assert!(health.start_probe(at(probe_at)));
-            health.probed(true, at(probe_at), &mut rng());
+            health.record_probe(true, at(probe_at), &mut rng());
         }
         let limits = [2000, 17_000, 32_000].map(|ms| health.slot_limit(8, at(ms)));
         assert_eq!(limits, [1, 5, 8]);
--- a/crates/placement/tests/rotation.rs
+++ b/crates/placement/tests/rotation.rs
@@ -4,7 +4,8 @@
 
 use hinge_cases::cases;
 use hinge_placement::{
-    ChooseRules, Chooser, HealthRules, Load, Plan, Round, Sample, SidecarId, hash::mix,
+    AttemptOffers, HealthRules, Load, Round, Sample, SelectionRules, SidecarId, SidecarSelector,
+    hash::mix,
 };
 use quickcheck::{Gen, QuickCheck};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
@@ -17,25 +18,25 @@
 
 /// A waiting request in a pool in which nobody grants.
 struct Waiting {
-    chooser: Chooser,
-    plan: Plan,
+    selector: SidecarSelector,
+    attempt: AttemptOffers,
     rng: StdRng,
     now: Duration,
 }
 
 impl Waiting {
     fn open(sidecars: &[SidecarId], max_open: usize, seed: u64) -> Self {
-        let rules = ChooseRules {
+        let rules = SelectionRules {
             max_open,
-            ..ChooseRules::default()
+            ..SelectionRules::default()
         };
-        let mut chooser = Chooser::open(rules, HealthRules::default(), 42);
-        chooser.set_members(sidecars, 300, NOW);
+        let mut selector = SidecarSelector::new(rules, HealthRules::default(), 42);
+        selector.set_members(sidecars, 300, NOW);
         let mut rng = StdRng::seed_from_u64(seed);
         let prefix = seed.is_multiple_of(2).then_some(seed);
         Self {
-            chooser,
-            plan: Plan::open(prefix, &[], &mut rng),
+            selector,
+            attempt: AttemptOffers::new(prefix, &[], &mut rng),
             rng,
             now: NOW,
         }
@@ -44,8 +45,8 @@
     /// Takes the next round, without what it withdraws.
     fn half_round(&mut self) -> Option<Round> {
         let round = self
-            .chooser
-            .next_round(&mut self.plan, self.now, &mut self.rng)?;
+            .selector
+            .next_round(&mut self.attempt, self.now, &mut self.rng)?;
         self.now += round.widen_after;
         Some(round)
     }
@@ -53,7 +54,7 @@
     fn round(&mut self) -> Option<Vec<SidecarId>> {
         let round = self.half_round()?;
         if let Some(old) = round.withdraw {
-            self.plan.withdrawn(old);
+            self.attempt.record_withdrawal(old);
         }
         Some(round.sidecars.to_vec())
     }
@@ -68,7 +69,7 @@
             running,
             waiting: 0,
         };
-        self.chooser.saw_load(sidecar, load, self.now);
+        self.selector.record_load(sidecar, load, self.now);
     }
 }
 
@@ -80,11 +81,11 @@
     let mut waiting = Waiting::open(&sidecars, max_open, seed);
     let mut due = None;
     for _ in 0..200 {
-        let before = waiting.plan.open_offers().to_vec();
+        let before = waiting.attempt.open_offers().to_vec();
         let Some(round) = waiting.half_round() else {
             return before.is_empty();
         };
-        let open = waiting.plan.open_offers().to_vec();
+        let open = waiting.attempt.open_offers().to_vec();
         let is_distinct = open
             .iter()
             .all(|id| open.iter().filter(|other| *other == id).count() == 1);
@@ -98,9 +99,9 @@
         due = round.withdraw.or(due);
         let id = sidecars[waiting.rng.random_range(0..sidecars.len())];
         match waiting.rng.random_range(0..6) {
-            0 if open.contains(&id) => waiting.plan.refused(id),
+            0 if open.contains(&id) => waiting.attempt.record_refusal(id),
             1 => waiting.saw(id, 3),
-            2 => drop(waiting.chooser.health.observe(
+            2 => drop(waiting.selector.health.observe(
                 id,
                 Sample::Failed,
                 waiting.now,
@@ -110,7 +111,7 @@
             _ => due
                 .take()
                 .into_iter()
-                .for_each(|id| waiting.plan.withdrawn(id)),
+                .for_each(|id| waiting.attempt.record_withdrawal(id)),
         }
     }
     true
@@ -144,21 +145,21 @@
     let (back, others) = sidecars.split_last().expect("five sidecars");
     let mut waiting = Waiting::open(others, 3, seed);
     waiting.rounds(3 + usize::from(count));
-    waiting.chooser.set_members(&sidecars, 300, waiting.now);
+    waiting.selector.set_members(&sidecars, 300, waiting.now);
     let is_next = waiting.rounds(1) == [*back];
-    waiting.plan.refused(*back);
+    waiting.attempt.record_refusal(*back);
     is_next && waiting.rounds(2 * sidecars.len() + 1).contains(back)
 }
 
-/// A plan of which all offers are refused tries every sidecar once, withdrawn ones again, and ends.
+/// A attempt of which all offers are refused tries every sidecar once, withdrawn ones again, and ends.
 fn refusals_end(count: u8, moves: u8, seed: u64) -> bool {
     let sidecars = ids(u64::from(count % 40) + 1);
     let mut waiting = Waiting::open(&sidecars, 3, seed);
     let mut refusing = sidecars.clone();
     waiting.rounds(usize::from(moves % 50) + 1);
     for _ in 0..200 {
-        for id in waiting.plan.open_offers().to_vec() {
-            waiting.plan.refused(id);
+        for id in waiting.attempt.open_offers().to_vec() {
+            waiting.attempt.record_refusal(id);
             refusing.retain(|one| *one != id);
         }
         if waiting.round().is_none() {
@@ -191,15 +192,15 @@
         let sidecars = ids(20);
         let mut waiting = Waiting::open(&sidecars, 3, 1);
         for _ in 0..5 {
-            waiting.chooser.health.observe(sidecars[0], Sample::Failed, NOW, &mut StdRng::seed_from_u64(1));
+            waiting.selector.health.observe(sidecars[0], Sample::Failed, NOW, &mut StdRng::seed_from_u64(1));
         }
         assert!(!waiting.rounds(100).contains(&sidecars[0]));
         for _ in 0..2 {
             waiting.now += Duration::from_mins(1);
-            assert_eq!(waiting.chooser.health.start_probes(waiting.now)[..], [sidecars[0]]);
-            waiting.chooser.probed(sidecars[0], true, waiting.now, &mut StdRng::seed_from_u64(1));
+            assert_eq!(waiting.selector.health.start_probes(waiting.now)[..], [sidecars[0]]);
+            waiting.selector.record_probe(sidecars[0], true, waiting.now, &mut StdRng::seed_from_u64(1));
         }
-        // The ramp's share takes in one plan after the other; after it, each has had its chance.
+        // The ramp's share takes in one attempt after the other; after it, each has had its chance.
         waiting.now += Duration::from_secs(31);
         assert_eq!(waiting.rounds(1), [sidecars[0]]);
     }
@@ -207,7 +208,7 @@
         let sidecars = ids(20);
         let mut waiting = Waiting::open(&sidecars, 3, 1);
         waiting.rounds(3);
-        let free = *sidecars.iter().find(|id| !waiting.plan.open_offers().contains(id)).expect("twenty");
+        let free = *sidecars.iter().find(|id| !waiting.attempt.open_offers().contains(id)).expect("twenty");
         waiting.now += Duration::from_millis(1);
         for id in &sidecars {
             waiting.saw(*id, if *id == free { 7 } else { 8 });
@@ -217,15 +218,15 @@
     waits_grow_to_the_limit_with_jitter => {
         let mut waiting = Waiting::open(&ids(20), 3, 1);
         let waits: Vec<_> = (0..40).filter_map(|_| waiting.half_round().inspect(|round| {
-            round.withdraw.into_iter().for_each(|id| waiting.plan.withdrawn(id));
+            round.withdraw.into_iter().for_each(|id| waiting.attempt.record_withdrawal(id));
         })).map(|round| round.widen_after).collect();
-        let rules = ChooseRules::default();
+        let rules = SelectionRules::default();
         assert_eq!(waits[0], rules.widen_after);
         let late = &waits[14..];
         assert!(late.iter().all(|wait| *wait * 4 >= rules.max_rotate_after * 3 && *wait * 4 <= rules.max_rotate_after * 5));
         assert!(late.iter().any(|wait| *wait != late[0]));
         let mut urgent = Waiting::open(&ids(20), 3, 1);
-        urgent.plan = urgent.plan.urgent(true);
+        urgent.attempt = urgent.attempt.with_urgency(true);
         urgent.rounds(14);
         assert!(urgent.half_round().expect("a round").widen_after * 4 <= rules.max_urgent_rotate_after * 5);
     }
--- a/crates/sidecar/src/core.rs
+++ b/crates/sidecar/src/core.rs
@@ -12,7 +12,7 @@
 use hinge_fair::{Class, Limits, Offer, Picked, Queue, Room};
 use hinge_outcome::run::RunMemory;
 use hinge_outcome::{ClaimId, Reason, RunEvent, RunState, RunTable, Verdict};
-use hinge_placement::slots::{EngineReport, Need, Room as SlotRoom, SlotRules, Slots};
+use hinge_placement::slots::{Availability, Demand, EngineReport, SlotRules, Slots};
 use hinge_schema::messages::NotRunReason;
 
 pub use self::offers::{Action, Asked, HandOverCost, Load, Refusal, RequestKey, TeamRules, Ticket};
@@ -47,7 +47,7 @@
     #[must_use]
     pub fn new(rules: SlotRules, limits: Limits) -> Self {
         Self {
-            slots: Slots::open(with_common_slot(rules)),
+            slots: Slots::new(with_common_slot(rules)),
             queue: Queue::new(limits),
             runs: RunTable::open(RunMemory::default()),
             tracked: HashMap::new(),
@@ -78,7 +78,7 @@
     #[must_use]
     pub fn load(&self) -> Load {
         Load {
-            taken_slots: self.slots.running_len(),
+            taken_slots: self.slots.running_count(),
             waiting: self.waiting.by_class(),
         }
     }
@@ -297,7 +297,7 @@
 
     /// Takes a load report of the engine.
     pub fn report_load(&mut self, report: EngineReport, now: Duration) {
-        self.slots.report(report, now);
+        self.slots.apply_report(report, now);
         self.fill(now);
     }
 
@@ -379,29 +379,29 @@
     fn room(&self, now: Duration) -> Room {
         let is_urgent = |ticket: &Ticket| self.need(*ticket).is_urgent;
         let has_common = self.parked.is_empty() && self.slots.free_slots(now) > 0;
-        let smallest = Need {
+        let smallest = Demand {
             kv_tokens: 0,
             is_urgent: true,
         };
-        let has_urgent =
-            !self.parked.iter().any(is_urgent) && self.slots.room(smallest, now) == SlotRoom::Now;
+        let has_urgent = !self.parked.iter().any(is_urgent)
+            && self.slots.availability(smallest, now) == Availability::Now;
         Room {
             free_slots: u32::from(has_common || has_urgent),
             reserved_slots: u32::from(!has_common),
         }
     }
 
-    fn need(&self, ticket: Ticket) -> Need {
+    fn need(&self, ticket: Ticket) -> Demand {
         let tracked = self.tracked.get(&ticket);
         let tracked = tracked.expect("an offer is tracked until it ends");
-        Need {
+        Demand {
             kv_tokens: tracked.kv_tokens,
             is_urgent: tracked.class == Class::Urgent,
         }
     }
 
     fn fits(&self, ticket: Ticket, now: Duration) -> bool {
-        self.slots.room(self.need(ticket), now) == SlotRoom::Now
+        self.slots.availability(self.need(ticket), now) == Availability::Now
     }
 
     /// Returns the KV tokens that are counted for an offer.
@@ -429,7 +429,7 @@
         tracked.claim = Some(claim);
         self.waiting.remove(tracked.class, &tracked.team);
         self.by_claim.insert(claim, ticket);
-        let has_room = self.slots.take(claim, need, now);
+        let has_room = self.slots.acquire(claim, need, now);
         assert!(has_room, "room was checked before the grant");
         self.actions.push(Action::Grant { ticket, claim });
     }
--- a/crates/sidecar/src/rules.rs
+++ b/crates/sidecar/src/rules.rs
@@ -44,7 +44,7 @@
     let urgent = pool.map_or(settings.reserved_urgent_slots, |pool| {
         pool.reserved_urgent_slots
     });
-    let whole = SlotRules::of(settings.slots, settings.kv_tokens, urgent);
+    let whole = SlotRules::new(settings.slots, settings.kv_tokens, urgent);
     SlotRules {
         slots: allowed_slots,
         ..whole
--- a/crates/sidecar/src/run.rs
+++ b/crates/sidecar/src/run.rs
@@ -51,7 +51,7 @@
 
     fn by_endpoint(reason: Reason) -> Self {
         let sample = match reason {
-            Reason::EndpointTimeout => Sample::Hung,
+            Reason::EndpointTimeout => Sample::TimedOut,
             _ => Sample::Failed,
         };
         Self {
--- a/crates/sidecar/src/shell.rs
+++ b/crates/sidecar/src/shell.rs
@@ -9,7 +9,7 @@
 use hinge_fair::Limits;
 use hinge_member::Member;
 use hinge_outcome::{ClaimId, Verdict};
-use hinge_placement::{EngineReport, Sample, SelfHealth, SlotRules};
+use hinge_placement::{EngineReport, LocalEndpointHealth, Sample, SlotRules};
 use hinge_schema::messages::{FailureKind, NotRunReason};
 use hinge_telemetry::log::Part;
 use tokio::sync::{mpsc, watch};
@@ -44,7 +44,7 @@
     core: Core,
     doors: HashMap<Ticket, mpsc::UnboundedSender<Signal>>,
     live: HashMap<ClaimId, Live>,
-    health: SelfHealth,
+    health: LocalEndpointHealth,
     /// Rules that the core holds, so that it is told only of changes.
     room: SlotRules,
 }
@@ -92,7 +92,7 @@
             max_waiting: settings.max_waiting,
             max_request_units: settings.max_request_units,
         };
-        let health = SelfHealth::open(settings.health, Duration::ZERO);
+        let health = LocalEndpointHealth::new(settings.health, Duration::ZERO);
         Self {
             settings,
             member,
@@ -250,7 +250,9 @@
     /// Takes the result of a probe.
     pub(crate) fn note_probe(&self, is_ok: bool) {
         let now = self.now();
-        self.lock().health.probed(is_ok, now, &mut rand::rng());
+        self.lock()
+            .health
+            .record_probe(is_ok, now, &mut rand::rng());
         self.refresh_room();
     }
 
--- a/crates/sidecar/tests/decisions.rs
+++ b/crates/sidecar/tests/decisions.rs
@@ -27,7 +27,7 @@
         max_waiting: 16,
         max_request_units: 100,
     };
-    Core::new(SlotRules::of(slots, kv_tokens, urgent_slots), limits)
+    Core::new(SlotRules::new(slots, kv_tokens, urgent_slots), limits)
 }
 
 fn asked(request_id: u64, class: Class, kv_tokens: u64) -> Asked {
