--- a/crates/estimate/src/estimator.rs
+++ b/crates/estimate/src/estimator.rs
@@ -1,4 +1,4 @@
-//! Estimates from the costs of similar requests, and from rough hints before any are known.
+//! Estimates costs from those of similar requests, or from hints until enough costs are known.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -9,16 +9,16 @@
 
 use crate::histogram::TokenHistogram;
 
-/// Groups that one team holds: twice what the bench's teams send; the one added first goes first.
+/// Maximum groups of one team, twice as many as a team of the benchmark uses; the oldest is evicted first.
 pub const MAX_TEAM_GROUPS: usize = 16;
 
-/// Teams that one estimator holds: more than the 1,500 of the target; the one added first goes first.
+/// Maximum teams of one estimator, above the target of 1,500; the oldest is evicted first.
 pub const MAX_TEAMS: usize = 2048;
 
-/// Most memory of one team's groups, in bytes, beside its name and its place in the tables.
+/// Maximum memory of one team's groups, in bytes, excluding the team's name and its table entries.
 pub const MAX_TEAM_BYTES: usize = MAX_TEAM_GROUPS * size_of::<(u64, TokenHistogram)>();
 
-/// What is known of a request before it runs.
+/// The properties of a request that are known before it runs.
 #[derive(Clone, Copy, Debug)]
 pub struct Features<'a> {
     /// Name of the team.
@@ -27,55 +27,55 @@
     pub class: Class,
     /// Name of the model.
     pub model: &'a str,
-    /// Tokens of the prompt.
+    /// Prompt tokens.
     pub prompt_tokens: u64,
-    /// Most tokens that the caller lets the model generate; 0 when it does not say.
+    /// Caller's limit on generated tokens; 0 if it sets none.
     pub max_tokens: u64,
-    /// Tokens that the caller expects to be generated.
+    /// Caller's estimate of the generated tokens.
     pub hinted_tokens: Option<u64>,
 }
 
-/// What a request is expected to cost.
+/// The expected cost of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Estimate {
-    /// Expected service, in units of the pool.
+    /// Expected service, in the pool's service units.
     pub service_units: u64,
-    /// Tokens of KV cache to set aside for the prompt and the answer.
+    /// KV cache tokens to reserve for the prompt and the answer.
     pub kv_tokens: u64,
 }
 
-/// Says which requests count as similar.
+/// The criteria by which requests are grouped as similar.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Grouping {
-    /// Those of one team, class and model.
+    /// Same team, class and model.
     TeamClassModel,
-    /// Those of one team, class and model that also ask alike: equal `max_tokens`, and prompts within a doubling.
+    /// Same team, class, model and `max_tokens`, and prompt lengths between the same two powers of two.
     Similar,
 }
 
-/// Sets how costs are estimated.
+/// The settings of the estimation.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Rules {
-    /// Which requests count as similar.
+    /// Criteria by which requests are grouped as similar.
     pub grouping: Grouping,
-    /// Part of a group's requests, in thousandths, that cost no more than the service estimate.
+    /// Quantile of a group's generated tokens, in thousandths, on which the service estimate is based.
     pub service_quantile_permille: u16,
-    /// Part of a group's requests, in thousandths, that generate no more than the KV estimate.
+    /// Quantile of a group's generated tokens, in thousandths, on which the KV cache estimate is based.
     pub kv_quantile_permille: u16,
-    /// Part of that, in thousandths, that is set aside: runs are at different stages, so that few are at their end.
+    /// Fraction of that estimate to reserve, in thousandths; concurrent requests rarely all near their end at once.
     pub kv_reserve_permille: u16,
-    /// Answers that a group must have seen before it is believed.
+    /// Minimum weight of a group's histogram before its quantiles are used.
     pub min_weight: u16,
-    /// Service units of a thousand prompt tokens.
+    /// Service units per thousand prompt tokens.
     pub prompt_units_permille: u64,
-    /// Service units of a thousand generated tokens.
+    /// Service units per thousand generated tokens.
     pub generated_units_permille: u64,
-    /// Generated tokens that are expected when nothing is known.
+    /// Expected generated tokens without a hint or enough similar requests.
     pub default_generated_tokens: u64,
 }
 
 impl Default for Rules {
-    /// Returns the rules that the bench favours; see `docs/design/cost-estimate.md`.
+    /// Returns the rules with the best benchmark results; see `docs/design/cost-estimate.md`.
     fn default() -> Self {
         Self {
             grouping: Grouping::Similar,
@@ -90,26 +90,26 @@
     }
 }
 
-/// Learns the costs of similar requests, in bounded memory.
+/// An estimator that learns the costs of similar requests in bounded memory.
 #[derive(Debug)]
 pub struct Estimator {
     rules: Rules,
     teams: HashMap<Box<str>, VecDeque<(u64, TokenHistogram)>>,
-    order: VecDeque<Box<str>>,
+    insertion_order: VecDeque<Box<str>>,
 }
 
 impl Estimator {
-    /// Opens an estimator that has learnt nothing.
+    /// Returns an estimator without samples.
     #[must_use]
     pub fn new(rules: Rules) -> Self {
         Self {
             rules,
             teams: HashMap::new(),
-            order: VecDeque::new(),
+            insertion_order: VecDeque::new(),
         }
     }
 
-    /// Returns whether enough similar requests have ended for their costs to count.
+    /// Returns whether enough similar requests have ended to base an estimate on them.
     #[must_use]
     pub fn has_samples(&self, features: &Features<'_>) -> bool {
         let group = self.group(features);
@@ -117,71 +117,71 @@
         median.is_some()
     }
 
-    /// Returns the estimate of a request.
+    /// Returns the estimated cost of a request.
     #[must_use]
     pub fn estimate(&self, features: &Features<'_>) -> Estimate {
         let group = self.group(features);
-        let known = |permille| group.and_then(|group| group.quantile(permille));
-        let expected = known(self.rules.service_quantile_permille);
-        let expected = expected.unwrap_or_else(|| self.unlearnt(features));
-        let most = known(self.rules.kv_quantile_permille).unwrap_or(expected);
+        let quantile = |permille| group.and_then(|group| group.quantile(permille));
+        let expected = quantile(self.rules.service_quantile_permille);
+        let expected = expected.unwrap_or_else(|| self.fallback_tokens(features));
+        let kv_expected = quantile(self.rules.kv_quantile_permille).unwrap_or(expected);
         let capped = |tokens: u64| match features.max_tokens {
             0 => tokens,
             max => tokens.min(max),
         };
-        let part = u64::from(self.rules.kv_reserve_permille);
+        let reserve_permille = u64::from(self.rules.kv_reserve_permille);
         Estimate {
             service_units: self.units(features.prompt_tokens, capped(expected)),
-            kv_tokens: features.prompt_tokens + capped(most) * part / 1000,
+            kv_tokens: features.prompt_tokens + capped(kv_expected) * reserve_permille / 1000,
         }
     }
 
-    /// Learns what a request cost, in service units of the pool.
+    /// Records the actual cost of a request, in the pool's service units.
     pub fn learn(&mut self, features: &Features<'_>, actual_units: u64) {
         let prompt_units = self.units(features.prompt_tokens, 0);
         let generated_units = actual_units.saturating_sub(prompt_units);
         let weight = self.rules.generated_units_permille.max(1);
         let generated = generated_units.saturating_mul(1000) / weight;
-        let key = self.key(features);
-        let groups = self.team_mut(features.team);
-        if let Some((_, group)) = groups.iter_mut().find(|(held, _)| *held == key) {
-            return group.learn(generated);
+        let key = self.group_key(features);
+        let groups = self.team_groups_mut(features.team);
+        if let Some((_, group)) = groups.iter_mut().find(|(other, _)| *other == key) {
+            return group.record(generated);
         }
         if groups.len() == MAX_TEAM_GROUPS {
             groups.pop_front();
         }
         let mut group = TokenHistogram::default();
-        group.learn(generated);
+        group.record(generated);
         groups.push_back((key, group));
     }
 
-    /// Returns the number of groups that are held for all teams.
+    /// Returns the number of groups of all teams.
     #[must_use]
     pub fn group_count(&self) -> usize {
         self.teams.values().map(VecDeque::len).sum()
     }
 
-    fn team_mut(&mut self, team: &str) -> &mut VecDeque<(u64, TokenHistogram)> {
+    fn team_groups_mut(&mut self, team: &str) -> &mut VecDeque<(u64, TokenHistogram)> {
         if !self.teams.contains_key(team) {
             if self.teams.len() == MAX_TEAMS {
-                let oldest = self.order.pop_front();
-                let oldest = oldest.expect("each team has its place in the order");
+                let oldest = self.insertion_order.pop_front();
+                let oldest = oldest.expect("every team is in the insertion order");
                 self.teams.remove(&oldest);
             }
-            self.order.push_back(team.into());
+            self.insertion_order.push_back(team.into());
         }
         self.teams.entry(team.into()).or_default()
     }
 
     fn group(&self, features: &Features<'_>) -> Option<&TokenHistogram> {
-        let key = self.key(features);
+        let key = self.group_key(features);
         let groups = self.teams.get(features.team)?;
-        let (_, group) = groups.iter().find(|(held, _)| *held == key)?;
+        let (_, group) = groups.iter().find(|(other, _)| *other == key)?;
         (group.weight() >= self.rules.min_weight).then_some(group)
     }
 
-    /// Returns the generated tokens to expect of a group that is not known yet.
-    fn unlearnt(&self, features: &Features<'_>) -> u64 {
+    /// Returns the expected generated tokens of a request whose group has too few samples.
+    fn fallback_tokens(&self, features: &Features<'_>) -> u64 {
         features
             .hinted_tokens
             .unwrap_or(self.rules.default_generated_tokens)
@@ -193,7 +193,7 @@
         prompt.saturating_add(generated) / 1000
     }
 
-    fn key(&self, features: &Features<'_>) -> u64 {
+    fn group_key(&self, features: &Features<'_>) -> u64 {
         let mut hasher = DefaultHasher::new();
         let class = Class::ALL.iter().position(|one| *one == features.class);
         (class, features.model).hash(&mut hasher);
--- a/crates/estimate/src/histogram.rs
+++ b/crates/estimate/src/histogram.rs
@@ -1,58 +1,59 @@
-//! Holds the decayed distribution of the costs of one group.
+//! The decaying distribution of the generated tokens of one group of requests.
 
-/// Cells of the histogram: two to a doubling, so that 32 cells span 1 to 65,536 tokens.
-const CELLS: usize = 32;
+/// Number of buckets: two for each doubling, so 32 buckets span 1 to 65,536 tokens.
+const BUCKETS: usize = 32;
 
-/// Observations after which all counts are halved.
+/// Total count at which all counts are halved.
 ///
-/// Half of the weight then lies in the last 64 to 128 answers: minutes for a busy team, and enough for a ninth decile.
-const HALVE_AT: u16 = 128;
+/// This puts half of the weight on the last 64 to 128 answers, which is minutes of a busy team's requests and enough samples
+/// for the ninth decile.
+const HALVE_AT_WEIGHT: u16 = 128;
 
-/// The costs of one group of similar requests, in a histogram of half doublings.
+/// A decaying histogram of the generated tokens of similar requests, with two buckets for each doubling.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct TokenHistogram {
-    counts: [u16; CELLS],
+    counts: [u16; BUCKETS],
     total: u16,
     last_tokens: u32,
 }
 
 impl TokenHistogram {
-    /// Counts a cost, in tokens.
-    pub fn learn(&mut self, tokens: u64) {
-        self.counts[cell(tokens)] += 1;
+    /// Records the generated tokens of a request.
+    pub fn record(&mut self, tokens: u64) {
+        self.counts[bucket(tokens)] += 1;
         self.total += 1;
         self.last_tokens = u32::try_from(tokens).unwrap_or(u32::MAX);
-        if self.total >= HALVE_AT {
+        if self.total >= HALVE_AT_WEIGHT {
             self.halve();
         }
     }
 
-    /// Returns the weight of what was learnt.
+    /// Returns the total of all counts after decay.
     #[must_use]
     pub fn weight(&self) -> u16 {
         self.total
     }
 
-    /// Returns the last cost, in tokens.
+    /// Returns the generated tokens of the last recorded request.
     #[must_use]
     pub fn last_tokens(&self) -> u64 {
         u64::from(self.last_tokens)
     }
 
-    /// Returns the cost, in tokens, that the given part of the requests does not exceed.
+    /// Returns a quantile of the generated tokens, or `None` if the histogram is empty.
     #[must_use]
     pub fn quantile(&self, permille: u16) -> Option<u64> {
         if self.total == 0 {
             return None;
         }
-        let wanted = u32::from(self.total) * u32::from(permille.min(1000));
-        let wanted = wanted.div_ceil(1000).max(1);
-        let mut seen = 0;
+        let target = u32::from(self.total) * u32::from(permille.min(1000));
+        let target = target.div_ceil(1000).max(1);
+        let mut cumulative = 0;
         let found = self.counts.iter().position(|count| {
-            seen += u32::from(*count);
-            seen >= wanted
+            cumulative += u32::from(*count);
+            cumulative >= target
         });
-        found.map(middle)
+        found.map(bucket_midpoint)
     }
 
     fn halve(&mut self) {
@@ -63,19 +64,19 @@
     }
 }
 
-/// Returns the cell of a cost: two for each doubling.
-fn cell(tokens: u64) -> usize {
+/// Returns the index of the bucket that contains `tokens`.
+fn bucket(tokens: u64) -> usize {
     let tokens = tokens.max(1);
     let doubling = tokens.ilog2();
-    // A half doubling is a factor of 1.414, close to 181/128.
+    // Half a doubling is a factor of 1.414, which is close to 181/128.
     let upper = u128::from(tokens) * 128 >= (181_u128 << doubling);
-    let cell = 2 * doubling as usize + usize::from(upper);
-    cell.min(CELLS - 1)
+    let bucket = 2 * doubling as usize + usize::from(upper);
+    bucket.min(BUCKETS - 1)
 }
 
-/// Returns the cost in the middle of a cell.
-fn middle(cell: usize) -> u64 {
-    // The lower half doubling spans 1 to 1.414 and the upper 1.414 to 2 times the power of two.
-    let percent = if cell.is_multiple_of(2) { 119 } else { 168 };
-    (percent << (cell / 2)) / 100
+/// Returns the number of tokens at the middle of a bucket.
+fn bucket_midpoint(bucket: usize) -> u64 {
+    // The lower bucket of a doubling spans 1 to 1.414 times a power of two, and the upper one 1.414 to 2 times.
+    let percent = if bucket.is_multiple_of(2) { 119 } else { 168 };
+    (percent << (bucket / 2)) / 100
 }
--- a/crates/estimate/src/lib.rs
+++ b/crates/estimate/src/lib.rs
@@ -1,8 +1,7 @@
-//! Estimates what a request will cost before it has run.
+//! Estimates the cost of a request before it runs.
 //!
-//! The crate is pure: no I/O, no clock, no randomness. An entry asks before it offers a request, and tells what the
-//! request cost once its answer has ended. The choice among the ways that were tried, with figures, is in
-//! `docs/design/cost-estimate.md`.
+//! The crate does no I/O and uses no clock or randomness. An entry requests an estimate before it offers a request, and
+//! reports the actual cost once the answer has ended. `docs/design/cost-estimate.md` compares the methods of estimation.
 
 mod estimator;
 mod histogram;
--- a/crates/estimate/tests/estimator.rs
+++ b/crates/estimate/tests/estimator.rs
@@ -1,4 +1,4 @@
-//! Checks what the estimator learns, forgets and holds.
+//! Tests of estimates, their decay and the limits on memory.
 
 use hinge_cases::cases;
 use hinge_estimate::{
@@ -19,8 +19,8 @@
     }
 }
 
-/// Returns an estimator that has learnt answers of these lengths to `request("a")`.
-fn learnt(lengths: &[u64]) -> Estimator {
+/// Returns an estimator that has recorded answers of these lengths to `request("a")`.
+fn estimator_with(lengths: &[u64]) -> Estimator {
     let mut estimator = Estimator::new(Rules::default());
     for length in lengths {
         estimator.learn(&request("a"), 100 + length);
@@ -29,33 +29,33 @@
 }
 
 fn is_near(estimate: u64, actual: u64) -> bool {
-    // Half a doubling wide cells, and their middle: within a fifth.
+    // A bucket spans half a doubling, so its midpoint is within a fifth of any value in it.
     estimate * 5 >= actual * 4 && estimate * 4 <= actual * 5
 }
 
 cases! {
-    an_unknown_group_gets_the_hint_and_half_of_it_in_the_cache => {
-        let estimate = learnt(&[]).estimate(&request("a"));
+    without_samples_the_hint_is_used_and_half_of_it_reserved_in_the_cache => {
+        let estimate = estimator_with(&[]).estimate(&request("a"));
         assert_eq!(estimate, Estimate { service_units: 150, kv_tokens: 1025 });
     }
 
-    without_a_hint_the_default_counts => {
+    without_a_hint_the_default_is_used => {
         let features = Features { hinted_tokens: None, ..request("a") };
-        assert_eq!(learnt(&[]).estimate(&features).service_units, 356);
+        assert_eq!(estimator_with(&[]).estimate(&features).service_units, 356);
     }
 
-    a_few_answers_are_not_believed => {
-        assert_eq!(learnt(&[800; 3]).estimate(&request("a")).service_units, 150);
+    too_few_answers_are_ignored => {
+        assert_eq!(estimator_with(&[800; 3]).estimate(&request("a")).service_units, 150);
     }
 
-    the_median_of_similar_requests_counts => {
-        let estimate = learnt(&[10, 800, 800, 800, 4000]).estimate(&request("a"));
+    estimates_use_the_median_of_similar_requests => {
+        let estimate = estimator_with(&[10, 800, 800, 800, 4000]).estimate(&request("a"));
         assert!(is_near(estimate.service_units - 100, 800), "{estimate:?}");
         assert!(is_near(estimate.kv_tokens - 1000, 400), "{estimate:?}");
     }
 
-    others_are_not_similar => {
-        let estimator = learnt(&[800; 9]);
+    requests_with_other_features_are_not_similar => {
+        let estimator = estimator_with(&[800; 9]);
         let others = [
             request("b"),
             Features { class: Class::Urgent, ..request("a") },
@@ -69,13 +69,13 @@
         }
     }
 
-    old_answers_are_forgotten => {
-        let estimator = learnt(&[[2000; 500], [100; 500]].concat()[..620]);
+    old_answers_decay => {
+        let estimator = estimator_with(&[[2000; 500], [100; 500]].concat()[..620]);
         assert!(is_near(estimator.estimate(&request("a")).service_units - 100, 100));
     }
 
-    a_team_s_memory_is_bounded_and_costs_no_other_team => {
-        let mut estimator = learnt(&[800; 9]);
+    a_team_evicts_only_its_own_groups_at_its_limit => {
+        let mut estimator = estimator_with(&[800; 9]);
         let ask = |max_tokens| Features { max_tokens, ..request("b") };
         for max_tokens in 1..100 {
             estimator.learn(&ask(max_tokens), 500);
@@ -85,8 +85,8 @@
         assert_eq!(MAX_TEAM_BYTES, 1280);
     }
 
-    teams_are_bounded => {
-        let mut estimator = learnt(&[800; 9]);
+    the_oldest_team_is_evicted_at_the_limit => {
+        let mut estimator = estimator_with(&[800; 9]);
         for team in 0..MAX_TEAMS {
             estimator.learn(&request(&team.to_string()), 500);
         }
@@ -96,8 +96,8 @@
 }
 
 #[expect(clippy::needless_pass_by_value, reason = "quickcheck passes values")]
-fn stays_below_the_caller_s_limit(lengths: Vec<u16>, max_tokens: u16) -> bool {
-    let estimator = learnt(
+fn respects_caller_limit(lengths: Vec<u16>, max_tokens: u16) -> bool {
+    let estimator = estimator_with(
         &lengths
             .iter()
             .map(|one| u64::from(*one))
@@ -113,28 +113,28 @@
 }
 
 #[expect(clippy::needless_pass_by_value, reason = "quickcheck passes values")]
-fn a_quantile_is_near_an_answer(lengths: Vec<u16>, permille: u16) -> bool {
-    let mut group = TokenHistogram::default();
-    // Fewer than are halved, so that all of them count.
+fn quantile_is_near_an_answer(lengths: Vec<u16>, permille: u16) -> bool {
+    let mut histogram = TokenHistogram::default();
+    // Fewer than `HALVE_AT_WEIGHT`, so that no count is halved.
     let lengths: Vec<u64> = lengths
         .iter()
         .take(100)
         .map(|one| u64::from(*one).max(4))
         .collect();
     for one in &lengths {
-        group.learn(*one);
+        histogram.record(*one);
     }
-    let quantile = group.quantile(permille % 1001);
+    let quantile = histogram.quantile(permille % 1001);
     quantile.map_or(lengths.is_empty(), |quantile| {
         lengths.iter().any(|one| is_near(quantile, *one))
     })
 }
 
 cases! {
-    estimates_stay_below_the_caller_s_limit => {
-        quickcheck(stays_below_the_caller_s_limit as fn(Vec<u16>, u16) -> bool);
+    estimates_stay_within_the_caller_s_limit => {
+        quickcheck(respects_caller_limit as fn(Vec<u16>, u16) -> bool);
     }
     quantiles_are_near_an_answer => {
-        quickcheck(a_quantile_is_near_an_answer as fn(Vec<u16>, u16) -> bool);
+        quickcheck(quantile_is_near_an_answer as fn(Vec<u16>, u16) -> bool);
     }
 }
--- a/crates/placement/benches/choose.rs
+++ b/crates/placement/benches/choose.rs
@@ -1,4 +1,4 @@
-//! Times the choice of sidecars in a pool of 200, with a link to 20 of them.
+//! Benchmarks the selection of sidecars in a pool of 200, of which the entry's subset has 20.
 
 use std::{hint::black_box, time::Duration};
 
@@ -11,7 +11,7 @@
 const SIDECARS: u64 = 200;
 const ENTRIES: usize = 300;
 
-fn pool() -> SidecarSelector {
+fn selector() -> SidecarSelector {
     let sidecars: Vec<SidecarId> = (0..SIDECARS).map(|index| mix(7, index)).collect();
     let mut selector = SidecarSelector::new(SelectionRules::default(), HealthRules::default(), 42);
     selector.set_members(&sidecars, ENTRIES, Duration::ZERO);
@@ -26,8 +26,8 @@
     selector
 }
 
-fn choose(c: &mut Criterion) {
-    let selector = pool();
+fn select(c: &mut Criterion) {
+    let selector = selector();
     let now = Duration::from_millis(500);
     let mut rng = SmallRng::seed_from_u64(1);
     for (name, prefix) in [
@@ -53,5 +53,5 @@
     });
 }
 
-criterion_group!(benches, choose);
+criterion_group!(benches, select);
 criterion_main!(benches);
--- a/crates/placement/src/health.rs
+++ b/crates/placement/src/health.rs
@@ -1,49 +1,50 @@
-//! Judges one endpoint by the outcomes of the work that it was given.
+//! Outlier detection for a single endpoint, based on the outcomes of its requests.
 
 use std::time::Duration;
 
 use rand::{Rng, RngExt};
 use serde::{Deserialize, Serialize};
 
-/// Share of an endpoint that gets all the offers it would get by itself, in thousandths.
+/// Share of an endpoint whose offers aren't reduced, in thousandths.
 pub const FULL_SHARE_PERMILLE: u32 = 1000;
 
-/// Sets when an endpoint is ejected and how it comes back.
+/// The settings of ejection and readmission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HealthRules {
-    /// Failures in a row that eject.
+    /// Consecutive failures after which an endpoint is ejected.
     pub max_failures_in_row: u32,
-    /// Mean share of failures, in thousandths, that ejects.
+    /// Mean failure rate, in thousandths, from which on an endpoint is ejected.
     pub max_failure_permille: u32,
-    /// Samples needed before a mean counts.
+    /// Samples needed before a mean is used.
     pub min_samples: u32,
-    /// Times the pool's median wait, in thousandths, from which on an endpoint counts as slow.
+    /// Multiple of the pool's median wait, in thousandths, above which an endpoint counts as slow.
     pub slow_permille: u64,
-    /// Greatest part of a pool, in thousandths, that may be below its full share at once.
+    /// Maximum fraction of a pool, in thousandths, that may be below its full share at once.
     pub max_reduced_permille: u32,
     /// Time from an ejection to the first probe; it doubles with each further ejection.
     pub probe_after: Duration,
-    /// Longest time from an ejection to a probe.
+    /// Maximum time from an ejection to the first probe.
     pub max_probe_after: Duration,
-    /// Time after which a probe without a result is made again.
+    /// Time after which a probe without a result is repeated.
     pub probe_timeout: Duration,
-    /// Probes in a row that must succeed.
+    /// Consecutive probes that must succeed before readmission.
     pub probes_needed: u32,
-    /// Time over which an endpoint that comes back gets its full share.
+    /// Time over which a readmitted endpoint regains its full share.
     pub ramp: Duration,
-    /// Share at the start of that time, in thousandths.
+    /// Share at the start of the ramp, in thousandths.
     pub ramp_start_permille: u32,
-    /// Time at full share after which former ejections no longer count.
+    /// Time at full share after which earlier ejections no longer lengthen the wait for a probe.
     #[serde(rename = "forgive_after")]
     pub reset_backoff_after: Duration,
 }
 
 impl Default for HealthRules {
-    /// Returns the defaults.
+    /// Returns the default settings.
     ///
-    /// Five failures in a row are a 1 in 100,000 event for an endpoint that fails one request in ten by chance. A third of
-    /// a pool allows one of three plain services to be ejected, and leaves two thirds to serve. A wait of three times the
-    /// median is beyond what batching and prompt length explain on average. The ramp is long enough to fill a prefix cache.
+    /// An endpoint that fails one request in ten at random has five consecutive failures with a probability of 1 in 100,000.
+    /// The limit of one third allows ejecting one of three plain services and leaves two thirds of the pool in service.
+    /// Batching and prompt length don't explain a mean wait of three times the median. The ramp is long enough to fill a
+    /// prefix cache.
     fn default() -> Self {
         Self {
             max_failures_in_row: 5,
@@ -62,24 +63,23 @@
     }
 }
 
-/// Holds one outcome as far as it speaks about the endpoint; a refusal for load says nothing and is not fed.
+/// The outcome of a request that is evidence about the endpoint's health; refusals due to load are not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Sample {
     /// The endpoint answered.
     Answered {
-        /// Time from the hand-over to the first byte, for each unit of estimated prompt cost.
+        /// Time from handing the request to the endpoint to the first byte, divided by the units of estimated prompt cost.
         wait: Duration,
     },
-    /// The endpoint, or the way to it, failed.
+    /// The endpoint or the connection to it failed.
     Failed,
-    /// The endpoint was silent beyond the limit.
+    /// The endpoint sent nothing within the time limit.
     TimedOut,
 }
 
-/// Says how an endpoint stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Standing {
-    Admitted {
+enum HealthState {
+    Healthy {
         since: Duration,
     },
     Ejected {
@@ -91,57 +91,57 @@
     },
 }
 
-/// Judges one endpoint.
+/// The health of one endpoint.
 #[derive(Debug, Clone)]
 pub struct EndpointHealth {
-    standing: Standing,
+    state: HealthState,
     failures_in_row: u32,
     samples: u32,
-    failure_permille: u32,
-    wait_us: u64,
+    mean_failure_permille: u32,
+    mean_wait_us: u64,
     ejections: u32,
 }
 
-/// Weight of a new sample in the running means is one in this many; about the last dozen samples count.
-const MEAN_WEIGHT: u32 = 8;
+/// Inverse weight of a new sample in the exponentially weighted means; about the last dozen samples matter.
+const EWMA_DIVISOR: u32 = 8;
 
 impl EndpointHealth {
-    /// Opens the record of an endpoint at full share.
+    /// Returns the health of an endpoint at full share.
     #[must_use]
     pub fn new(now: Duration) -> Self {
         Self {
-            standing: Standing::Admitted { since: now },
+            state: HealthState::Healthy { since: now },
             failures_in_row: 0,
             samples: 0,
-            failure_permille: 0,
-            wait_us: 0,
+            mean_failure_permille: 0,
+            mean_wait_us: 0,
             ejections: 0,
         }
     }
 
-    /// Returns the share of its offers that the endpoint gets now, in thousandths.
+    /// Returns the share of its usual offers that the endpoint gets at `now`, in thousandths.
     #[must_use]
     pub fn share_permille(&self, rules: &HealthRules, now: Duration) -> u32 {
-        match self.standing {
-            Standing::Admitted { .. } => FULL_SHARE_PERMILLE,
-            Standing::Ejected { .. } => 0,
-            Standing::Ramping { since } => ramp_share(rules, now.saturating_sub(since)),
+        match self.state {
+            HealthState::Healthy { .. } => FULL_SHARE_PERMILLE,
+            HealthState::Ejected { .. } => 0,
+            HealthState::Ramping { since } => ramp_share(rules, now.saturating_sub(since)),
         }
     }
 
     /// Returns whether the endpoint is ejected.
     #[must_use]
     pub fn is_ejected(&self) -> bool {
-        matches!(self.standing, Standing::Ejected { .. })
+        matches!(self.state, HealthState::Ejected { .. })
     }
 
-    /// Returns the mean wait, once there are enough samples.
+    /// Returns the mean wait in microseconds, or `None` if there are too few samples or the endpoint is ejected.
     #[must_use]
-    pub fn wait_us(&self, rules: &HealthRules) -> Option<u64> {
-        (self.samples >= rules.min_samples && !self.is_ejected()).then_some(self.wait_us)
+    pub fn mean_wait_us(&self, rules: &HealthRules) -> Option<u64> {
+        (self.samples >= rules.min_samples && !self.is_ejected()).then_some(self.mean_wait_us)
     }
 
-    /// Takes an outcome; those of an ejected endpoint are late and change nothing.
+    /// Records an outcome; while the endpoint is ejected, outcomes are late and are ignored.
     pub fn observe(&mut self, sample: Sample) {
         if self.is_ejected() {
             return;
@@ -151,33 +151,35 @@
             Sample::Answered { wait } => {
                 let wait_us = u64::try_from(wait.as_micros()).unwrap_or(u64::MAX / 2);
                 self.failures_in_row = 0;
-                self.failure_permille -= self.failure_permille.div_ceil(MEAN_WEIGHT);
-                self.wait_us = mean(self.wait_us, wait_us, self.samples);
+                self.mean_failure_permille -= self.mean_failure_permille.div_ceil(EWMA_DIVISOR);
+                self.mean_wait_us = ewma(self.mean_wait_us, wait_us, self.samples);
             }
             Sample::Failed | Sample::TimedOut => {
                 self.failures_in_row = self.failures_in_row.saturating_add(1);
-                self.failure_permille +=
-                    (FULL_SHARE_PERMILLE - self.failure_permille) / MEAN_WEIGHT;
+                self.mean_failure_permille +=
+                    (FULL_SHARE_PERMILLE - self.mean_failure_permille) / EWMA_DIVISOR;
             }
         }
     }
 
-    /// Returns whether its failures call for an ejection.
+    /// Returns whether the endpoint has failed often enough to be ejected.
     #[must_use]
     pub fn is_failing(&self, rules: &HealthRules) -> bool {
         let has_failed_often = self.samples >= rules.min_samples
-            && self.failure_permille >= rules.max_failure_permille;
+            && self.mean_failure_permille >= rules.max_failure_permille;
         !self.is_ejected()
             && (self.failures_in_row >= rules.max_failures_in_row || has_failed_often)
     }
 
-    /// Ejects the endpoint until a probe, at a time drawn from the upper half of its doubling wait.
+    /// Ejects the endpoint and schedules a probe after between half and all of an exponential backoff, at random.
     pub fn eject(&mut self, rules: &HealthRules, now: Duration, rng: &mut impl Rng) {
-        let is_forgiven = match self.standing {
-            Standing::Admitted { since } => now.saturating_sub(since) >= rules.reset_backoff_after,
-            Standing::Ejected { .. } | Standing::Ramping { .. } => false,
+        let resets_backoff = match self.state {
+            HealthState::Healthy { since } => {
+                now.saturating_sub(since) >= rules.reset_backoff_after
+            }
+            HealthState::Ejected { .. } | HealthState::Ramping { .. } => false,
         };
-        if is_forgiven {
+        if resets_backoff {
             self.ejections = 0;
         }
         let wait = rules
@@ -186,16 +188,16 @@
         let wait = wait.min(rules.max_probe_after);
         let wait = wait.mul_f64(rng.random_range(0.5..=1.0));
         self.ejections = self.ejections.saturating_add(1);
-        self.standing = Standing::Ejected {
+        self.state = HealthState::Ejected {
             probe_at: now + wait,
             probes_passed: 0,
         };
-        self.clear_means();
+        self.reset_means();
     }
 
-    /// Returns whether a probe is due, and puts off the next one by the probe's timeout.
+    /// Returns whether a probe is due; if so, schedules the next one after the probe timeout.
     pub fn start_probe(&mut self, rules: &HealthRules, now: Duration) -> bool {
-        let Standing::Ejected { probe_at, .. } = &mut self.standing else {
+        let HealthState::Ejected { probe_at, .. } = &mut self.state else {
             return false;
         };
         if now < *probe_at {
@@ -205,7 +207,7 @@
         true
     }
 
-    /// Takes the result of a probe.
+    /// Records the result of a probe.
     pub fn record_probe(
         &mut self,
         is_ok: bool,
@@ -213,7 +215,7 @@
         now: Duration,
         rng: &mut impl Rng,
     ) {
-        let Standing::Ejected { probes_passed, .. } = self.standing else {
+        let HealthState::Ejected { probes_passed, .. } = self.state else {
             return;
         };
         if !is_ok {
@@ -221,47 +223,47 @@
             return;
         }
         let probes_passed = probes_passed + 1;
-        self.standing = if probes_passed >= rules.probes_needed {
-            Standing::Ramping { since: now }
+        self.state = if probes_passed >= rules.probes_needed {
+            HealthState::Ramping { since: now }
         } else {
             let probe_at = now + rules.probe_after;
-            Standing::Ejected {
+            HealthState::Ejected {
                 probe_at,
                 probes_passed,
             }
         };
     }
 
-    /// Gives the endpoint its full share at once.
-    pub fn admit(&mut self, now: Duration) {
-        self.standing = Standing::Admitted { since: now };
-        self.clear_means();
+    /// Restores the endpoint's full share immediately.
+    pub fn restore_full_share(&mut self, now: Duration) {
+        self.state = HealthState::Healthy { since: now };
+        self.reset_means();
     }
 
-    /// Turns a ramp that is over into a full share.
-    pub fn settle(&mut self, rules: &HealthRules, now: Duration) {
-        if let Standing::Ramping { since } = self.standing
+    /// Marks the endpoint as healthy if its ramp is over.
+    pub fn finish_ramp(&mut self, rules: &HealthRules, now: Duration) {
+        if let HealthState::Ramping { since } = self.state
             && now.saturating_sub(since) >= rules.ramp
         {
-            self.standing = Standing::Admitted {
+            self.state = HealthState::Healthy {
                 since: since + rules.ramp,
             };
         }
     }
 
-    fn clear_means(&mut self) {
+    fn reset_means(&mut self) {
         self.failures_in_row = 0;
         self.samples = 0;
-        self.failure_permille = 0;
-        self.wait_us = 0;
+        self.mean_failure_permille = 0;
+        self.mean_wait_us = 0;
     }
 }
 
-/// Judges the one endpoint of a sidecar, and limits its slots.
+/// The health of a sidecar's own endpoint, which limits the endpoint's slots.
 ///
-/// The sidecar ejects only for failures and silence: it can't compare waits, which is left to the entries. An endpoint
-/// that fails has no use for slots, so no fraction of the pool is kept up here; the sidecar refuses with a proven
-/// "not run".
+/// The sidecar ejects only for failures and timeouts: it sees one endpoint, so comparing waits is left to the entries. The
+/// limit on the ejected fraction of a pool doesn't apply here, as a failing endpoint has no use for slots and the sidecar's
+/// refusals prove that the request did not run.
 #[derive(Debug)]
 pub struct LocalEndpointHealth {
     rules: HealthRules,
@@ -269,7 +271,7 @@
 }
 
 impl LocalEndpointHealth {
-    /// Opens the record of an endpoint at full share.
+    /// Returns the health of an endpoint at full share.
     #[must_use]
     pub fn new(rules: HealthRules, now: Duration) -> Self {
         Self {
@@ -278,9 +280,9 @@
         }
     }
 
-    /// Takes an outcome, and returns whether the endpoint is ejected by it.
+    /// Records an outcome and returns whether it caused an ejection.
     pub fn observe(&mut self, sample: Sample, now: Duration, rng: &mut impl Rng) -> bool {
-        self.health.settle(&self.rules, now);
+        self.health.finish_ramp(&self.rules, now);
         self.health.observe(sample);
         let is_failing = self.health.is_failing(&self.rules);
         if is_failing {
@@ -289,25 +291,25 @@
         is_failing
     }
 
-    /// Returns how many of the endpoint's slots may be in use; at least one unless it is ejected.
+    /// Returns how many of the endpoint's slots may be in use: at least one unless the endpoint is ejected.
     #[must_use]
     pub fn slot_limit(&self, slots: u32, now: Duration) -> u32 {
         let share = self.health.share_permille(&self.rules, now);
         slots.saturating_mul(share).div_ceil(FULL_SHARE_PERMILLE)
     }
 
-    /// Returns whether the sidecar should probe its endpoint now.
+    /// Returns whether a probe is due; if so, schedules the next one after the probe timeout.
     pub fn start_probe(&mut self, now: Duration) -> bool {
         self.health.start_probe(&self.rules, now)
     }
 
-    /// Takes the result of a probe.
+    /// Records the result of a probe.
     pub fn record_probe(&mut self, is_ok: bool, now: Duration, rng: &mut impl Rng) {
         self.health.record_probe(is_ok, &self.rules, now, rng);
     }
 }
 
-/// Returns the share after this time of a ramp, in thousandths.
+/// Returns the share, in thousandths, at `elapsed` into the ramp.
 fn ramp_share(rules: &HealthRules, elapsed: Duration) -> u32 {
     if elapsed >= rules.ramp {
         return FULL_SHARE_PERMILLE;
@@ -315,11 +317,11 @@
     let start = rules.ramp_start_permille.min(FULL_SHARE_PERMILLE);
     let gained = u128::from(FULL_SHARE_PERMILLE - start) * elapsed.as_micros()
         / rules.ramp.as_micros().max(1);
-    start + u32::try_from(gained).expect("less than a full share")
+    start + u32::try_from(gained).expect("a ramp gains less than a full share")
 }
 
-/// Returns the running mean after a sample; the first samples count evenly.
-fn mean(former: u64, sample: u64, samples: u32) -> u64 {
-    let weight = u64::from(samples.min(MEAN_WEIGHT));
-    (former * (weight - 1) + sample) / weight
+/// Returns the exponentially weighted mean after a sample; the first samples are weighted equally.
+fn ewma(previous: u64, sample: u64, samples: u32) -> u64 {
+    let weight = u64::from(samples.min(EWMA_DIVISOR));
+    (previous * (weight - 1) + sample) / weight
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,11 +1,11 @@
-//! Decides where a request is offered, and what an endpoint has room for.
+//! Sidecar selection, endpoint capacity and endpoint health.
 //!
-//! The crate is pure. Time is passed in as the span since the start of the process, and randomness as a generator.
+//! The crate does no I/O. Callers pass in the time since the process started and a random number generator.
 //!
-//! - [`slots`] counts at a sidecar what its endpoint has room for.
-//! - [`selection`] decides at an entry which sidecars of a pool get an offer, and when the circle widens.
-//! - [`hints`] holds what late and gappy cache events say about prompt prefixes.
-//! - [`health`] judges one endpoint by its outcomes, and [`pool_health`] keeps the ejected part of a pool small.
+//! - [`slots`] tracks the slots and KV cache tokens in use at a sidecar's endpoint.
+//! - [`selection`] decides at an entry which sidecars of a pool are offered a request, and when to try more of them.
+//! - [`hints`] records which sidecars have a prompt prefix cached, according to late and incomplete cache events.
+//! - [`health`] detects a failing endpoint by its outcomes, and [`pool_health`] limits how much of a pool is ejected.
 
 pub mod selection;
 
@@ -20,11 +20,11 @@
 pub use selection::{AffinityScope, AttemptOffers, Load, Round, SelectionRules, SidecarSelector};
 pub use slots::{Availability, Demand, EngineReport, SlotRules, Slots};
 
-/// Names a sidecar; the same id as in `hinge-outcome`.
+/// The id of a sidecar, the same as in `hinge-outcome`.
 pub type SidecarId = u64;
 
-/// Names an entry.
+/// The id of an entry.
 pub type EntryId = u64;
 
-/// Holds the hash of a prompt's prefix.
+/// The hash of a prompt's prefix.
 pub type PrefixHash = u64;
--- a/crates/placement/src/pool_health.rs
+++ b/crates/placement/src/pool_health.rs
@@ -1,4 +1,4 @@
-//! Keeps at an entry the health of a pool's sidecars, and bounds the part of the pool that is ejected.
+//! The health of a pool's sidecars as seen by one entry, with a limit on the ejected fraction of the pool.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -10,13 +10,13 @@
     health::{EndpointHealth, FULL_SHARE_PERMILLE, HealthRules, Sample},
 };
 
-/// Sidecars with enough samples that a median needs; two endpoints can't tell which of them is the slow one.
-const MIN_FOR_MEDIAN: usize = 3;
+/// Minimum sidecars with enough samples to compute a median; of two, neither can be called the slow one.
+const MIN_SIDECARS_FOR_MEDIAN: usize = 3;
 
-/// Holds the health of one pool's sidecars as one entry sees it.
+/// The health of one pool's sidecars as seen by one entry.
 ///
-/// A sidecar below its full share counts against the pool's bound until its ramp is over, so that a fault that moves from
-/// one sidecar to the next can't take the pool away step by step.
+/// A sidecar counts against the pool's limit until its ramp is over. Otherwise, a fault that moves from one sidecar to the
+/// next could eject the whole pool step by step.
 #[derive(Debug)]
 pub struct PoolHealth {
     rules: HealthRules,
@@ -24,7 +24,7 @@
 }
 
 impl PoolHealth {
-    /// Opens the record of a pool without sidecars.
+    /// Returns the health of a pool without sidecars.
     #[must_use]
     pub fn new(rules: HealthRules) -> Self {
         Self {
@@ -33,15 +33,15 @@
         }
     }
 
-    /// Takes over the pool's members; if it has shrunk, the sidecars nearest to their full share are given it at once.
+    /// Sets the members; if too many are now below full share, restores those closest to it.
     pub fn set_members(&mut self, members: &[SidecarId], now: Duration) {
-        let former = std::mem::take(&mut self.sidecars);
+        let previous = std::mem::take(&mut self.sidecars);
         self.sidecars = members
             .iter()
             .map(|id| {
                 (
                     *id,
-                    former
+                    previous
                         .get(id)
                         .cloned()
                         .unwrap_or_else(|| EndpointHealth::new(now)),
@@ -49,11 +49,11 @@
             })
             .collect();
         while self.reduced_count(now) > self.max_reduced() {
-            self.admit_one(now);
+            self.restore_one(now);
         }
     }
 
-    /// Takes an outcome, and returns whether the sidecar is ejected by it.
+    /// Records an outcome and returns whether it caused an ejection.
     pub fn observe(
         &mut self,
         sidecar: SidecarId,
@@ -64,13 +64,13 @@
         let Some(health) = self.sidecars.get_mut(&sidecar) else {
             return false;
         };
-        health.settle(&self.rules, now);
+        health.finish_ramp(&self.rules, now);
         health.observe(sample);
         let is_reduced = health.share_permille(&self.rules, now) < FULL_SHARE_PERMILLE;
-        let is_bad = health.is_failing(&self.rules) || self.is_slow(sidecar);
-        let has_room = is_reduced || self.reduced_count(now) < self.max_reduced();
-        if is_bad
-            && has_room
+        let should_eject = health.is_failing(&self.rules) || self.is_slow(sidecar);
+        let is_allowed = is_reduced || self.reduced_count(now) < self.max_reduced();
+        if should_eject
+            && is_allowed
             && let Some(health) = self.sidecars.get_mut(&sidecar)
         {
             health.eject(&self.rules, now, rng);
@@ -79,7 +79,7 @@
         false
     }
 
-    /// Returns the sidecars to probe now.
+    /// Returns the sidecars whose probes are due, and schedules their next ones after the probe timeout.
     pub fn start_probes(&mut self, now: Duration) -> SmallVec<[SidecarId; 4]> {
         let rules = &self.rules;
         let mut due: SmallVec<[SidecarId; 4]> = self
@@ -91,7 +91,7 @@
         due
     }
 
-    /// Takes the result of a probe.
+    /// Records the result of a probe.
     pub fn record_probe(
         &mut self,
         sidecar: SidecarId,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Returns the share of its offers that a sidecar gets now, in thousandths; a sidecar that is not known gets all.
+    /// Returns the share of its usual offers that a sidecar gets at `now`, in thousandths; an unknown one has the full share.
     #[must_use]
     pub fn share_permille(&self, sidecar: SidecarId, now: Duration) -> u32 {
         self.sidecars
@@ -114,7 +114,7 @@
             })
     }
 
-    /// Returns the number of sidecars below their full share.
+    /// Returns the number of sidecars that are below their full share at `now`.
     #[must_use]
     pub fn reduced_count(&self, now: Duration) -> usize {
         self.sidecars
@@ -130,17 +130,17 @@
             / FULL_SHARE_PERMILLE as usize
     }
 
-    /// Returns whether a sidecar's mean wait is far above the median of the pool's.
+    /// Returns whether a sidecar's mean wait is far above the pool's median.
     fn is_slow(&self, sidecar: SidecarId) -> bool {
-        let Some(wait_us) = self.sidecars[&sidecar].wait_us(&self.rules) else {
+        let Some(wait_us) = self.sidecars[&sidecar].mean_wait_us(&self.rules) else {
             return false;
         };
         let mut waits: Vec<_> = self
             .sidecars
             .values()
-            .filter_map(|health| health.wait_us(&self.rules))
+            .filter_map(|health| health.mean_wait_us(&self.rules))
             .collect();
-        if waits.len() < MIN_FOR_MEDIAN {
+        if waits.len() < MIN_SIDECARS_FOR_MEDIAN {
             return false;
         }
         let middle = (waits.len() - 1) / 2;
@@ -150,7 +150,7 @@
         u128::from(wait_us) > limit_us
     }
 
-    fn admit_one(&mut self, now: Duration) {
+    fn restore_one(&mut self, now: Duration) {
         let rules = &self.rules;
         let nearest = self
             .sidecars
@@ -159,7 +159,7 @@
             .filter(|(share, _, _)| *share < FULL_SHARE_PERMILLE)
             .max_by_key(|(share, id, _)| (*share, *id));
         if let Some((_, _, health)) = nearest {
-            health.admit(now);
+            health.restore_full_share(now);
         }
     }
 }
--- a/crates/placement/src/selection/attempt.rs
+++ b/crates/placement/src/selection/attempt.rs
@@ -1,4 +1,4 @@
-//! Follows the offers of one attempt.
+//! The offers of one attempt at a request.
 
 use std::time::Duration;
 
@@ -7,46 +7,46 @@
 
 use crate::{PrefixHash, SidecarId};
 
-/// Follows the offers of one attempt at a request.
+/// The offers of one attempt at a request, and the progress of the selection.
 #[derive(Debug, Clone)]
 pub struct AttemptOffers {
     pub(super) prefix: Option<PrefixHash>,
-    pub(super) avoid: SmallVec<[SidecarId; 4]>,
+    pub(super) avoided: SmallVec<[SidecarId; 4]>,
     pub(super) is_urgent: bool,
-    /// Time of the first round, and of each sidecar's last offer.
-    pub(super) opened_at: Option<Duration>,
-    pub(super) offered: SmallVec<[(SidecarId, Duration); 4]>,
-    /// Sidecars with an open offer, the oldest first.
+    pub(super) first_round_at: Option<Duration>,
+    /// Time of each sidecar's last offer.
+    pub(super) last_offers: SmallVec<[(SidecarId, Duration); 4]>,
+    /// Sidecars with an open offer, oldest first.
     pub(super) open: SmallVec<[SidecarId; 4]>,
-    /// Sidecars whose last offer ended in a refusal or with its link.
+    /// Sidecars that refused their last offer or lost their link while it was open.
     pub(super) refused: SmallVec<[SidecarId; 4]>,
-    // Drawn once, so that a sidecar at a reduced share is in or out of all rounds alike.
+    // Fixed for the attempt, so that a sidecar with a reduced share is included in either all rounds or none.
     pub(super) seed: u64,
     pub(super) rounds: u32,
     pub(super) stage: Stage,
     pub(super) is_first_cycle: bool,
 }
 
-/// Says by what the next round is picked.
+/// The criterion by which the next round is picked.
 #[derive(Debug, Clone)]
 pub(super) enum Stage {
     Prefix,
     Load,
     Widen,
-    /// All sidecars not yet offered in this cycle, the next one last.
-    Rest(Vec<SidecarId>),
+    /// Sidecars not yet offered the request in this cycle, the next one last.
+    Remaining(Vec<SidecarId>),
 }
 
 impl AttemptOffers {
-    /// Opens the record of an attempt; sidecars to `avoid`, such as those of failed attempts, come last.
+    /// Returns an attempt without offers; `avoided` sidecars, such as those of failed attempts, are picked last.
     #[must_use]
-    pub fn new(prefix: Option<PrefixHash>, avoid: &[SidecarId], rng: &mut impl Rng) -> Self {
+    pub fn new(prefix: Option<PrefixHash>, avoided: &[SidecarId], rng: &mut impl Rng) -> Self {
         Self {
             prefix,
-            avoid: SmallVec::from_slice(avoid),
+            avoided: SmallVec::from_slice(avoided),
             is_urgent: false,
-            opened_at: None,
-            offered: SmallVec::new(),
+            first_round_at: None,
+            last_offers: SmallVec::new(),
             open: SmallVec::new(),
             refused: SmallVec::new(),
             seed: rng.random(),
@@ -56,24 +56,24 @@
         }
     }
 
-    /// Lets the offers of an urgent request move faster.
+    /// Sets whether the request is urgent; open offers of urgent requests move more often.
     #[must_use]
     pub fn with_urgency(self, is_urgent: bool) -> Self {
         Self { is_urgent, ..self }
     }
 
-    /// Returns the sidecars with an open offer, the oldest first.
+    /// Returns the sidecars with an open offer, oldest first.
     #[must_use]
     pub fn open_offers(&self) -> &[SidecarId] {
         &self.open
     }
 
-    /// Notes that an offer was withdrawn; the sidecar may get another one.
+    /// Records that an offer was withdrawn; the sidecar may get another one.
     pub fn record_withdrawal(&mut self, sidecar: SidecarId) {
         self.open.retain(|open| *open != sidecar);
     }
 
-    /// Notes that an offer was refused or lost; the sidecar gets another one only while others hold open offers.
+    /// Records that an offer was refused or lost; the sidecar gets another one only while other offers are open.
     pub fn record_refusal(&mut self, sidecar: SidecarId) {
         self.open.retain(|open| *open != sidecar);
         if !self.refused.contains(&sidecar) {
@@ -81,20 +81,20 @@
         }
     }
 
-    pub(super) fn offer(&mut self, sidecar: SidecarId, now: Duration) {
+    pub(super) fn record_offer(&mut self, sidecar: SidecarId, now: Duration) {
         self.refused.retain(|refused| *refused != sidecar);
         self.open.push(sidecar);
-        match self.offered.iter_mut().find(|(id, _)| *id == sidecar) {
+        match self.last_offers.iter_mut().find(|(id, _)| *id == sidecar) {
             Some((_, at)) => *at = now,
-            None => self.offered.push((sidecar, now)),
+            None => self.last_offers.push((sidecar, now)),
         }
-        if let Stage::Rest(rest) = &mut self.stage {
-            rest.retain(|id| *id != sidecar);
+        if let Stage::Remaining(remaining) = &mut self.stage {
+            remaining.retain(|id| *id != sidecar);
         }
     }
 
-    pub(super) fn offered_at(&self, sidecar: SidecarId) -> Option<Duration> {
-        let offered = self.offered.iter().find(|(id, _)| *id == sidecar);
+    pub(super) fn last_offer_at(&self, sidecar: SidecarId) -> Option<Duration> {
+        let offered = self.last_offers.iter().find(|(id, _)| *id == sidecar);
         offered.map(|(_, at)| *at)
     }
 }
--- a/crates/placement/src/selection/rules.rs
+++ b/crates/placement/src/selection/rules.rs
@@ -1,67 +1,69 @@
-//! Holds the settings of the choice.
+//! The settings of the selection.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Says among which sidecars a prefix's favourite is picked.
+/// The sidecars that are affinity candidates for a prefix.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AffinityScope {
-    /// Among the entry's subset: no further links, but entries with different subsets have different favourites.
+    /// The entry's subset, which needs no further links, but entries with different subsets prefer different sidecars.
     Subset,
-    /// Among the whole pool: every entry has the same favourite, and opens a link to it on demand.
+    /// The whole pool: all entries prefer the same sidecar for a prefix, and open a link to it on demand.
     Pool,
 }
 
-/// Sets how offers are spread.
+/// The settings of the selection of sidecars.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SelectionRules {
-    /// Sidecars of a pool that an entry is linked with.
+    /// Sidecars of a pool to which an entry keeps links.
     pub max_links: usize,
-    /// Entries that each sidecar should be linked with; few entries take more links each for it.
+    /// Minimum entries with a link to each sidecar; a few entries keep more than `max_links` each to reach it.
     pub min_entries_per_sidecar: usize,
-    /// Sidecars among which a prefix's favourite is picked.
+    /// Sidecars that are affinity candidates for a prefix.
     pub affinity_scope: AffinityScope,
     /// Offers of the first round of a request with a prefix.
     pub affinity_offers: usize,
-    /// Offers of the first round that goes by load.
+    /// Offers of the first round that is picked by load.
     pub first_offers: usize,
-    /// Wait after a round before the next; it doubles with each round.
+    /// Wait between the first two rounds; it doubles with each further round.
     pub widen_after: Duration,
-    /// Longest such wait.
+    /// Maximum wait between rounds that add offers.
     pub max_widen_after: Duration,
-    /// Open offers that a request keeps; a further one is open for the moment in which an offer moves.
+    /// Maximum open offers of a request; one more is open briefly while an offer moves.
     pub max_open: usize,
-    /// Longest wait between two moves of an offer.
+    /// Maximum wait between rounds that move an offer.
     pub max_rotate_after: Duration,
-    /// Longest such wait of an urgent request.
+    /// Maximum wait between rounds that move an offer of an urgent request.
     pub max_urgent_rotate_after: Duration,
-    /// Times the mean load of the subset, in thousandths, up to which a prefix's favourite is used.
+    /// Multiple of the subset's mean load, in thousandths, up to which an affinity candidate is used.
     pub load_bound_permille: u64,
-    /// Load, in thousandths, up to which a favourite is used in any case.
+    /// Load, in thousandths, up to which an affinity candidate is always used.
     pub min_load_bound_permille: u64,
-    /// Age at which a sidecar's known load no longer counts.
+    /// Age beyond which a sidecar's known load is ignored.
     pub max_load_age: Duration,
-    /// Prefixes for which cache events are remembered.
+    /// Maximum prefixes with recorded cache events.
     pub max_hints: usize,
 }
 
 impl Default for SelectionRules {
-    /// Returns the defaults.
+    /// Returns the default settings.
     ///
-    /// Twenty links hold a whole pool of today's sizes, and let 300 entries meet each of 200 sidecars 30 times. An idle
-    /// sidecar's grant comes back within a round trip of 2 to 3 ms, so a wait of 5 ms is the first sign that there is none.
-    /// Favourites are picked among the pool: in 300 entries' subsets of 20 in 200, one prefix had 37 favourites, so that
-    /// the turns of one conversation would rarely meet its cache. The links on demand are as many as an entry's requests
-    /// with a prefix within a link's idle time.
+    /// Twenty links cover all of a typical pool, and 300 entries with 20 links each give each of 200 sidecars 30 links. An
+    /// idle sidecar's grant arrives after a round trip of 2 to 3 ms, so a wait of 5 ms is the first sign that there is none.
     ///
-    /// Three open offers leave the gap and the utilisation of a backlog as they are with an offer at each sidecar.
+    /// Affinity candidates come from the whole pool. With subsets of 20 out of 200 sidecars, 300 entries had 37 different
+    /// first candidates for one prefix, so the turns of a conversation would rarely hit the sidecar with its cache. An
+    /// entry opens as many links on demand as it has requests with a prefix within a link's idle timeout.
     ///
-    /// Moves ten seconds apart cost a request that waits 30 bytes a second, and one that is urgent ten times as many.
+    /// In a backlog, three open offers result in the same gap and utilisation as an offer to every sidecar.
     ///
-    /// A quarter above the mean is the usual bound of consistent hashing with bounded loads; below half load there is
-    /// nothing to even out.
+    /// Moving an offer every ten seconds costs 30 bytes per second for each waiting request, and ten times as much for an
+    /// urgent one.
+    ///
+    /// A quarter above the mean is the usual bound of consistent hashing with bounded loads; below half load, there is no
+    /// need to balance.
     fn default() -> Self {
         Self {
             max_links: 20,
--- a/crates/placement/tests/ejection.rs
+++ b/crates/placement/tests/ejection.rs
@@ -1,4 +1,4 @@
-//! Checks ejection, probes and readmission.
+//! Tests of ejection, probes and readmission.
 
 use std::time::Duration;
 
@@ -17,8 +17,8 @@
     StdRng::seed_from_u64(1)
 }
 
-/// Feeds samples until one ejects the sidecar, five at most, and returns whether one did.
-fn feed(pool: &mut PoolHealth, id: u64, sample: Sample, ms: u64) -> bool {
+/// Records up to five samples until one ejects the sidecar, and returns whether one did.
+fn observe_until_ejected(pool: &mut PoolHealth, id: u64, sample: Sample, ms: u64) -> bool {
     (0..5).any(|_| pool.observe(id, sample, at(ms), &mut rng()))
 }
 
@@ -34,8 +34,8 @@
     pool
 }
 
-/// Under any outcomes, probes, waits and changes of members, no more than the set fraction is below its full share.
-fn fraction_holds(steps: Vec<(u8, u8, u8)>) -> bool {
+/// Checks the limit on sidecars below full share under random outcomes, probes, waits and membership changes.
+fn respects_reduced_limit(steps: Vec<(u8, u8, u8)>) -> bool {
     let (mut pool, mut rng, mut now_ms) = (pool(10), rng(), 0);
     steps.into_iter().all(|(kind, index, wait)| {
         now_ms += u64::from(wait) * 10;
@@ -45,25 +45,25 @@
             0 => pool.set_members(&(0..=id * 2).collect::<Vec<_>>(), now),
             1 => pool.record_probe(id, index < 128, now, &mut rng),
             2 => _ = pool.start_probes(now),
-            3 | 4 => _ = feed(&mut pool, id, answered(u64::from(wait)), now_ms),
-            _ => _ = feed(&mut pool, id, Sample::Failed, now_ms),
+            3 | 4 => _ = observe_until_ejected(&mut pool, id, answered(u64::from(wait)), now_ms),
+            _ => _ = observe_until_ejected(&mut pool, id, Sample::Failed, now_ms),
         }
         pool.reduced_count(now) <= pool.max_reduced()
     })
 }
 
 cases! {
-    never_more_than_the_fraction_is_reduced => {
+    the_reduced_fraction_never_exceeds_the_limit => {
         let mut checker = QuickCheck::new().rng(Gen::from_size_and_seed(200, 1)).tests(2000);
-        checker.quickcheck(fraction_holds as fn(Vec<(u8, u8, u8)>) -> bool);
+        checker.quickcheck(respects_reduced_limit as fn(Vec<(u8, u8, u8)>) -> bool);
     }
-    failures_in_a_row_eject_and_the_fraction_stops_them => {
+    consecutive_failures_eject_up_to_the_limit => {
         let mut pool = pool(3);
-        let mut fail = |id| feed(&mut pool, id, Sample::TimedOut, 0);
+        let mut fail = |id| observe_until_ejected(&mut pool, id, Sample::TimedOut, 0);
         assert_eq!([fail(0), fail(1), fail(2)], [true, false, false]);
         assert_eq!(pool.share_permille(0, at(0)), 0);
     }
-    failures_among_answers_eject => {
+    a_high_failure_rate_ejects => {
         let (mut pool, mut rng) = (pool(3), rng());
         let ejected = (0..200).any(|index| {
             let sample = if index % 4 == 0 { answered(10) } else { Sample::Failed };
@@ -71,7 +71,7 @@
         });
         assert!(ejected);
     }
-    a_slow_sidecar_is_ejected_and_an_uneven_pool_is_not => {
+    a_slow_sidecar_is_ejected_but_moderately_slower_ones_are_not => {
         let (mut pool, mut rng) = (pool(5), rng());
         let mut ejected = Vec::new();
         for _ in 0..40 {
@@ -81,9 +81,9 @@
         }
         assert_eq!(ejected, [4]);
     }
-    readmission_ramps => {
+    a_readmitted_sidecar_ramps_up => {
         let (mut pool, mut rng) = (pool(3), rng());
-        assert!(feed(&mut pool, 0, Sample::Failed, 0));
+        assert!(observe_until_ejected(&mut pool, 0, Sample::Failed, 0));
         assert!(pool.start_probes(at(499)).is_empty());
         assert_eq!(pool.start_probes(at(1000))[..], [0]);
         assert!(pool.start_probes(at(1001)).is_empty());
@@ -95,29 +95,29 @@
         assert_eq!((shares[0], shares[15], shares[30]), (50, 525, 1000));
         assert_eq!((pool.reduced_count(at(32_000)), pool.reduced_count(at(32_200))), (1, 0));
     }
-    a_failed_probe_and_a_failing_ramp_wait_longer => {
+    a_failed_probe_and_a_failure_during_the_ramp_double_the_backoff => {
         let (mut pool, mut rng) = (pool(3), rng());
-        assert!(feed(&mut pool, 0, Sample::Failed, 0));
+        assert!(observe_until_ejected(&mut pool, 0, Sample::Failed, 0));
         assert_eq!(pool.start_probes(at(1000)).len(), 1);
         pool.record_probe(0, false, at(1000), &mut rng);
         assert_eq!((pool.start_probes(at(1999)).len(), pool.start_probes(at(3000)).len()), (0, 1));
         pool.record_probe(0, true, at(3000), &mut rng);
         pool.start_probes(at(4000));
         pool.record_probe(0, true, at(4000), &mut rng);
-        assert!(feed(&mut pool, 0, Sample::Failed, 5000));
+        assert!(observe_until_ejected(&mut pool, 0, Sample::Failed, 5000));
         assert_eq!((pool.start_probes(at(6999)).len(), pool.start_probes(at(9000)).len()), (0, 1));
     }
-    late_outcomes_of_an_ejected_sidecar_change_nothing => {
+    late_outcomes_of_an_ejected_sidecar_are_ignored => {
         let mut pool = pool(3);
-        assert!(feed(&mut pool, 0, Sample::Failed, 0));
-        assert!(!feed(&mut pool, 0, answered(1), 1) && !feed(&mut pool, 0, Sample::Failed, 2));
+        assert!(observe_until_ejected(&mut pool, 0, Sample::Failed, 0));
+        assert!(!observe_until_ejected(&mut pool, 0, answered(1), 1) && !observe_until_ejected(&mut pool, 0, Sample::Failed, 2));
         for probe_at in [1000, 2000] {
             assert_eq!((pool.share_permille(0, at(probe_at)), pool.start_probes(at(probe_at)).len()), (0, 1));
             pool.record_probe(0, true, at(probe_at), &mut rng());
         }
         assert!(!pool.observe(0, Sample::Failed, at(2500), &mut rng()));
     }
-    a_sidecar_limits_its_own_slots => {
+    an_ejected_or_ramping_endpoint_has_fewer_slots => {
         let mut health = LocalEndpointHealth::new(HealthRules::default(), START);
         assert_eq!(health.slot_limit(8, at(0)), 8);
         assert!((0..5).any(|_| health.observe(Sample::TimedOut, at(0), &mut rng())));
