--- a/crates/control/src/driver/diskless.rs
+++ b/crates/control/src/driver/diskless.rs
@@ -85,7 +85,7 @@
         }
         let successor = voters.iter().copied().find(|id| {
             let may_lead = *id != self.own_id && !self.is_diskless(*id);
-            may_lead && self.node.transfer(now, *id).is_ok()
+            may_lead && self.node.transfer_leadership(now, *id).is_ok()
         });
         if let Some(successor) = successor {
             info!(
--- a/crates/control/src/driver/tests.rs
+++ b/crates/control/src/driver/tests.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use hinge_cases::cases;
-use hinge_raft::{AppendResult, Body, Config, Durable, Membership, Message, Node};
+use hinge_raft::{AppendResult, Body, Config, Membership, Message, Node, PersistentState};
 
 use super::thread::{lease_until_us, take_and_send};
 
@@ -40,7 +40,7 @@
         voters: vec![1, 2, 3],
         learners: Vec::new(),
     };
-    let durable = Durable::founding(membership);
+    let durable = PersistentState::bootstrap(membership);
     let mut node =
         Node::open(Config::new(1, 7), durable, Duration::ZERO, 1).expect("the log is sound");
     node.tick(LATER);
@@ -63,7 +63,7 @@
         let mut node = leader();
         let published_until_us = AtomicU64::new(lease_until_us(&node));
         assert!(published_until_us.load(Ordering::Acquire) > 0, "it holds a lease");
-        node.transfer(LATER, 2).expect("node 2 is in touch");
+        node.transfer_leadership(LATER, 2).expect("node 2 is in touch");
         let mut seen = Vec::new();
         take_and_send(&mut node, &published_until_us, |message| {
             seen.push((message.body, published_until_us.load(Ordering::Acquire)));
--- a/crates/control/src/driver/thread.rs
+++ b/crates/control/src/driver/thread.rs
@@ -188,7 +188,7 @@
     fn carry_out(
         &mut self,
         output: Output,
-    ) -> Result<(Vec<hinge_raft::Write>, hinge_raft::Token), Box<str>> {
+    ) -> Result<(Vec<hinge_raft::Write>, hinge_raft::WriteToken), Box<str>> {
         if let Some(snapshot) = output.install {
             self.state = State::restore(&snapshot.state)
                 .map_err(|error| error.to_string().into_boxed_str())?;
@@ -210,7 +210,7 @@
                 question(None);
             }
         }
-        for dropped in output.dropped {
+        for dropped in output.dropped_proposals {
             let waiting = self.waiting.remove(&(dropped.term, dropped.index));
             let refused = match dropped.reason {
                 DropReason::Overwritten => Refused::NotLeader,
@@ -392,7 +392,7 @@
                 "Handing leadership over.",
                 successor = successor
             );
-            let _goes_on_if_refused = self.node.transfer(now, successor);
+            let _goes_on_if_refused = self.node.transfer_leadership(now, successor);
         }
     }
 
@@ -432,9 +432,8 @@
 
 fn refused(cause: hinge_raft::ProposeError) -> Refused {
     match cause {
-        hinge_raft::ProposeError::NotLeader { .. } | hinge_raft::ProposeError::Stopping { .. } => {
-            Refused::NotLeader
-        }
+        hinge_raft::ProposeError::NotLeader { .. }
+        | hinge_raft::ProposeError::TransferInProgress { .. } => Refused::NotLeader,
         hinge_raft::ProposeError::Full => Refused::Busy,
         hinge_raft::ProposeError::TooLarge { .. } => Refused::TooLarge,
     }
--- a/crates/control/src/open.rs
+++ b/crates/control/src/open.rs
@@ -7,7 +7,7 @@
 use std::io::{self, Write as _};
 use std::path::Path;
 
-use hinge_raft::{Durable, Membership, NodeId, Snapshot, Write};
+use hinge_raft::{Membership, NodeId, PersistentState, Snapshot, Write};
 use hinge_state::keys::fnv1a;
 use hinge_state::{ControlName, RestoreError, State};
 use hinge_store::{FolderDisk, Identity, Options, Origin, Recovered, Store, WriteError};
@@ -103,7 +103,7 @@
 pub(crate) struct Opened {
     pub(crate) log: Log,
     pub(crate) node_id: NodeId,
-    pub(crate) durable: Durable,
+    pub(crate) durable: PersistentState,
     pub(crate) state: State,
     /// Names of the founding instances, which the log doesn't hold.
     pub(crate) founding: BTreeMap<NodeId, ControlName>,
@@ -178,7 +178,7 @@
         Some(snapshot) => State::restore(&snapshot.state).map_err(OpenError::Restore)?,
         None => State::default(),
     };
-    let durable = Durable {
+    let durable = PersistentState {
         hard_state: recovered.hard_state,
         entries: recovered.entries,
         snapshot,
@@ -199,17 +199,17 @@
         return Ok(Opened {
             log: Log::Memory,
             node_id: joiner_id(),
-            durable: Durable::default(),
+            durable: PersistentState::default(),
             state: State::default(),
             founding: BTreeMap::new(),
         });
     }
     let founding = named(&settings.cluster_id, peers_of(settings)?);
     let node_id = founder_id(&settings.cluster_id, &settings.instance);
-    let durable = Durable {
+    let durable = PersistentState {
         snapshot: Some(founding_snapshot(&founding)),
         complete: true,
-        ..Durable::default()
+        ..PersistentState::default()
     };
     Ok(Opened {
         log: Log::Memory,
--- a/crates/control/src/operator_calls.rs
+++ b/crates/control/src/operator_calls.rs
@@ -276,7 +276,7 @@
             leader: is_self && status.role == Role::Leader,
             matched_index: peer.map_or(status.durable_index, |peer| peer.match_index),
             // The log keeps only whether an instance answered within the election timeout.
-            last_contact_ms: if is_self || peer.is_some_and(|peer| peer.in_touch) {
+            last_contact_ms: if is_self || peer.is_some_and(|peer| peer.reachable) {
                 0
             } else {
                 u64::MAX
--- a/crates/raft/src/error.rs
+++ b/crates/raft/src/error.rs
@@ -88,7 +88,7 @@
         max_bytes: usize,
     },
     /// The node hands over leadership.
-    Stopping {
+    TransferInProgress {
         /// The node that is to lead next.
         successor: NodeId,
     },
@@ -105,7 +105,7 @@
             Self::TooLarge { max_bytes } => {
                 write!(f, "the proposal has more than {max_bytes} bytes")
             }
-            Self::Stopping { successor } => {
+            Self::TransferInProgress { successor } => {
                 write!(f, "leadership is being handed over to {successor}")
             }
         }
@@ -120,7 +120,7 @@
     /// The change can't be proposed at all now.
     Propose(ProposeError),
     /// An earlier change isn't committed yet, or the leader hasn't committed an entry of its own term.
-    Busy,
+    ChangeInProgress,
     /// The instance is a member already.
     AlreadyMember,
     /// The instance is not a member.
@@ -137,7 +137,7 @@
         needed_index: Index,
     },
     /// The learner didn't answer within the election timeout.
-    OutOfTouch,
+    Unreachable,
     /// Too few of the voters that would remain are in touch.
     WouldLoseQuorum,
 }
@@ -146,7 +146,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Propose(_) => f.write_str("the membership can't be changed here"),
-            Self::Busy => f.write_str("an earlier change is not committed yet"),
+            Self::ChangeInProgress => f.write_str("an earlier change is not committed yet"),
             Self::AlreadyMember => f.write_str("the instance is a member already"),
             Self::NotMember => f.write_str("the instance is not a member"),
             Self::NotLearner => f.write_str("the instance is not a learner"),
@@ -160,7 +160,7 @@
                     "the learner has synced up to {match_index} and needs {needed_index}"
                 )
             }
-            Self::OutOfTouch => f.write_str("the learner is out of touch"),
+            Self::Unreachable => f.write_str("the learner is out of touch"),
             Self::WouldLoseQuorum => f.write_str("too few of the remaining voters are in touch"),
         }
     }
@@ -207,20 +207,20 @@
     /// This node doesn't lead.
     NotLeader,
     /// A hand-over is under way.
-    Busy,
+    TransferInProgress,
     /// The successor is not another voter.
     NotVoter,
     /// The successor didn't answer within the election timeout.
-    OutOfTouch,
+    Unreachable,
 }
 
 impl fmt::Display for TransferError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::NotLeader => "not the leader",
-            Self::Busy => "leadership is being handed over already",
+            Self::TransferInProgress => "leadership is being handed over already",
             Self::NotVoter => "the successor is not another voter",
-            Self::OutOfTouch => "the successor is out of touch",
+            Self::Unreachable => "the successor is out of touch",
         })
     }
 }
--- a/crates/raft/src/lib.rs
+++ b/crates/raft/src/lib.rs
@@ -30,7 +30,7 @@
 pub use error::{ConfigError, MembershipError, OpenError, ProposeError, ReadError, TransferError};
 pub use membership::MembershipChange;
 pub use message::{AppendResult, Body, Message};
-pub use node::{Durable, Node, PeerStatus, Status};
+pub use node::{Node, PeerStatus, PersistentState, Status};
 pub use output::{DropReason, Output, ProposalDropped, ReadReady, Role, RoleChange, Write};
 pub use types::{Entry, EntryKind, HardState, Index, Membership, NodeId, Snapshot, Term};
 
@@ -38,7 +38,7 @@
 pub type ClusterId = u64;
 
 /// Numbers a batch of writes; a later batch has a higher token.
-pub type Token = u64;
+pub type WriteToken = u64;
 
 /// Names a read by the driver's own number.
 pub type ReadId = u64;
--- a/crates/raft/src/membership.rs
+++ b/crates/raft/src/membership.rs
@@ -127,7 +127,7 @@
         // Two changes that overlap could have quorums without a common voter. A change of an earlier term may still be
         // overwritten, so the leader must first commit an entry of its own term.
         if self.log.membership_index() > self.commit || !self.has_committed_in_term() {
-            return Err(MembershipError::Busy);
+            return Err(MembershipError::ChangeInProgress);
         }
         let membership = self.log.membership();
         match change {
@@ -172,8 +172,8 @@
                 needed_index: progress.joined_index,
             });
         }
-        if !self.is_in_touch(id) {
-            return Err(MembershipError::OutOfTouch);
+        if !self.is_reachable(id) {
+            return Err(MembershipError::Unreachable);
         }
         Ok(())
     }
@@ -197,19 +197,19 @@
     }
 
     fn check_remaining(&self, next: &Membership) -> Result<(), MembershipError> {
-        let in_touch = next
+        let reachable = next
             .voters
             .iter()
-            .filter(|id| self.is_in_touch(**id))
+            .filter(|id| self.is_reachable(**id))
             .count();
-        if in_touch < next.quorum() {
+        if reachable < next.quorum() {
             return Err(MembershipError::WouldLoseQuorum);
         }
         Ok(())
     }
 
     /// Returns whether a member answered within the election timeout.
-    pub(crate) fn is_in_touch(&self, id: NodeId) -> bool {
+    pub(crate) fn is_reachable(&self, id: NodeId) -> bool {
         if id == self.config.id {
             return true;
         }
--- a/crates/raft/src/node.rs
+++ b/crates/raft/src/node.rs
@@ -15,14 +15,14 @@
 use crate::proposal::Proposal;
 use crate::snapshot::Incoming;
 use crate::types::{Entry, HardState, Index, Membership, NodeId, Snapshot, Term};
-use crate::{Body, Config, Message, ReadId, Token};
+use crate::{Body, Config, Message, ReadId, WriteToken};
 
 /// Highest term and index that a message may bring; no cluster gets there, and sums below it can't overflow.
 pub(crate) const HIGHEST: u64 = 1 << 62;
 
 /// Holds what the store read back.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Durable {
+pub struct PersistentState {
     /// Term, vote and commit hint.
     pub hard_state: HardState,
     /// Entries after the snapshot, or from the first on, in order and without gaps.
@@ -36,10 +36,10 @@
     pub complete: bool,
 }
 
-impl Durable {
+impl PersistentState {
     /// Returns what each founding voter starts from.
     #[must_use]
-    pub fn founding(membership: Membership) -> Self {
+    pub fn bootstrap(membership: Membership) -> Self {
         let snapshot = Snapshot {
             last_index: 0,
             last_term: 0,
@@ -92,7 +92,7 @@
     pub(crate) install: Option<Snapshot>,
     pub(crate) reads: Vec<ReadReady>,
     pub(crate) dropped_reads: Vec<ReadId>,
-    pub(crate) dropped: Vec<ProposalDropped>,
+    pub(crate) dropped_proposals: Vec<ProposalDropped>,
     reported: RoleChange,
 }
 
@@ -106,7 +106,7 @@
     /// Returns an error if the configuration or the stored log breaks a rule.
     pub fn open(
         config: Config,
-        durable: Durable,
+        durable: PersistentState,
         now: Duration,
         seed: u64,
     ) -> Result<Self, OpenError> {
@@ -141,7 +141,7 @@
             install: None,
             reads: Vec::new(),
             dropped_reads: Vec::new(),
-            dropped: Vec::new(),
+            dropped_proposals: Vec::new(),
             reported,
             config,
         };
@@ -235,7 +235,7 @@
     }
 
     /// Takes in that all writes up to and including `token`'s are synced.
-    pub fn persisted(&mut self, now: Duration, token: Token) {
+    pub fn persisted(&mut self, now: Duration, token: WriteToken) {
         self.observe(now);
         self.outbox.persisted(token);
         self.count_own_vote();
@@ -264,7 +264,7 @@
             committed,
             reads: std::mem::take(&mut self.reads),
             dropped_reads: std::mem::take(&mut self.dropped_reads),
-            dropped: std::mem::take(&mut self.dropped),
+            dropped_proposals: std::mem::take(&mut self.dropped_proposals),
             role_change: self.take_role_change(),
         }
     }
@@ -310,7 +310,7 @@
                 peers.push(PeerStatus {
                     id: *id,
                     match_index: progress.match_index,
-                    in_touch: self.is_in_touch(*id),
+                    reachable: self.is_reachable(*id),
                     complete: progress.complete,
                 });
             }
@@ -363,7 +363,7 @@
     /// Last index that it has synced.
     pub match_index: Index,
     /// Whether it answered within the election timeout.
-    pub in_touch: bool,
+    pub reachable: bool,
     /// Whether it may vote and count for a quorum.
     pub complete: bool,
 }
--- a/crates/raft/src/outbox.rs
+++ b/crates/raft/src/outbox.rs
@@ -1,25 +1,25 @@
 //! Collects writes and messages, and holds back messages whose promise isn't durable yet.
 
 use crate::types::{Entry, HardState, Index, NodeId, Term};
-use crate::{Body, ClusterId, Message, Token, Write};
+use crate::{Body, ClusterId, Message, Write, WriteToken};
 
 /// Collects what a node wants written and sent.
 #[derive(Debug)]
 pub(crate) struct Outbox {
     id: NodeId,
     cluster_id: ClusterId,
-    /// Token of the batch that is being collected.
-    open_token: Token,
-    synced: Token,
+    /// WriteToken of the batch that is being collected.
+    open_token: WriteToken,
+    synced: WriteToken,
     /// Batch that holds the last change of term or vote.
-    hard_token: Token,
+    hard_token: WriteToken,
     /// Batch that holds the last change of the log.
-    log_token: Token,
+    log_token: WriteToken,
     writes: Vec<Write>,
     ready: Vec<Message>,
-    held: Vec<(Token, Message)>,
+    held: Vec<(WriteToken, Message)>,
     /// Last index and token of appends that aren't synced, in order.
-    unsynced: Vec<(Token, Index)>,
+    unsynced: Vec<(WriteToken, Index)>,
     durable_index: Index,
 }
 
@@ -117,7 +117,7 @@
         self.send_after(token, term, to, body);
     }
 
-    fn send_after(&mut self, token: Token, term: Term, to: NodeId, body: Body) {
+    fn send_after(&mut self, token: WriteToken, term: Term, to: NodeId, body: Body) {
         let message = Message {
             cluster_id: self.cluster_id,
             from: self.id,
@@ -133,7 +133,7 @@
     }
 
     /// Notes that all batches up to `token` are synced, and lets the messages go that waited for them.
-    pub(crate) fn persisted(&mut self, token: Token) {
+    pub(crate) fn persisted(&mut self, token: WriteToken) {
         // A token that was never handed out can't have been synced.
         self.synced = self.synced.max(token.min(self.open_token - 1));
         let synced = self.synced;
@@ -155,7 +155,7 @@
     }
 
     /// Returns the collected writes with their token, or 0 if there are none.
-    pub(crate) fn take_writes(&mut self) -> (Vec<Write>, Token) {
+    pub(crate) fn take_writes(&mut self) -> (Vec<Write>, WriteToken) {
         if self.writes.is_empty() {
             return (Vec::new(), 0);
         }
--- a/crates/raft/src/output.rs
+++ b/crates/raft/src/output.rs
@@ -1,7 +1,7 @@
 //! Defines what a node asks its driver to do.
 
 use crate::types::{Entry, HardState, Index, NodeId, Snapshot, Term};
-use crate::{Message, ReadId, Token};
+use crate::{Message, ReadId, WriteToken};
 
 /// Says one thing that the store must make durable, in order.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -19,7 +19,7 @@
     SaveSnapshot(Snapshot),
     /// Saves the leader's snapshot and drops all entries.
     InstallSnapshot(Snapshot),
-    /// Notes that [`crate::Durable::complete`] holds from now on.
+    /// Notes that [`crate::PersistentState::complete`] holds from now on.
     MarkComplete,
 }
 
@@ -70,7 +70,7 @@
 impl DropReason {
     /// Returns whether it is proven that the proposal has no effect.
     #[must_use]
-    pub fn is_not_run(self) -> bool {
+    pub fn has_no_effect(self) -> bool {
         self == Self::Overwritten
     }
 }
@@ -91,8 +91,8 @@
 pub struct Output {
     /// What to write and sync, in order.
     pub writes: Vec<Write>,
-    /// Token to report once `writes` are synced; 0 if there are none.
-    pub token: Token,
+    /// WriteToken to report once `writes` are synced; 0 if there are none.
+    pub token: WriteToken,
     /// What to send, at once; each may be lost, repeated or reordered.
     pub messages: Vec<Message>,
     /// A snapshot that replaces the state machine's state before `committed` is applied.
@@ -104,7 +104,7 @@
     /// Reads that can't be answered because leadership was lost.
     pub dropped_reads: Vec<ReadId>,
     /// Proposals that aren't followed any further.
-    pub dropped: Vec<ProposalDropped>,
+    pub dropped_proposals: Vec<ProposalDropped>,
     /// The last change of role, term or leader.
     pub role_change: Option<RoleChange>,
 }
--- a/crates/raft/src/proposal.rs
+++ b/crates/raft/src/proposal.rs
@@ -59,7 +59,7 @@
             });
         };
         match &leading.transfer {
-            Some(transfer) => Err(ProposeError::Stopping {
+            Some(transfer) => Err(ProposeError::TransferInProgress {
                 successor: transfer.to,
             }),
             None => Ok(()),
@@ -102,7 +102,7 @@
             .iter()
             .filter(|proposal| proposal.term == self.hard.term)
             .map(|proposal| proposal.dropped(DropReason::LeadershipLost));
-        self.dropped.extend(dropped);
+        self.dropped_proposals.extend(dropped);
     }
 
     /// Settles the proposals whose place in the log is committed now.
@@ -116,9 +116,11 @@
             self.pending_bytes -= proposal.payload_bytes;
             match self.log.term_at(proposal.index) {
                 Some(term) if term == proposal.term => {}
-                Some(_) => self.dropped.push(proposal.dropped(DropReason::Overwritten)),
+                Some(_) => self
+                    .dropped_proposals
+                    .push(proposal.dropped(DropReason::Overwritten)),
                 None => self
-                    .dropped
+                    .dropped_proposals
                     .push(proposal.dropped(DropReason::CoveredBySnapshot)),
             }
         }
@@ -133,7 +135,7 @@
         {
             let proposal = self.proposals.pop_front().expect("the front was just seen");
             self.pending_bytes -= proposal.payload_bytes;
-            self.dropped
+            self.dropped_proposals
                 .push(proposal.dropped(DropReason::CoveredBySnapshot));
         }
     }
--- a/crates/raft/src/transfer.rs
+++ b/crates/raft/src/transfer.rs
@@ -24,19 +24,19 @@
     /// # Errors
     ///
     /// Returns why the hand-over can't begin.
-    pub fn transfer(&mut self, now: Duration, to: NodeId) -> Result<(), TransferError> {
+    pub fn transfer_leadership(&mut self, now: Duration, to: NodeId) -> Result<(), TransferError> {
         self.observe(now);
         let State::Leader(leading) = &self.state else {
             return Err(TransferError::NotLeader);
         };
         if leading.transfer.is_some() {
-            return Err(TransferError::Busy);
+            return Err(TransferError::TransferInProgress);
         }
         if to == self.config.id || !self.log.membership().is_voter(to) {
             return Err(TransferError::NotVoter);
         }
-        if !self.is_in_touch(to) {
-            return Err(TransferError::OutOfTouch);
+        if !self.is_reachable(to) {
+            return Err(TransferError::Unreachable);
         }
         let ends_at = self.now + self.config.election_timeout;
         let State::Leader(leading) = &mut self.state else {
@@ -58,7 +58,7 @@
         };
         let membership = self.log.membership();
         let may_lead = leading.peers.iter().filter(|(id, progress)| {
-            progress.complete && membership.is_voter(**id) && self.is_in_touch(**id)
+            progress.complete && membership.is_voter(**id) && self.is_reachable(**id)
         });
         may_lead
             .max_by_key(|(_, progress)| progress.match_index)
--- a/crates/raft/tests/raft/codec.rs
+++ b/crates/raft/tests/raft/codec.rs
@@ -4,7 +4,7 @@
 
 use hinge_cases::cases;
 use hinge_raft::{
-    AppendResult, Body, Config, Durable, Entry, EntryKind, Membership, Message, Node, Role,
+    AppendResult, Body, Config, Entry, EntryKind, Membership, Message, Node, PersistentState, Role,
 };
 use quickcheck::{QuickCheck, quickcheck};
 use rand::rngs::StdRng;
@@ -135,9 +135,9 @@
         learners: vec![4],
     };
     let durable = if rng.random() {
-        Durable::founding(membership)
+        PersistentState::bootstrap(membership)
     } else {
-        Durable::joining()
+        PersistentState::joining()
     };
     let mut config = Config::new(1, 7);
     (config.keep_entries, config.snapshot_chunk_bytes) = (0, 2);
--- a/crates/raft/tests/raft/named.rs
+++ b/crates/raft/tests/raft/named.rs
@@ -4,7 +4,9 @@
 
 use crate::net::{Net, ms};
 use hinge_cases::cases;
-use hinge_raft::{Config, Durable, MembershipChange, MembershipError, NodeId, ProposeError, Role};
+use hinge_raft::{
+    Config, MembershipChange, MembershipError, NodeId, PersistentState, ProposeError, Role,
+};
 
 fn tune(config: &mut Config) {
     config.snapshot_chunk_bytes = 100;
@@ -46,7 +48,7 @@
         net.commit_one();
     }
     net.lose(3);
-    net.add(13, Durable::joining());
+    net.add(13, PersistentState::joining());
     net.run_until("the repair", ms(20_000), |net| {
         net.repair(3, 13, promote_first);
         net.is_repaired(3, 13)
@@ -150,7 +152,9 @@
 
 fn leader_hands_over(to: NodeId, net: &mut Net) -> Option<bool> {
     let leader = net.leader()?;
-    net.with(leader, |node, now| node.transfer(now, to).is_ok())
+    net.with(leader, |node, now| {
+        node.transfer_leadership(now, to).is_ok()
+    })
 }
 
 cases! {
@@ -206,7 +210,7 @@
         let mut net = Net::open(4, 3, tune);
         net.elect();
         for new in 4..=6 {
-            net.add(new, Durable::joining());
+            net.add(new, PersistentState::joining());
             change(&mut net, MembershipChange::AddLearner(new));
             change(&mut net, MembershipChange::Promote(new));
             let leader = net.leader().expect("there is one");
@@ -223,7 +227,7 @@
             let first = node.propose_membership(now, MembershipChange::AddLearner(8));
             (first.is_ok(), node.propose_membership(now, MembershipChange::AddLearner(9)))
         });
-        assert_eq!(busy, Some((true, Err(MembershipError::Busy))));
+        assert_eq!(busy, Some((true, Err(MembershipError::ChangeInProgress))));
     }
 
     a_removed_voter_disturbs_nobody => {
@@ -244,7 +248,7 @@
         let successor = net.node(old).successor().expect("both followers are in touch");
         assert_eq!(leader_hands_over(successor, &mut net), Some(true));
         let refused = net.with(old, |node, now| node.propose(now, Box::default()));
-        assert_eq!(refused, Some(Err(ProposeError::Stopping { successor })));
+        assert_eq!(refused, Some(Err(ProposeError::TransferInProgress { successor })));
         let began = net.now;
         net.run_until("the successor leads", ms(200), |net| net.leader() == Some(successor));
         net.crash(old);
@@ -293,8 +297,8 @@
     learners_count_for_no_quorum => {
         let mut net = Net::open(9, 2, plain);
         let leader = net.elect();
-        net.add(10, Durable::joining());
-        net.add(11, Durable::joining());
+        net.add(10, PersistentState::joining());
+        net.add(11, PersistentState::joining());
         change(&mut net, MembershipChange::AddLearner(10));
         change(&mut net, MembershipChange::AddLearner(11));
         net.run(ms(1000));
@@ -310,7 +314,7 @@
     a_learner_is_promoted_only_once_it_has_synced_what_was_committed => {
         let mut net = Net::open(10, 3, plain);
         let leader = net.elect();
-        net.add(13, Durable::joining());
+        net.add(13, PersistentState::joining());
         net.set_cut(13, false);
         change(&mut net, MembershipChange::AddLearner(13));
         let promote = |net: &mut Net| {
@@ -325,7 +329,7 @@
         net.run(ms(9000));
         net.crash(13);
         net.run(Duration::from_secs(2));
-        assert_eq!(promote(&mut net), Some(Err(MembershipError::OutOfTouch)));
+        assert_eq!(promote(&mut net), Some(Err(MembershipError::Unreachable)));
     }
 
     a_voter_that_lost_its_disk_under_its_old_id_neither_votes_nor_counts => {
--- a/crates/raft/tests/raft/net/mod.rs
+++ b/crates/raft/tests/raft/net/mod.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use hinge_raft::{
-    Body, Config, DropReason, Durable, Entry, Index, Membership, MembershipChange, Message, Node,
-    NodeId, Role, Term, Token, Write,
+    Body, Config, DropReason, Entry, Index, Membership, MembershipChange, Message, Node, NodeId,
+    PersistentState, Role, Term, Write, WriteToken,
 };
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -23,8 +23,8 @@
 
 pub struct Host {
     pub node: Option<Node>,
-    pub disk: Durable,
-    pending: VecDeque<(Token, Vec<Write>)>,
+    pub disk: PersistentState,
+    pending: VecDeque<(WriteToken, Vec<Write>)>,
     epoch: u64,
     rate: f64,
     started: Duration,
@@ -34,7 +34,7 @@
 
 enum Event {
     Deliver(Box<Message>),
-    Synced(NodeId, u64, Token),
+    Synced(NodeId, u64, WriteToken),
     Tick(NodeId, u64),
 }
 
@@ -76,7 +76,7 @@
     }
 }
 
-fn apply(disk: &mut Durable, write: Write) {
+fn apply(disk: &mut PersistentState, write: Write) {
     match write {
         Write::HardState(hard_state) => disk.hard_state = hard_state,
         Write::Truncate { from } => disk.entries.retain(|entry| entry.index < from),
@@ -123,12 +123,12 @@
             learners: Vec::new(),
         };
         for id in 1..=voters {
-            net.add(id, Durable::founding(membership.clone()));
+            net.add(id, PersistentState::bootstrap(membership.clone()));
         }
         net
     }
 
-    pub fn add(&mut self, id: NodeId, disk: Durable) {
+    pub fn add(&mut self, id: NodeId, disk: PersistentState) {
         let mut config = Config::new(id, 7);
         (self.tune)(&mut config);
         // The slowest and the fastest clock differ by as much as the margin allows.
@@ -196,7 +196,7 @@
     /// Loses a node with its disk for good.
     pub fn lose(&mut self, id: NodeId) {
         self.crash(id);
-        self.hosts.get_mut(&id).expect("known").disk = Durable::joining();
+        self.hosts.get_mut(&id).expect("known").disk = PersistentState::joining();
         self.lost.insert(id);
     }
 
@@ -436,7 +436,7 @@
             self.answered.insert(read.read_id);
         }
         let overwritten = output
-            .dropped
+            .dropped_proposals
             .iter()
             .filter(|dropped| dropped.reason == DropReason::Overwritten);
         self.overwritten
--- a/crates/raft/tests/raft/rules.rs
+++ b/crates/raft/tests/raft/rules.rs
@@ -4,8 +4,9 @@
 
 use hinge_cases::cases;
 use hinge_raft::{
-    AppendResult, Body, Config, ConfigError, Durable, Entry, EntryKind, HardState, Membership,
-    Message, Node, NodeId, OpenError, Output, ProposeError, ReadError, Role, Snapshot, Term,
+    AppendResult, Body, Config, ConfigError, Entry, EntryKind, HardState, Membership, Message,
+    Node, NodeId, OpenError, Output, PersistentState, ProposeError, ReadError, Role, Snapshot,
+    Term,
 };
 
 const LATER: Duration = Duration::from_secs(3);
@@ -26,15 +27,15 @@
     }
 }
 
-fn durable(term: Term, entries: Vec<Entry>) -> Durable {
+fn durable(term: Term, entries: Vec<Entry>) -> PersistentState {
     let hard_state = HardState {
         term,
         ..HardState::default()
     };
-    Durable {
+    PersistentState {
         hard_state,
         entries,
-        ..Durable::founding(membership())
+        ..PersistentState::bootstrap(membership())
     }
 }
 
@@ -227,7 +228,7 @@
         let term = lead(&mut node);
         node.step(LATER, accepted(2, term, 1));
         assert!(node.holds_lease(LATER));
-        node.transfer(LATER, 2).expect("node 2 is in touch");
+        node.transfer_leadership(LATER, 2).expect("node 2 is in touch");
         let asked = node.take_output().messages.iter().any(|message| message.body == Body::TimeoutNow);
         assert!(asked && !node.holds_lease(LATER));
         let asked_again = node.read(LATER, 1);
@@ -317,7 +318,7 @@
             last_index: 0, last_term: 0, membership: Membership { voters: vec![1], learners: vec![] },
             state: Box::default(),
         };
-        let stored = Durable { snapshot: Some(snapshot), ..durable(0, Vec::new()) };
+        let stored = PersistentState { snapshot: Some(snapshot), ..durable(0, Vec::new()) };
         let mut node = Node::open(Config::new(1, 7), stored, Duration::ZERO, 1).expect("sound");
         node.tick(LATER);
         assert_eq!(node.role(), Role::Candidate);
--- a/crates/raft/tests/raft/schedules.rs
+++ b/crates/raft/tests/raft/schedules.rs
@@ -2,7 +2,7 @@
 
 use crate::net::{Net, ms};
 use hinge_cases::cases;
-use hinge_raft::{Config, Durable, MembershipChange, NodeId};
+use hinge_raft::{Config, MembershipChange, NodeId, PersistentState};
 use rand::RngExt;
 
 /// Schedules in each case; all cases together run in under 20 s without optimisation.
@@ -63,7 +63,7 @@
     let new = net.hosts.keys().max().expect("some") + 10;
     let promote_first = net.rng.random();
     net.lose(old);
-    net.add(new, Durable::joining());
+    net.add(new, PersistentState::joining());
     *loss = Some(Loss {
         old,
         new,
@@ -91,7 +91,9 @@
         11 | 15 => lose_one(net, loss),
         12 => {
             if let Some(leader) = net.leader() {
-                net.with(leader, |node, now| node.transfer(now, id).is_ok());
+                net.with(leader, |node, now| {
+                    node.transfer_leadership(now, id).is_ok()
+                });
             }
         }
         13 => {
@@ -197,7 +199,9 @@
             }
             _ => {
                 if let Some(leader) = net.leader() {
-                    net.with(leader, |node, now| node.transfer(now, id).is_ok());
+                    net.with(leader, |node, now| {
+                        node.transfer_leadership(now, id).is_ok()
+                    });
                 }
             }
         }
