--- a/crates/raft/src/config.rs
+++ b/crates/raft/src/config.rs
@@ -1,4 +1,4 @@
-//! Holds the times and bounds of a node.
+//! Timeouts and limits of a node.
 
 use std::time::Duration;
 
@@ -6,62 +6,63 @@
 use crate::error::ConfigError;
 use crate::types::NodeId;
 
-/// Time without a leader before a node asks for votes; a few round trips between regions and disk syncs.
+/// Time without contact from a leader before a node starts an election; allows for a few round trips between regions and
+/// disk syncs.
 const ELECTION_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time between heartbeats; a quarter of the lease, so that two may be lost without a new election.
+/// Time between heartbeats; under a quarter of the usable lease, so that two may be lost without a new election.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
-/// Time for which a follower refuses votes after it heard its leader.
+/// Time for which a follower refuses votes after contact from its leader.
 const LEASE: Duration = Duration::from_secs(1);
-/// Part of the lease that the leader doesn't use; covers clocks whose rates differ by a tenth.
+/// Part of the lease that the leader does not rely on; covers clocks whose rates differ by a tenth.
 const CLOCK_DRIFT_MARGIN: Duration = Duration::from_millis(100);
-/// Bytes of entries in one message; large enough to fill a sync, small beside the control budget of 32 MB.
+/// Bytes of entries in one message; large enough to make a sync worthwhile, small against the 32 MB memory budget of control.
 const MAX_BATCH_BYTES: usize = 64 * 1024;
-/// Messages with entries on the way to one follower; covers a round trip of ten syncs.
+/// Unacknowledged appends in flight to one follower; covers a round trip of ten syncs.
 const MAX_INFLIGHT_BATCHES: usize = 8;
-/// Bytes of proposals that wait for their commit.
+/// Bytes of proposals that wait to be committed.
 const MAX_PENDING_BYTES: usize = 1024 * 1024;
-/// Number of proposals that wait for their commit.
+/// Number of proposals that wait to be committed.
 const MAX_PENDING_PROPOSALS: usize = 4096;
 /// Number of reads that wait for a quorum.
 const MAX_PENDING_READS: usize = 1024;
-/// Bytes of a snapshot in one message; one chunk is on the way to a follower at a time.
+/// Bytes of a snapshot in one message; one chunk at a time is in flight to a follower.
 const SNAPSHOT_CHUNK_BYTES: usize = 64 * 1024;
-/// Entries kept in memory behind a snapshot, so that a follower that lags a little needs no snapshot.
+/// Entries before a snapshot that stay in memory, so that a follower that lags slightly needs no snapshot.
 const KEEP_ENTRIES: u64 = 512;
 
-/// Holds the identity, times and bounds of a node.
+/// The identity, timeouts and limits of a node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Config {
-    /// This incarnation's id.
+    /// Id of this incarnation.
     pub id: NodeId,
     /// The cluster that the node belongs to.
     pub cluster_id: ClusterId,
-    /// Shortest time without a leader before an election; the longest is twice as much.
+    /// Shortest time without contact from a leader before an election; the longest is twice that.
     pub election_timeout: Duration,
     /// Time between heartbeats.
     pub heartbeat_interval: Duration,
-    /// Time for which a follower refuses votes after it heard its leader; at most `election_timeout`.
+    /// Time for which a follower refuses votes after contact from its leader; at most `election_timeout`.
     pub lease: Duration,
-    /// Part of `lease` that the leader leaves unused, against clocks of different rates.
+    /// Part of `lease` that the leader does not rely on, to allow for clock drift.
     pub clock_drift_margin: Duration,
-    /// Most bytes of entries in one message, and of one proposal.
+    /// Maximum bytes of entries in one message, and of one proposal.
     pub max_batch_bytes: usize,
-    /// Most messages with entries on the way to one follower.
+    /// Maximum number of unacknowledged appends in flight to one follower.
     pub max_inflight_batches: usize,
-    /// Most bytes of proposals that wait for their commit.
+    /// Maximum bytes of proposals that wait to be committed.
     pub max_pending_bytes: usize,
-    /// Most proposals that wait for their commit.
+    /// Maximum number of proposals that wait to be committed.
     pub max_pending_proposals: usize,
-    /// Most reads that wait for a quorum.
+    /// Maximum number of reads that wait for a quorum.
     pub max_pending_reads: usize,
-    /// Most bytes of a snapshot in one message.
+    /// Maximum bytes of a snapshot in one message.
     pub snapshot_chunk_bytes: usize,
-    /// Entries kept in memory behind a snapshot.
+    /// Entries before a snapshot that stay in memory.
     pub keep_entries: u64,
 }
 
 impl Config {
-    /// Returns the default times and bounds for a node.
+    /// Returns a configuration with the default timeouts and limits.
     #[must_use]
     pub fn new(id: NodeId, cluster_id: ClusterId) -> Self {
         Self {
@@ -86,11 +87,11 @@
         self.lease.saturating_sub(self.clock_drift_margin)
     }
 
-    /// Checks that the times fit together and that no bound is zero.
+    /// Checks that the timeouts are consistent and that no limit is zero.
     ///
     /// # Errors
     ///
-    /// Returns the first rule that is broken.
+    /// Returns the first rule that is violated.
     pub fn check(&self) -> Result<(), ConfigError> {
         if self.id == 0 {
             return Err(ConfigError::ZeroId);
--- a/crates/raft/src/election.rs
+++ b/crates/raft/src/election.rs
@@ -1,11 +1,11 @@
-//! Elects a leader: pre-vote, vote, and the wait for the old lease.
+//! Leader election: pre-votes, votes, and the wait for the previous leader's lease to expire.
 
 use std::collections::BTreeSet;
 
 use rand::RngExt;
 
 use crate::node::{Node, State};
-use crate::progress::Leading;
+use crate::progress::LeaderState;
 use crate::types::{EntryKind, Index, NodeId, Term};
 use crate::{Body, Message};
 
@@ -15,11 +15,11 @@
         self.election_at = self.now + shortest + shortest.mul_f64(self.rng.random::<f64>());
     }
 
-    /// Returns whether the message comes from outside the membership and brings nothing new.
+    /// Returns whether the message comes from a non-member and can be ignored.
     ///
-    /// A removed instance that never learned of its removal is such a stranger. A stranger whose log is ahead may have
-    /// joined by an entry that this node lacks, and so may a leader, so they must be heard.
-    pub(crate) fn is_stale_stranger(&self, message: &Message) -> bool {
+    /// An example is an instance that has not learned of its own removal. A non-member whose log is ahead may have joined
+    /// by an entry that this node lacks, and so may a leader, so their messages must be handled.
+    pub(crate) fn is_stale_non_member(&self, message: &Message) -> bool {
         let membership = self.log.membership();
         if membership.is_empty() {
             return false;
@@ -43,24 +43,24 @@
         }
     }
 
-    /// Adopts a newer term and answers an older one; returns whether the message is to be handled.
+    /// Adopts a newer term and rejects an older one; returns whether to handle the message.
     pub(crate) fn check_term(&mut self, message: &Message) -> bool {
         let asks_for_vote = matches!(message.body, Body::PreVote { .. } | Body::Vote { .. });
         if asks_for_vote && !self.complete {
             // This incarnation may have voted before it lost its disk.
             return false;
         }
-        if message.term < self.hard.term {
-            self.answer_old_term(message);
+        if message.term < self.hard_state.term {
+            self.reject_stale_term(message);
             return false;
         }
-        if message.term == self.hard.term {
+        if message.term == self.hard_state.term {
             return true;
         }
         match message.body {
-            // A pre-vote and its grant carry a term that nobody has entered yet.
+            // A pre-vote request and its grant carry a term that no node has entered yet.
             Body::PreVote { .. } | Body::PreVoteReply { granted: true } => return true,
-            // A vote during the lease must not even raise the term, or it would unseat a leader that works.
+            // A vote request during the lease must not even raise the term, as that would depose a working leader.
             Body::Vote {
                 transfer: false, ..
             } if self.must_wait_for_lease() => return false,
@@ -74,8 +74,8 @@
         true
     }
 
-    /// Tells a sender of an older term, which may still lead or campaign, of the newer one.
-    fn answer_old_term(&mut self, message: &Message) {
+    /// Tells a sender that may still lead or campaign in an older term about the current one.
+    fn reject_stale_term(&mut self, message: &Message) {
         let body = match &message.body {
             Body::PreVote { .. } => Body::PreVoteReply { granted: false },
             Body::Vote { .. } => Body::VoteReply { granted: false },
@@ -94,35 +94,35 @@
             }
             _ => return,
         };
-        self.outbox.send(self.hard.term, message.from, body);
+        self.outbox.send(self.hard_state.term, message.from, body);
     }
 
-    /// Returns whether some leader may still rely on this node not to vote.
+    /// Returns whether a leader may still rely on this node not to vote.
     pub(crate) fn must_wait_for_lease(&self) -> bool {
         matches!(self.state, State::Leader(_)) || self.now < self.votes_refused_until
     }
 
     pub(crate) fn become_follower(&mut self, term: Term, leader: Option<NodeId>) {
-        if let State::Leader(leading) = std::mem::replace(&mut self.state, State::Follower) {
+        if let State::Leader(leader_state) = std::mem::replace(&mut self.state, State::Follower) {
             self.dropped_reads
-                .extend(leading.reads.iter().map(|read| read.read_id));
-            self.drop_proposals_unknown();
+                .extend(leader_state.reads.iter().map(|read| read.read_id));
+            self.report_leadership_lost();
         }
-        if term > self.hard.term {
-            self.hard.term = term;
-            self.hard.voted_for = None;
-            self.hard.commit = self.commit;
-            self.outbox.write_hard(self.hard);
+        if term > self.hard_state.term {
+            self.hard_state.term = term;
+            self.hard_state.voted_for = None;
+            self.hard_state.commit = self.commit;
+            self.outbox.write_hard_state(self.hard_state);
         }
         self.leader = leader;
-        self.incoming = None;
+        self.incoming_snapshot = None;
         self.restart_election_timer();
     }
 
-    /// Notes that the leader of this term spoke: no vote for another during the lease.
-    pub(crate) fn heard_leader(&mut self, leader: NodeId) {
+    /// Records contact from this term's leader: this node grants no vote until the lease expires.
+    pub(crate) fn on_leader_contact(&mut self, leader: NodeId) {
         if self.leader != Some(leader) || !matches!(self.state, State::Follower) {
-            self.become_follower(self.hard.term, Some(leader));
+            self.become_follower(self.hard_state.term, Some(leader));
         }
         self.votes_refused_until = self.votes_refused_until.max(self.now + self.config.lease);
         self.restart_election_timer();
@@ -139,7 +139,7 @@
             .collect()
     }
 
-    fn may_campaign(&self) -> bool {
+    fn can_campaign(&self) -> bool {
         self.complete && self.log.membership().is_voter(self.config.id)
     }
 
@@ -156,7 +156,7 @@
     pub(crate) fn start_pre_vote(&mut self) {
         self.leader = None;
         self.restart_election_timer();
-        if !self.may_campaign() {
+        if !self.can_campaign() {
             return;
         }
         let votes = BTreeSet::from([self.config.id]);
@@ -167,7 +167,8 @@
             last_term: self.log.last_term(),
         };
         for peer in self.other_voters() {
-            self.outbox.send(self.hard.term + 1, peer, body.clone());
+            self.outbox
+                .send(self.hard_state.term + 1, peer, body.clone());
         }
         if has_won {
             self.campaign(false);
@@ -175,19 +176,19 @@
     }
 
     pub(crate) fn campaign(&mut self, transfer: bool) {
-        self.hard.term += 1;
-        self.hard.voted_for = Some(self.config.id);
-        self.hard.commit = self.commit;
-        self.outbox.write_hard(self.hard);
+        self.hard_state.term += 1;
+        self.hard_state.voted_for = Some(self.config.id);
+        self.hard_state.commit = self.commit;
+        self.outbox.write_hard_state(self.hard_state);
         self.leader = None;
-        self.incoming = None;
+        self.incoming_snapshot = None;
         self.restart_election_timer();
-        // The node's own vote counts once it is synced.
+        // The node's own vote counts only once it is synced.
         self.state = State::Candidate(BTreeSet::new());
         let (last_index, last_term) = (self.log.last_index(), self.log.last_term());
         for peer in self.other_voters() {
             self.outbox.send(
-                self.hard.term,
+                self.hard_state.term,
                 peer,
                 Body::Vote {
                     last_index,
@@ -199,7 +200,7 @@
     }
 
     pub(crate) fn count_own_vote(&mut self) {
-        if matches!(self.state, State::Candidate(_)) && self.outbox.is_hard_synced() {
+        if matches!(self.state, State::Candidate(_)) && self.outbox.is_hard_state_synced() {
             self.count_vote(self.config.id);
         }
     }
@@ -214,17 +215,18 @@
         if self.must_wait_for_lease() {
             return;
         }
-        let granted = term > self.hard.term && self.log.is_covered_by(last_index, last_term);
-        let answer_term = if granted { term } else { self.hard.term };
+        let granted =
+            term > self.hard_state.term && self.log.is_candidate_up_to_date(last_index, last_term);
+        let reply_term = if granted { term } else { self.hard_state.term };
         self.outbox
-            .send(answer_term, from, Body::PreVoteReply { granted });
+            .send(reply_term, from, Body::PreVoteReply { granted });
     }
 
     pub(crate) fn on_pre_vote_reply(&mut self, from: NodeId, term: Term, granted: bool) {
         let State::PreCandidate(votes) = &mut self.state else {
             return;
         };
-        if !granted || term != self.hard.term + 1 {
+        if !granted || term != self.hard_state.term + 1 {
             return;
         }
         votes.insert(from);
@@ -244,20 +246,21 @@
         if !transfer && self.must_wait_for_lease() {
             return;
         }
-        let is_free = self
-            .hard
+        let can_vote = self
+            .hard_state
             .voted_for
             .is_none_or(|voted_for| voted_for == from);
-        let granted =
-            is_free && self.leader.is_none() && self.log.is_covered_by(last_index, last_term);
+        let granted = can_vote
+            && self.leader.is_none()
+            && self.log.is_candidate_up_to_date(last_index, last_term);
         if granted {
-            self.hard.voted_for = Some(from);
-            self.hard.commit = self.commit;
-            self.outbox.write_hard(self.hard);
+            self.hard_state.voted_for = Some(from);
+            self.hard_state.commit = self.commit;
+            self.outbox.write_hard_state(self.hard_state);
             self.restart_election_timer();
         }
         self.outbox
-            .send(self.hard.term, from, Body::VoteReply { granted });
+            .send(self.hard_state.term, from, Body::VoteReply { granted });
     }
 
     pub(crate) fn on_vote_reply(&mut self, from: NodeId, granted: bool) {
@@ -279,14 +282,14 @@
 
     fn become_leader(&mut self) {
         let first_index = self.log.last_index() + 1;
-        self.state = State::Leader(Box::new(Leading::new(first_index, self.now)));
+        self.state = State::Leader(Box::new(LeaderState::new(first_index, self.now)));
         self.leader = Some(self.config.id);
         self.track_members();
-        self.append_own(EntryKind::Noop, Box::default());
+        self.append_as_leader(EntryKind::Noop, Box::default());
     }
 
     pub(crate) fn on_timeout_now(&mut self, from: NodeId) {
-        if self.may_campaign() && self.leader == Some(from) {
+        if self.can_campaign() && self.leader == Some(from) {
             self.campaign(true);
         }
     }
--- a/crates/raft/src/error.rs
+++ b/crates/raft/src/error.rs
@@ -1,22 +1,22 @@
-//! Names the reasons for which a node refuses an input.
+//! Errors that a node returns when it refuses an input.
 
 use std::error::Error;
 use std::fmt;
 
 use crate::types::{Index, NodeId};
 
-/// Says which rule a [`crate::Config`] breaks.
+/// A rule that a [`crate::Config`] violates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConfigError {
-    /// The id is zero, which means "nobody".
+    /// The id is zero, which stands for no node.
     ZeroId,
     /// The lease is longer than the election timeout.
     LeaseOverElectionTimeout,
-    /// The drift margin leaves nothing of the lease.
+    /// The clock drift margin is not shorter than the lease.
     MarginOverLease,
     /// Two heartbeats don't fit into the usable lease.
     HeartbeatOverLease,
-    /// A bound is zero.
+    /// A limit is zero.
     ZeroBound,
 }
 
@@ -26,25 +26,27 @@
             Self::ZeroId => "the node id is zero",
             Self::LeaseOverElectionTimeout => "the lease is longer than the election timeout",
             Self::MarginOverLease => "the clock drift margin is not shorter than the lease",
-            Self::HeartbeatOverLease => "two heartbeats don't fit into the lease less its margin",
-            Self::ZeroBound => "a bound is zero",
+            Self::HeartbeatOverLease => {
+                "two heartbeat intervals don't fit into the lease minus the clock drift margin"
+            }
+            Self::ZeroBound => "a limit is zero",
         })
     }
 }
 
 impl Error for ConfigError {}
 
-/// Says why a node can't start from what the store holds.
+/// The reason why a node can't start from its store's state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OpenError {
-    /// The configuration breaks a rule.
+    /// The configuration is invalid.
     Config(ConfigError),
-    /// The entry at this index is missing or out of order.
+    /// The entry at this index is missing, or its index or term is out of order.
     Gap {
         /// Index that should have come next.
         index: Index,
     },
-    /// The entry at this index claims to hold a membership but doesn't.
+    /// The membership entry at this index can't be decoded.
     Membership {
         /// Index of the entry.
         index: Index,
@@ -54,7 +56,7 @@
 impl fmt::Display for OpenError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Config(_) => f.write_str("the configuration of the replicated log is wrong"),
+            Self::Config(_) => f.write_str("the configuration of the replicated log is invalid"),
             Self::Gap { index } => write!(f, "the stored log has a gap at index {index}"),
             Self::Membership { index } => {
                 write!(f, "the stored membership at index {index} can't be decoded")
@@ -72,24 +74,24 @@
     }
 }
 
-/// Says why a proposal was refused; a refused proposal was not appended anywhere.
+/// The reason why a proposal was refused; a refused proposal was not appended anywhere.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProposeError {
-    /// This node doesn't lead; the hint names the leader if it is known.
+    /// This node is not the leader.
     NotLeader {
-        /// The leader, as far as this node knows.
+        /// The leader, if known to this node.
         leader: Option<NodeId>,
     },
-    /// Too many proposals wait for their commit.
+    /// Too many proposals wait to be committed.
     Full,
     /// The proposal is larger than one message may be.
     TooLarge {
-        /// Most bytes that a proposal may have.
+        /// Maximum size of a proposal in bytes.
         max_bytes: usize,
     },
-    /// The node hands over leadership.
+    /// The node is transferring leadership.
     TransferInProgress {
-        /// The node that is to lead next.
+        /// The node that leadership is transferred to.
         successor: NodeId,
     },
 }
@@ -99,14 +101,14 @@
         match self {
             Self::NotLeader {
                 leader: Some(leader),
-            } => write!(f, "not the leader; {leader} leads"),
-            Self::NotLeader { leader: None } => f.write_str("not the leader; none is known"),
-            Self::Full => f.write_str("too many proposals wait for their commit"),
+            } => write!(f, "not the leader; the leader is {leader}"),
+            Self::NotLeader { leader: None } => f.write_str("not the leader; no leader is known"),
+            Self::Full => f.write_str("too many proposals wait to be committed"),
             Self::TooLarge { max_bytes } => {
-                write!(f, "the proposal has more than {max_bytes} bytes")
+                write!(f, "the proposal is larger than {max_bytes} bytes")
             }
             Self::TransferInProgress { successor } => {
-                write!(f, "leadership is being handed over to {successor}")
+                write!(f, "leadership is being transferred to {successor}")
             }
         }
     }
@@ -114,40 +116,42 @@
 
 impl Error for ProposeError {}
 
-/// Says why a change of the membership was refused.
+/// The reason why a membership change was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MembershipError {
-    /// The change can't be proposed at all now.
+    /// This node can't propose anything now.
     Propose(ProposeError),
-    /// An earlier change isn't committed yet, or the leader hasn't committed an entry of its own term.
+    /// An earlier change is not committed yet, or the leader has not committed an entry of its own term.
     ChangeInProgress,
-    /// The instance is a member already.
+    /// The instance is already a member.
     AlreadyMember,
     /// The instance is not a member.
     NotMember,
-    /// Only a learner can be promoted.
+    /// The instance to promote is not a learner.
     NotLearner,
-    /// The leader can't remove itself; hand over leadership first.
+    /// The leader can't remove itself; transfer leadership first.
     IsLeader,
-    /// The learner's synced log doesn't reach what was committed when it joined.
+    /// The learner has lost its disk, or has not synced the entries that existed when the leader began to track it.
     NotCaughtUp {
         /// Last index that the learner has synced.
         match_index: Index,
-        /// Index that it must have synced.
+        /// Index that the learner must have synced.
         needed_index: Index,
     },
-    /// The learner didn't answer within the election timeout.
+    /// The learner did not reply within the election timeout.
     Unreachable,
-    /// Too few of the voters that would remain are in touch.
+    /// Too few of the voters that would remain are reachable.
     WouldLoseQuorum,
 }
 
 impl fmt::Display for MembershipError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Propose(_) => f.write_str("the membership can't be changed here"),
-            Self::ChangeInProgress => f.write_str("an earlier change is not committed yet"),
-            Self::AlreadyMember => f.write_str("the instance is a member already"),
+            Self::Propose(_) => f.write_str("the membership can't be changed on this node now"),
+            Self::ChangeInProgress => f.write_str(
+                "an earlier change, or the first entry of the term, is not committed yet",
+            ),
+            Self::AlreadyMember => f.write_str("the instance is already a member"),
             Self::NotMember => f.write_str("the instance is not a member"),
             Self::NotLearner => f.write_str("the instance is not a learner"),
             Self::IsLeader => f.write_str("the leader can't remove itself"),
@@ -157,11 +161,11 @@
             } => {
                 write!(
                     f,
-                    "the learner has synced up to {match_index} and needs {needed_index}"
+                    "the learner has synced up to index {match_index} and must reach {needed_index}"
                 )
             }
-            Self::Unreachable => f.write_str("the learner is out of touch"),
-            Self::WouldLoseQuorum => f.write_str("too few of the remaining voters are in touch"),
+            Self::Unreachable => f.write_str("the learner is unreachable"),
+            Self::WouldLoseQuorum => f.write_str("too few of the remaining voters are reachable"),
         }
     }
 }
@@ -175,12 +179,12 @@
     }
 }
 
-/// Says why a read was refused.
+/// The reason why a read was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadError {
-    /// This node doesn't lead; the hint names the leader if it is known.
+    /// This node is not the leader.
     NotLeader {
-        /// The leader, as far as this node knows.
+        /// The leader, if known to this node.
         leader: Option<NodeId>,
     },
     /// Too many reads wait for a quorum.
@@ -192,8 +196,8 @@
         match self {
             Self::NotLeader {
                 leader: Some(leader),
-            } => write!(f, "not the leader; {leader} leads"),
-            Self::NotLeader { leader: None } => f.write_str("not the leader; none is known"),
+            } => write!(f, "not the leader; the leader is {leader}"),
+            Self::NotLeader { leader: None } => f.write_str("not the leader; no leader is known"),
             Self::Full => f.write_str("too many reads wait for a quorum"),
         }
     }
@@ -201,16 +205,16 @@
 
 impl Error for ReadError {}
 
-/// Says why leadership can't be handed over.
+/// The reason why leadership can't be transferred.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TransferError {
-    /// This node doesn't lead.
+    /// This node is not the leader.
     NotLeader,
-    /// A hand-over is under way.
+    /// Another transfer is in progress.
     TransferInProgress,
     /// The successor is not another voter.
     NotVoter,
-    /// The successor didn't answer within the election timeout.
+    /// The successor did not reply within the election timeout.
     Unreachable,
 }
 
@@ -218,9 +222,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::NotLeader => "not the leader",
-            Self::TransferInProgress => "leadership is being handed over already",
+            Self::TransferInProgress => "leadership is already being transferred",
             Self::NotVoter => "the successor is not another voter",
-            Self::Unreachable => "the successor is out of touch",
+            Self::Unreachable => "the successor is unreachable",
         })
     }
 }
--- a/crates/raft/src/lease.rs
+++ b/crates/raft/src/lease.rs
@@ -1,13 +1,13 @@
-//! Numbers the leader's rounds of heartbeats and remembers when each began.
+//! The leader's heartbeat rounds and their start times.
 //!
-//! The lease counts from the time at which a round *began*, before any of its messages was sent. A follower that
-//! answers the round heard it later, and refuses votes for the full lease from then on. So the leader's view is over first,
-//! as long as the clocks' rates differ by less than the margin.
+//! The lease runs from the time at which a round *began*, before any of its messages was sent. A follower that
+//! acknowledges the round received it later, and refuses votes for the full lease from then on. So the leader's lease
+//! expires first, as long as the clock rates differ by less than the margin.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Holds the rounds that a quorum may still answer.
+/// The rounds that a quorum may still acknowledge.
 #[derive(Debug)]
 pub(crate) struct Rounds {
     current: u64,
@@ -33,7 +33,7 @@
         self.began.push_back((self.current, now));
     }
 
-    /// Returns when a round began; none for a round that is forgotten or never was.
+    /// Returns when a round began; none if the round was discarded or never began.
     pub(crate) fn began_at(&self, round: u64) -> Option<Duration> {
         self.began
             .iter()
@@ -41,8 +41,8 @@
             .map(|(_, began)| *began)
     }
 
-    /// Forgets the rounds before one that a quorum answered.
-    pub(crate) fn forget_before(&mut self, round: u64) {
+    /// Discards the rounds before one that a quorum acknowledged.
+    pub(crate) fn discard_before(&mut self, round: u64) {
         while self
             .began
             .front()
--- a/crates/raft/src/lib.rs
+++ b/crates/raft/src/lib.rs
@@ -1,11 +1,11 @@
-//! Holds the replicated log as a pure state machine: messages in, messages and writes out.
+//! A Raft replicated log as a pure state machine: messages in, messages and writes out.
 //!
-//! A [`Node`] does no I/O and reads no clock. A driver feeds it with the time, messages, proposals and the news that
-//! writes are synced, and after each batch of inputs drains [`Node::take_output`]. In each [`Output`] the driver
+//! A [`Node`] does no I/O and reads no clock. A driver passes it the time, messages, proposals and sync completions, and
+//! calls [`Node::take_output`] after each batch of inputs. For each [`Output`] the driver
 //!
-//! 1. hands `writes` to the store in order, and calls [`Node::persisted`] with the token once they are synced;
-//! 2. sends `messages` at once: a message that promises durability only appears after its writes were synced;
-//! 3. installs `install` into the state machine, if there is one, and then applies `committed` in order;
+//! 1. passes `writes` to the store in order, and calls [`Node::persisted`] with the token once they are synced;
+//! 2. sends `messages` at once: a message that depends on durable state is only output after its writes were synced;
+//! 3. installs the snapshot in `install`, if there is one, into the state machine, then applies `committed` in order;
 //! 4. answers `reads` from the state machine, after step 3, without waiting.
 
 mod config;
@@ -34,11 +34,11 @@
 pub use output::{DropReason, Output, ProposalDropped, ReadReady, Role, RoleChange, Write};
 pub use types::{Entry, EntryKind, HardState, Index, Membership, NodeId, Snapshot, Term};
 
-/// Names one cluster; messages of other clusters are ignored.
+/// The id of a cluster; messages from other clusters are ignored.
 pub type ClusterId = u64;
 
-/// Numbers a batch of writes; a later batch has a higher token.
+/// The number of a batch of writes; a later batch has a higher token.
 pub type WriteToken = u64;
 
-/// Names a read by the driver's own number.
+/// The id of a read, chosen by the driver.
 pub type ReadId = u64;
--- a/crates/raft/src/log.rs
+++ b/crates/raft/src/log.rs
@@ -1,4 +1,4 @@
-//! Holds the part of the log that is in memory, and the memberships that it defines.
+//! The in-memory part of the log, and the memberships that it defines.
 
 use std::collections::VecDeque;
 
@@ -6,16 +6,16 @@
 use crate::membership;
 use crate::types::{Entry, EntryKind, Index, Membership, Snapshot, Term};
 
-/// Bytes of an encoded entry beside its payload, with its named fields; keeps messages of many small entries bounded.
+/// Bytes of an encoded entry besides its payload, including field names; bounds messages of many small entries.
 const ENTRY_OVERHEAD_BYTES: usize = 64;
 
-/// Holds the entries after a base, which a snapshot covers.
+/// The entries after a base index; everything up to the base is included in a snapshot.
 #[derive(Debug)]
 pub(crate) struct Log {
     base_index: Index,
     base_term: Term,
     entries: VecDeque<Entry>,
-    /// Memberships by the index that defined them, in order; the first is at or before the base.
+    /// Memberships with the index of their entry, in order; the first is at or before the base.
     memberships: Vec<(Index, Membership)>,
 }
 
@@ -62,7 +62,7 @@
             .map_or(self.base_term, |entry| entry.term)
     }
 
-    /// Returns the term of an entry, or none if it is compacted away or not there yet.
+    /// Returns the term of an entry, or none if it was compacted or does not exist yet.
     pub(crate) fn term_at(&self, index: Index) -> Option<Term> {
         if index == self.base_index {
             return Some(self.base_term);
@@ -71,11 +71,11 @@
     }
 
     fn get(&self, index: Index) -> Option<&Entry> {
-        let place = index.checked_sub(self.base_index + 1)?;
-        self.entries.get(usize::try_from(place).ok()?)
+        let position = index.checked_sub(self.base_index + 1)?;
+        self.entries.get(usize::try_from(position).ok()?)
     }
 
-    /// Returns copies of the entries from `from` on: at least one, if there is one, and else up to the bound.
+    /// Returns copies of the entries from `from` on, up to `max_bytes` but at least one if there is any.
     pub(crate) fn batch(&self, from: Index, max_bytes: usize) -> Vec<Entry> {
         let mut batch = Vec::new();
         let mut bytes = 0;
@@ -91,15 +91,15 @@
         batch
     }
 
-    /// Returns copies of the entries after one index up to and including another.
-    pub(crate) fn between(&self, after: Index, last: Index) -> Vec<Entry> {
+    /// Returns copies of the entries after index `after`, up to and including `last`.
+    pub(crate) fn entries_between(&self, after: Index, last: Index) -> Vec<Entry> {
         (after + 1..=last)
             .filter_map(|index| self.get(index).cloned())
             .collect()
     }
 
-    /// Returns whether a log that ends at `index` and `term` holds at least what this one holds.
-    pub(crate) fn is_covered_by(&self, index: Index, term: Term) -> bool {
+    /// Returns whether a log that ends at `index` and `term` is at least as up-to-date as this one.
+    pub(crate) fn is_candidate_up_to_date(&self, index: Index, term: Term) -> bool {
         (term, index) >= (self.last_term(), self.last_index())
     }
 
@@ -113,26 +113,30 @@
     }
 
     pub(crate) fn append(&mut self, entry: Entry) {
-        debug_assert_eq!(entry.index, self.last_index() + 1, "the log has no gaps");
+        debug_assert_eq!(
+            entry.index,
+            self.last_index() + 1,
+            "entries are appended without gaps"
+        );
         if entry.kind == EntryKind::Membership {
             let membership = membership::decode(&entry)
-                .expect("memberships are checked before they are appended");
+                .expect("memberships are validated before they are appended");
             self.memberships.push((entry.index, membership));
         }
         self.entries.push_back(entry);
     }
 
-    /// Drops the entries from `from` on.
+    /// Removes the entries from `from` on.
     pub(crate) fn truncate(&mut self, from: Index) {
         let kept = from.saturating_sub(self.base_index + 1);
         self.entries.truncate(
-            usize::try_from(kept).expect("the log in memory is shorter than the address space"),
+            usize::try_from(kept).expect("the in-memory log fits into the address space"),
         );
         self.memberships
             .retain(|(index, _)| *index < from || *index <= self.base_index);
     }
 
-    /// Drops the entries up to and including `to`, which a snapshot covers.
+    /// Removes the entries up to and including `to`, which are included in a snapshot.
     pub(crate) fn compact(&mut self, to: Index) {
         while self.entries.front().is_some_and(|entry| entry.index <= to) {
             let entry = self.entries.pop_front().expect("the front was just seen");
@@ -148,7 +152,7 @@
         }
     }
 
-    /// Replaces the whole log by a snapshot.
+    /// Replaces the whole log with a snapshot.
     pub(crate) fn reset(&mut self, snapshot: &Snapshot) {
         self.base_index = snapshot.last_index;
         self.base_term = snapshot.last_term;
@@ -161,19 +165,19 @@
         &self
             .memberships
             .last()
-            .expect("there is always a first membership")
+            .expect("the list of memberships is never empty")
             .1
     }
 
-    /// Returns the index that defined the latest membership.
+    /// Returns the index of the entry or snapshot that defined the latest membership.
     pub(crate) fn membership_index(&self) -> Index {
         self.memberships
             .last()
-            .expect("there is always a first membership")
+            .expect("the list of memberships is never empty")
             .0
     }
 
-    /// Returns the membership as of an index that isn't compacted away.
+    /// Returns the membership as of an index that is not compacted.
     pub(crate) fn membership_at(&self, index: Index) -> &Membership {
         let known = self
             .memberships
--- a/crates/raft/src/membership.rs
+++ b/crates/raft/src/membership.rs
@@ -1,4 +1,4 @@
-//! Decides who counts for a quorum and how the membership may change.
+//! Quorums and membership changes.
 
 use smallvec::SmallVec;
 
@@ -6,71 +6,71 @@
 use crate::node::{Node, State};
 use crate::types::{Entry, EntryKind, Index, Membership, NodeId, Term};
 
-/// Voters that fit on the stack; control has 3 to 9.
-pub(crate) const USUAL_VOTERS: usize = 9;
+/// Voters stored inline without heap allocation; control has 3 to 9.
+pub(crate) const INLINE_VOTERS: usize = 9;
 
-/// Says how to change the membership by one instance.
+/// A membership change by one instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MembershipChange {
-    /// Lets an instance receive the log without counting for a quorum.
+    /// Adds an instance that receives the log without counting towards a quorum.
     AddLearner(NodeId),
-    /// Makes a caught-up learner a voter.
+    /// Turns a learner that has caught up into a voter.
     Promote(NodeId),
     /// Removes a voter or a learner.
     Remove(NodeId),
 }
 
 impl Membership {
-    /// Returns whether an instance votes.
+    /// Returns whether an instance is a voter.
     #[must_use]
     pub fn is_voter(&self, id: NodeId) -> bool {
         self.voters.contains(&id)
     }
 
-    /// Returns whether an instance only follows.
+    /// Returns whether an instance is a learner.
     #[must_use]
     pub fn is_learner(&self, id: NodeId) -> bool {
         self.learners.contains(&id)
     }
 
-    /// Returns whether an instance votes or follows.
+    /// Returns whether an instance is a voter or a learner.
     #[must_use]
     pub fn contains(&self, id: NodeId) -> bool {
         self.is_voter(id) || self.is_learner(id)
     }
 
-    /// Returns whether nobody is a member, as on a node that has learned of none yet.
+    /// Returns whether there are no members, as on a node that has not received a membership yet.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.voters.is_empty() && self.learners.is_empty()
     }
 
-    /// Returns the number of voters that make a quorum.
+    /// Returns the number of voters that form a quorum.
     #[must_use]
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Returns all members.
+    /// Returns the voters and then the learners.
     pub(crate) fn members(&self) -> impl Iterator<Item = NodeId> + '_ {
         self.voters.iter().chain(&self.learners).copied()
     }
 
-    /// Returns the highest value that a quorum of voters has reached.
+    /// Returns the highest value that a quorum of voters has reached, or the default if there are no voters.
     pub(crate) fn quorum_value<V: Ord + Copy + Default>(
         &self,
         value_of: impl Fn(NodeId) -> V,
     ) -> V {
-        let mut values: SmallVec<[V; USUAL_VOTERS]> =
+        let mut values: SmallVec<[V; INLINE_VOTERS]> =
             self.voters.iter().map(|id| value_of(*id)).collect();
         values.sort_unstable();
         values
             .len()
             .checked_sub(self.quorum())
-            .map_or_else(V::default, |place| values[place])
+            .map_or_else(V::default, |position| values[position])
     }
 
-    fn changed(&self, change: MembershipChange) -> Self {
+    fn with_change(&self, change: MembershipChange) -> Self {
         let mut next = self.clone();
         match change {
             MembershipChange::AddLearner(id) => next.learners.push(id),
@@ -90,41 +90,41 @@
 
     fn encode(&self) -> Box<[u8]> {
         rmp_serde::to_vec_named(self)
-            .expect("a membership is always encodable")
+            .expect("encoding a membership never fails")
             .into_boxed_slice()
     }
 }
 
-/// Returns the membership that an entry holds, or none if its bytes are wrong.
+/// Returns the membership in an entry, or none if the payload is invalid.
 pub(crate) fn decode(entry: &Entry) -> Option<Membership> {
     rmp_serde::from_slice(&entry.payload).ok()
 }
 
 impl Node {
-    /// Appends a change of the membership by one instance; it counts from the moment it is appended.
+    /// Appends a membership change by one instance; it takes effect as soon as it is appended.
     ///
     /// To replace a lost voter: add the new incarnation as a learner, wait until it has caught up, remove the old
     /// incarnation, promote the new one.
     ///
     /// # Errors
     ///
-    /// Returns why the change is refused; nothing was appended then.
+    /// Returns why the change is refused, in which case nothing was appended.
     pub fn propose_membership(
         &mut self,
         now: std::time::Duration,
         change: MembershipChange,
     ) -> Result<(Term, Index), MembershipError> {
         self.observe(now);
-        self.check_may_propose().map_err(MembershipError::Propose)?;
+        self.check_can_propose().map_err(MembershipError::Propose)?;
         self.check_change(change)?;
-        let next = self.log.membership().changed(change);
-        let entry = self.append_own(EntryKind::Membership, next.encode());
+        let next = self.log.membership().with_change(change);
+        let entry = self.append_as_leader(EntryKind::Membership, next.encode());
         self.track_members();
         Ok((entry.0, entry.1))
     }
 
     fn check_change(&self, change: MembershipChange) -> Result<(), MembershipError> {
-        // Two changes that overlap could have quorums without a common voter. A change of an earlier term may still be
+        // Two overlapping changes could have quorums without a common voter. A change from an earlier term may still be
         // overwritten, so the leader must first commit an entry of its own term.
         if self.log.membership_index() > self.commit || !self.has_committed_in_term() {
             return Err(MembershipError::ChangeInProgress);
@@ -140,36 +140,38 @@
             MembershipChange::Remove(id) if !membership.contains(id) => {
                 Err(MembershipError::NotMember)
             }
-            MembershipChange::Remove(_) => self.check_remaining(&membership.changed(change)),
+            MembershipChange::Remove(_) => {
+                self.check_remaining_quorum(&membership.with_change(change))
+            }
         }
     }
 
-    /// Checks whether this leader would promote a learner now.
+    /// Checks whether this leader can promote a learner now.
     ///
     /// # Errors
     ///
-    /// Returns why it would not: the learner lags, lost its disk or is out of touch.
+    /// Returns why it can't: the learner lags, lost its disk or is unreachable.
     ///
     /// # Panics
     ///
-    /// Panics if the leader does not track a member, which is a broken invariant.
+    /// Panics if the leader does not track a member, which violates an invariant.
     pub fn check_promotion(&self, id: NodeId) -> Result<(), MembershipError> {
         if !self.log.membership().is_learner(id) {
             return Err(MembershipError::NotLearner);
         }
-        let State::Leader(leading) = &self.state else {
+        let State::Leader(leader_state) = &self.state else {
             return Err(MembershipError::Propose(ProposeError::NotLeader {
                 leader: self.leader,
             }));
         };
-        let progress = leading
+        let progress = leader_state
             .peers
             .get(&id)
             .expect("the leader tracks every member");
-        if !progress.complete || progress.match_index < progress.joined_index {
+        if !progress.complete || progress.match_index < progress.required_index {
             return Err(MembershipError::NotCaughtUp {
                 match_index: progress.match_index,
-                needed_index: progress.joined_index,
+                needed_index: progress.required_index,
             });
         }
         if !self.is_reachable(id) {
@@ -178,25 +180,28 @@
         Ok(())
     }
 
-    /// Returns a voter that has not answered this leader for some time, if there is one.
+    /// Returns a voter that has not replied to this leader for `timeout`, if there is one.
     #[must_use]
-    pub fn silent_voter(&self, longest: std::time::Duration) -> Option<NodeId> {
+    pub fn silent_voter(&self, timeout: std::time::Duration) -> Option<NodeId> {
         let mut voters = self.log.membership().voters.iter().copied();
-        voters.find(|id| self.is_silent(*id, longest))
+        voters.find(|id| self.is_silent(*id, timeout))
     }
 
-    /// Returns whether another instance has not answered this leader for some time.
+    /// Returns whether another instance has not replied to this leader for `timeout`.
     #[must_use]
-    pub fn is_silent(&self, id: NodeId, longest: std::time::Duration) -> bool {
-        let State::Leader(leading) = &self.state else {
+    pub fn is_silent(&self, id: NodeId, timeout: std::time::Duration) -> bool {
+        let State::Leader(leader_state) = &self.state else {
             return false;
         };
-        let heard_at = leading.peers.get(&id).and_then(|peer| peer.heard_at);
-        let heard_at = heard_at.unwrap_or_default().max(leading.began_at);
-        id != self.config.id && self.now >= heard_at + longest
+        let last_reply_at = leader_state
+            .peers
+            .get(&id)
+            .and_then(|peer| peer.last_reply_at);
+        let last_reply_at = last_reply_at.unwrap_or_default().max(leader_state.began_at);
+        id != self.config.id && self.now >= last_reply_at + timeout
     }
 
-    fn check_remaining(&self, next: &Membership) -> Result<(), MembershipError> {
+    fn check_remaining_quorum(&self, next: &Membership) -> Result<(), MembershipError> {
         let reachable = next
             .voters
             .iter()
@@ -208,17 +213,19 @@
         Ok(())
     }
 
-    /// Returns whether a member answered within the election timeout.
+    /// Returns whether a member replied within the election timeout.
     pub(crate) fn is_reachable(&self, id: NodeId) -> bool {
         if id == self.config.id {
             return true;
         }
-        let State::Leader(leading) = &self.state else {
+        let State::Leader(leader_state) = &self.state else {
             return false;
         };
-        leading.peers.get(&id).is_some_and(|progress| {
-            let heard_at = progress.heard_at;
-            heard_at.is_some_and(|heard_at| self.now < heard_at + self.config.election_timeout)
+        leader_state.peers.get(&id).is_some_and(|progress| {
+            let last_reply_at = progress.last_reply_at;
+            last_reply_at.is_some_and(|last_reply_at| {
+                self.now < last_reply_at + self.config.election_timeout
+            })
         })
     }
 }
--- a/crates/raft/src/message.rs
+++ b/crates/raft/src/message.rs
@@ -1,122 +1,122 @@
-//! Defines the messages between nodes.
+//! Messages between nodes.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ClusterId;
 use crate::types::{Entry, Index, Membership, NodeId, Term};
 
-/// Holds one message from one incarnation to another.
+/// A message from one node incarnation to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// The cluster that both belong to.
+    /// The cluster of both nodes.
     pub cluster_id: ClusterId,
     /// The sender's incarnation.
     pub from: NodeId,
     /// The receiver's incarnation.
     pub to: NodeId,
-    /// The sender's term; in a pre-vote and its grant, the term that would be campaigned for.
+    /// The sender's term; in a pre-vote request and its grant, the term of the prospective election.
     pub term: Term,
-    /// What is said.
+    /// The type of message and its contents.
     pub body: Body,
 }
 
-/// Says what a message asks or answers.
+/// The body of a message: a request or a reply.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Asks whether a vote would be given; changes nothing at the receiver.
+    /// Asks whether the receiver would grant its vote; changes no state at the receiver.
     PreVote {
         /// Index of the sender's last entry.
         last_index: Index,
         /// Term of that entry.
         last_term: Term,
     },
-    /// Answers a pre-vote.
+    /// Replies to a pre-vote request.
     PreVoteReply {
-        /// Whether a vote would be given.
+        /// Whether the vote would be granted.
         granted: bool,
     },
-    /// Asks for a vote.
+    /// Requests a vote.
     Vote {
         /// Index of the sender's last entry.
         last_index: Index,
         /// Term of that entry.
         last_term: Term,
-        /// Whether the leader asked for this election and gave up its lease.
+        /// Whether this is a leadership transfer, for which the leader has given up its lease.
         transfer: bool,
     },
-    /// Answers a vote; sent after the vote is synced.
+    /// Replies to a vote request; a grant is sent after the vote is synced.
     VoteReply {
-        /// Whether the vote was given.
+        /// Whether the vote was granted.
         granted: bool,
     },
-    /// Carries entries; without entries, a heartbeat.
+    /// Replicates entries; without entries, a heartbeat or a commit notice.
     Append {
-        /// Index of the entry before the first carried one.
+        /// Index of the entry that precedes `entries`.
         prev_index: Index,
         /// Term of that entry.
         prev_term: Term,
-        /// The entries, without gaps.
+        /// The entries, with consecutive indices.
         entries: Vec<Entry>,
         /// The leader's commit index.
         commit: Index,
-        /// The leader's round of heartbeats, for its lease and its reads; 0 in a notice of a commit, which is not answered.
+        /// The leader's heartbeat round, for its lease and its reads; 0 in a commit notice, which gets no reply.
         round: u64,
     },
-    /// Answers an append or the end of a snapshot; a match is sent after it is synced.
+    /// Replies to an append or to the last chunk of a snapshot; an acceptance is sent after the entries are synced.
     AppendReply {
-        /// Whether the entries fit.
+        /// Whether the entries match the sender's log.
         result: AppendResult,
-        /// The round that is answered.
+        /// The round of the message that is acknowledged.
         round: u64,
-        /// Whether the sender counts for a quorum; false on a voter whose disk was lost.
+        /// Whether the sender counts towards a quorum; false for a voter that lost its disk.
         complete: bool,
     },
-    /// Carries a part of a snapshot.
+    /// Carries one chunk of a snapshot.
     SnapshotChunk {
-        /// Index of the last entry that the snapshot covers.
+        /// Index of the last entry included in the snapshot.
         last_index: Index,
         /// Term of that entry.
         last_term: Term,
         /// Voters and learners as of that entry.
         membership: Membership,
-        /// Size of the whole state.
+        /// Size of the encoded state.
         total_bytes: u64,
-        /// Place of this part in the state, in bytes.
+        /// Offset of this chunk in the encoded state, in bytes.
         offset: u64,
-        /// This part of the state.
+        /// The bytes of this chunk.
         #[serde(with = "serde_bytes")]
         data: Box<[u8]>,
-        /// The leader's round of heartbeats.
+        /// The leader's heartbeat round.
         round: u64,
     },
-    /// Answers a part of a snapshot that isn't the last.
+    /// Replies to a snapshot chunk other than the last.
     SnapshotReply {
-        /// Index of the last entry that the snapshot covers.
+        /// Index of the last entry included in the snapshot.
         last_index: Index,
-        /// Place in the state from which to go on, in bytes.
+        /// Offset of the next chunk that the sender expects, in bytes.
         next_offset: u64,
-        /// The round that is answered.
+        /// The round of the message that is acknowledged.
         round: u64,
-        /// Whether the sender counts for a quorum.
+        /// Whether the sender counts towards a quorum.
         complete: bool,
     },
-    /// Asks the receiver to campaign at once: the leader has given up its lease.
+    /// Tells the receiver to start an election at once; the leader has given up its lease.
     TimeoutNow,
 }
 
-/// Says whether appended entries fit.
+/// The result of an append.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AppendResult {
-    /// The sender holds the leader's log, synced, up to an index.
+    /// The sender's log matches the leader's, and is synced, up to an index.
     Accepted {
         /// That index.
         match_index: Index,
     },
-    /// The entry before the carried ones is missing or has another term.
+    /// The entry at `prev_index` is missing or has a different term.
     Rejected {
-        /// The index that didn't fit.
+        /// The `prev_index` of the rejected append.
         prev_index: Index,
-        /// An index at which the logs may agree.
+        /// An index at which the logs may match.
         hint_index: Index,
         /// The sender's term at that index.
         hint_term: Term,
--- a/crates/raft/src/node.rs
+++ b/crates/raft/src/node.rs
@@ -1,4 +1,4 @@
-//! Holds the node: its state, and the inputs that arrive from the driver.
+//! The node: its state and the inputs from the driver.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -11,33 +11,33 @@
 use crate::log::Log;
 use crate::outbox::Outbox;
 use crate::output::{Output, ProposalDropped, ReadReady, Role, RoleChange, Write};
-use crate::progress::Leading;
+use crate::progress::LeaderState;
 use crate::proposal::Proposal;
-use crate::snapshot::Incoming;
+use crate::snapshot::IncomingSnapshot;
 use crate::types::{Entry, HardState, Index, Membership, NodeId, Snapshot, Term};
 use crate::{Body, Config, Message, ReadId, WriteToken};
 
-/// Highest term and index that a message may bring; no cluster gets there, and sums below it can't overflow.
-pub(crate) const HIGHEST: u64 = 1 << 62;
+/// Highest term or index accepted in a message; no cluster reaches it, and sums of values below it can't overflow.
+pub(crate) const MAX_TERM_OR_INDEX: u64 = 1 << 62;
 
-/// Holds what the store read back.
+/// The state that a node reads back from its store at start.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PersistentState {
     /// Term, vote and commit hint.
     pub hard_state: HardState,
-    /// Entries after the snapshot, or from the first on, in order and without gaps.
+    /// Entries after the snapshot, or from the first entry on, in order and without gaps.
     pub entries: Vec<Entry>,
-    /// The latest snapshot; at the founding, one at index 0 that names the founding voters.
+    /// The latest snapshot; for a new cluster, one at index 0 that lists the initial voters.
     pub snapshot: Option<Snapshot>,
-    /// Whether the folder holds everything that this incarnation ever promised.
+    /// Whether the store holds every vote and acknowledged entry of this incarnation.
     ///
-    /// False after a loss: the node then neither votes nor counts for a quorum until it has seen itself join as a
-    /// learner, which an incarnation that is already a voter never does.
+    /// False after data loss: the node then neither votes nor counts towards a quorum until it has seen itself join as
+    /// a learner, which never happens for an incarnation that is already a voter.
     pub complete: bool,
 }
 
 impl PersistentState {
-    /// Returns what each founding voter starts from.
+    /// Returns the state from which each initial voter of a new cluster starts.
     #[must_use]
     pub fn bootstrap(membership: Membership) -> Self {
         let snapshot = Snapshot {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Returns what a new incarnation starts from, before it joins as a learner.
+    /// Returns the state from which a new incarnation starts before it joins as a learner.
     #[must_use]
     pub fn joining() -> Self {
         Self::default()
@@ -65,25 +65,25 @@
     Follower,
     PreCandidate(BTreeSet<NodeId>),
     Candidate(BTreeSet<NodeId>),
-    Leader(Box<Leading>),
+    Leader(Box<LeaderState>),
 }
 
-/// Holds one member's view of the replicated log.
+/// A member of the cluster that replicates the log.
 #[derive(Debug)]
 pub struct Node {
     pub(crate) config: Config,
     pub(crate) now: Duration,
     pub(crate) rng: StdRng,
-    pub(crate) hard: HardState,
+    pub(crate) hard_state: HardState,
     pub(crate) commit: Index,
     pub(crate) applied: Index,
     pub(crate) log: Log,
     pub(crate) snapshot: Option<Arc<Snapshot>>,
-    pub(crate) incoming: Option<Incoming>,
+    pub(crate) incoming_snapshot: Option<IncomingSnapshot>,
     pub(crate) complete: bool,
     pub(crate) state: State,
     pub(crate) leader: Option<NodeId>,
-    /// Until then a vote could elect a leader while another holds its lease.
+    /// Before this time a vote could elect a second leader while another still holds its lease.
     pub(crate) votes_refused_until: Duration,
     pub(crate) election_at: Duration,
     pub(crate) outbox: Outbox,
@@ -93,46 +93,49 @@
     pub(crate) reads: Vec<ReadReady>,
     pub(crate) dropped_reads: Vec<ReadId>,
     pub(crate) dropped_proposals: Vec<ProposalDropped>,
-    reported: RoleChange,
+    last_role_change: RoleChange,
 }
 
 impl Node {
-    /// Starts a node from what its store holds.
+    /// Starts a node from its store's state.
     ///
-    /// The driver has already loaded the snapshot's state. Times are durations since any fixed point of this process.
+    /// The driver must already have restored the snapshot's state. Times are durations since any fixed point in this process.
     ///
     /// # Errors
     ///
-    /// Returns an error if the configuration or the stored log breaks a rule.
+    /// Returns an error if the configuration or the stored log is invalid.
     pub fn open(
         config: Config,
-        durable: PersistentState,
+        persistent: PersistentState,
         now: Duration,
         seed: u64,
     ) -> Result<Self, OpenError> {
         config.check().map_err(OpenError::Config)?;
-        let log = Log::open(durable.snapshot.as_ref(), durable.entries)?;
+        let log = Log::open(persistent.snapshot.as_ref(), persistent.entries)?;
         let applied = log.base_index();
-        let commit = durable.hard_state.commit.clamp(applied, log.last_index());
+        let commit = persistent
+            .hard_state
+            .commit
+            .clamp(applied, log.last_index());
         let outbox = Outbox::new(config.id, config.cluster_id, log.last_index());
-        let reported = RoleChange {
+        let last_role_change = RoleChange {
             role: Role::Follower,
-            term: durable.hard_state.term,
+            term: persistent.hard_state.term,
             leader: None,
         };
         let mut node = Self {
             now,
             rng: StdRng::seed_from_u64(seed),
-            hard: durable.hard_state,
+            hard_state: persistent.hard_state,
             commit,
             applied,
             log,
-            snapshot: durable.snapshot.map(Arc::new),
-            incoming: None,
-            complete: durable.complete,
+            snapshot: persistent.snapshot.map(Arc::new),
+            incoming_snapshot: None,
+            complete: persistent.complete,
             state: State::Follower,
             leader: None,
-            // Before the restart this node may have answered a leader whose lease still runs.
+            // Before the restart this node may have acknowledged a round of a leader whose lease has not expired.
             votes_refused_until: now + config.lease,
             election_at: now,
             outbox,
@@ -142,14 +145,14 @@
             reads: Vec::new(),
             dropped_reads: Vec::new(),
             dropped_proposals: Vec::new(),
-            reported,
+            last_role_change,
             config,
         };
         node.restart_election_timer();
         Ok(node)
     }
 
-    /// Moves the time on: elections, heartbeats, and what is sent again.
+    /// Advances the time: starts elections, heartbeats and retransmissions that are due.
     ///
     /// The driver calls this several times per heartbeat interval.
     pub fn tick(&mut self, now: Duration) {
@@ -161,7 +164,7 @@
         }
     }
 
-    /// Takes in a message from another node.
+    /// Handles a message from another node.
     pub fn step(&mut self, now: Duration, message: Message) {
         self.observe(now);
         let own = &self.config;
@@ -169,8 +172,8 @@
             return;
         }
         if message.term == 0
-            || message.term > HIGHEST
-            || self.is_stale_stranger(&message)
+            || message.term > MAX_TERM_OR_INDEX
+            || self.is_stale_non_member(&message)
             || !self.check_term(&message)
         {
             return;
@@ -231,30 +234,31 @@
             }
             Body::TimeoutNow => self.on_timeout_now(from),
         }
-        self.answer_reads();
+        self.release_reads();
     }
 
-    /// Takes in that all writes up to and including `token`'s are synced.
+    /// Records that all writes up to and including the batch of `token` are synced.
     pub fn persisted(&mut self, now: Duration, token: WriteToken) {
         self.observe(now);
         self.outbox.persisted(token);
         self.count_own_vote();
         self.advance_commit();
-        self.answer_reads();
+        self.release_reads();
     }
 
-    /// Returns what is to be done since the last call; see the crate's page for the order.
+    /// Returns the work accumulated since the last call; see the crate documentation for the order in which to do it.
     pub fn take_output(&mut self) -> Output {
         self.replicate();
-        self.settle_proposals();
-        // The commit index is a hint: it only rides on a sync that happens anyway.
-        if self.hard.commit < self.commit && self.outbox.has_log_writes() {
-            self.hard.commit = self.commit;
-            self.outbox.write_other(Write::HardState(self.hard));
+        self.resolve_proposals();
+        // The commit index is only a hint, so it is written only with log writes that need a sync anyway.
+        if self.hard_state.commit < self.commit && self.outbox.has_log_writes() {
+            self.hard_state.commit = self.commit;
+            self.outbox
+                .write_unawaited(Write::HardState(self.hard_state));
         }
         let (writes, token) = self.outbox.take_writes();
         let install = self.install.take();
-        let committed = self.log.between(self.applied, self.commit);
+        let committed = self.log.entries_between(self.applied, self.commit);
         self.applied = self.commit;
         Output {
             writes,
@@ -272,11 +276,11 @@
     fn take_role_change(&mut self) -> Option<RoleChange> {
         let current = RoleChange {
             role: self.role(),
-            term: self.hard.term,
+            term: self.hard_state.term,
             leader: self.leader,
         };
-        let is_new = current != self.reported;
-        self.reported = current;
+        let is_new = current != self.last_role_change;
+        self.last_role_change = current;
         is_new.then_some(current)
     }
 
@@ -301,12 +305,12 @@
         self.log.membership()
     }
 
-    /// Returns what an operator wants to see.
+    /// Returns a status summary for operators.
     #[must_use]
     pub fn status(&self) -> Status {
         let mut peers = Vec::new();
-        if let State::Leader(leading) = &self.state {
-            for (id, progress) in &leading.peers {
+        if let State::Leader(leader_state) = &self.state {
+            for (id, progress) in &leader_state.peers {
                 peers.push(PeerStatus {
                     id: *id,
                     match_index: progress.match_index,
@@ -318,7 +322,7 @@
         Status {
             id: self.config.id,
             role: self.role(),
-            term: self.hard.term,
+            term: self.hard_state.term,
             leader: self.leader,
             commit: self.commit,
             last_index: self.log.last_index(),
@@ -330,14 +334,14 @@
     }
 }
 
-/// Holds what an operator wants to see of a node.
+/// A status summary of a node for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Status {
-    /// The node's incarnation.
+    /// Id of the incarnation.
     pub id: NodeId,
-    /// Its role.
+    /// Current role.
     pub role: Role,
-    /// Its term.
+    /// Current term.
     pub term: Term,
     /// The leader of that term, if known.
     pub leader: Option<NodeId>,
@@ -345,25 +349,25 @@
     pub commit: Index,
     /// Last index of the log.
     pub last_index: Index,
-    /// Last index that is synced here.
+    /// Last index that is synced on this node.
     pub durable_index: Index,
-    /// Whether the node may vote and count for a quorum.
+    /// Whether the node may vote and count towards a quorum.
     pub complete: bool,
     /// The latest membership, committed or not.
     pub membership: Membership,
-    /// On the leader, what it knows of the other members.
+    /// On the leader, the status of the other members.
     pub peers: Vec<PeerStatus>,
 }
 
-/// Holds what the leader knows of another member.
+/// The status of another member, as known to the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerStatus {
-    /// The member's incarnation.
+    /// Id of the member's incarnation.
     pub id: NodeId,
-    /// Last index that it has synced.
+    /// Last index that the member has synced.
     pub match_index: Index,
-    /// Whether it answered within the election timeout.
+    /// Whether the member replied within the election timeout.
     pub reachable: bool,
-    /// Whether it may vote and count for a quorum.
+    /// Whether the member may vote and count towards a quorum.
     pub complete: bool,
 }
--- a/crates/raft/src/outbox.rs
+++ b/crates/raft/src/outbox.rs
@@ -1,24 +1,24 @@
-//! Collects writes and messages, and holds back messages whose promise isn't durable yet.
+//! Collects writes and messages, and delays messages until the writes that they depend on are synced.
 
 use crate::types::{Entry, HardState, Index, NodeId, Term};
 use crate::{Body, ClusterId, Message, Write, WriteToken};
 
-/// Collects what a node wants written and sent.
+/// Pending writes and messages of a node.
 #[derive(Debug)]
 pub(crate) struct Outbox {
     id: NodeId,
     cluster_id: ClusterId,
-    /// WriteToken of the batch that is being collected.
-    open_token: WriteToken,
-    synced: WriteToken,
-    /// Batch that holds the last change of term or vote.
-    hard_token: WriteToken,
-    /// Batch that holds the last change of the log.
+    /// Token of the batch being collected.
+    next_token: WriteToken,
+    synced_token: WriteToken,
+    /// Token of the batch with the last change of term, vote or completeness.
+    hard_state_token: WriteToken,
+    /// Token of the batch with the last change of the log.
     log_token: WriteToken,
     writes: Vec<Write>,
     ready: Vec<Message>,
-    held: Vec<(WriteToken, Message)>,
-    /// Last index and token of appends that aren't synced, in order.
+    unsent: Vec<(WriteToken, Message)>,
+    /// Token and last index of each append that is not synced yet, in order.
     unsynced: Vec<(WriteToken, Index)>,
     durable_index: Index,
 }
@@ -28,13 +28,13 @@
         Self {
             id,
             cluster_id,
-            open_token: 1,
-            synced: 0,
-            hard_token: 0,
+            next_token: 1,
+            synced_token: 0,
+            hard_state_token: 0,
             log_token: 0,
             writes: Vec::new(),
             ready: Vec::new(),
-            held: Vec::new(),
+            unsent: Vec::new(),
             unsynced: Vec::new(),
             durable_index,
         }
@@ -45,20 +45,20 @@
         self.durable_index
     }
 
-    /// Returns whether the last change of term or vote is synced.
-    pub(crate) fn is_hard_synced(&self) -> bool {
-        self.hard_token <= self.synced
+    /// Returns whether the last change of term, vote or completeness is synced.
+    pub(crate) fn is_hard_state_synced(&self) -> bool {
+        self.hard_state_token <= self.synced_token
     }
 
-    pub(crate) fn write_hard(&mut self, hard: HardState) {
-        self.writes.push(Write::HardState(hard));
-        self.hard_token = self.open_token;
+    pub(crate) fn write_hard_state(&mut self, hard_state: HardState) {
+        self.writes.push(Write::HardState(hard_state));
+        self.hard_state_token = self.next_token;
     }
 
     pub(crate) fn write_append(&mut self, entries: Vec<Entry>) {
         let Some(last) = entries.last() else { return };
-        self.unsynced.push((self.open_token, last.index));
-        self.log_token = self.open_token;
+        self.unsynced.push((self.next_token, last.index));
+        self.log_token = self.next_token;
         if let Some(Write::Append(open)) = self.writes.last_mut() {
             open.extend(entries);
         } else {
@@ -72,27 +72,27 @@
         for (_, index) in &mut self.unsynced {
             *index = (*index).min(kept);
         }
-        self.log_token = self.open_token;
+        self.log_token = self.next_token;
         self.writes.push(Write::Truncate { from });
     }
 
-    /// Records a snapshot that replaces the log, and so ends at `last_index`.
+    /// Queues a snapshot up to `last_index` that replaces the log.
     pub(crate) fn write_install(&mut self, write: Write, last_index: Index) {
         self.unsynced.clear();
-        self.unsynced.push((self.open_token, last_index));
+        self.unsynced.push((self.next_token, last_index));
         self.durable_index = 0;
-        self.log_token = self.open_token;
+        self.log_token = self.next_token;
         self.writes.push(write);
     }
 
-    /// Records that the node is complete; every later message stands on this.
-    pub(crate) fn write_complete(&mut self) {
+    /// Queues the write that marks the node complete; every later message depends on it.
+    pub(crate) fn write_mark_complete(&mut self) {
         self.writes.push(Write::MarkComplete);
-        self.hard_token = self.open_token;
+        self.hard_state_token = self.next_token;
     }
 
-    /// Records a write on which no message waits.
-    pub(crate) fn write_other(&mut self, write: Write) {
+    /// Queues a write that no message waits for.
+    pub(crate) fn write_unawaited(&mut self, write: Write) {
         self.writes.push(write);
     }
 
@@ -102,17 +102,17 @@
             .any(|write| matches!(write, Write::Append(_)))
     }
 
-    /// Sends a message once the term and the vote that it stands on are synced.
+    /// Sends a message once the current term, vote and completeness are synced.
     pub(crate) fn send(&mut self, term: Term, to: NodeId, body: Body) {
-        self.send_after(self.hard_token, term, to, body);
+        self.send_after(self.hard_state_token, term, to, body);
     }
 
-    /// Sends a message that promises the log up to `index`, once that and the term are synced.
-    pub(crate) fn send_promise(&mut self, index: Index, term: Term, to: NodeId, body: Body) {
+    /// Sends a message that acknowledges the log up to `index`, once the log and the hard state are synced.
+    pub(crate) fn send_after_log_sync(&mut self, index: Index, term: Term, to: NodeId, body: Body) {
         let token = if index > self.durable_index {
-            self.log_token.max(self.hard_token)
+            self.log_token.max(self.hard_state_token)
         } else {
-            self.hard_token
+            self.hard_state_token
         };
         self.send_after(token, term, to, body);
     }
@@ -125,18 +125,18 @@
             term,
             body,
         };
-        if token <= self.synced {
+        if token <= self.synced_token {
             self.ready.push(message);
         } else {
-            self.held.push((token, message));
+            self.unsent.push((token, message));
         }
     }
 
-    /// Notes that all batches up to `token` are synced, and lets the messages go that waited for them.
+    /// Records that all batches up to `token` are synced, and releases the messages that waited for them.
     pub(crate) fn persisted(&mut self, token: WriteToken) {
-        // A token that was never handed out can't have been synced.
-        self.synced = self.synced.max(token.min(self.open_token - 1));
-        let synced = self.synced;
+        // A batch whose token was never returned can't have been synced.
+        self.synced_token = self.synced_token.max(token.min(self.next_token - 1));
+        let synced = self.synced_token;
         while self
             .unsynced
             .first()
@@ -145,11 +145,11 @@
             let (_, index) = self.unsynced.remove(0);
             self.durable_index = self.durable_index.max(index);
         }
-        for (token, message) in std::mem::take(&mut self.held) {
+        for (token, message) in std::mem::take(&mut self.unsent) {
             if token <= synced {
                 self.ready.push(message);
             } else {
-                self.held.push((token, message));
+                self.unsent.push((token, message));
             }
         }
     }
@@ -159,8 +159,8 @@
         if self.writes.is_empty() {
             return (Vec::new(), 0);
         }
-        let token = self.open_token;
-        self.open_token += 1;
+        let token = self.next_token;
+        self.next_token += 1;
         (std::mem::take(&mut self.writes), token)
     }
 
--- a/crates/raft/src/output.rs
+++ b/crates/raft/src/output.rs
@@ -1,42 +1,42 @@
-//! Defines what a node asks its driver to do.
+//! The work that a node hands to its driver.
 
 use crate::types::{Entry, HardState, Index, NodeId, Snapshot, Term};
 use crate::{Message, ReadId, WriteToken};
 
-/// Says one thing that the store must make durable, in order.
+/// A write to the store; writes must become durable in order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Write {
     /// Replaces the hard state.
     HardState(HardState),
-    /// Drops all entries from this index on.
+    /// Deletes all entries from this index on.
     Truncate {
-        /// First index that is dropped.
+        /// First index that is deleted.
         from: Index,
     },
-    /// Appends entries after the last one.
+    /// Appends entries to the log.
     Append(Vec<Entry>),
-    /// Saves the node's own snapshot; entries that it covers may be dropped once it is synced.
+    /// Saves a snapshot that this node took; the entries it includes may be deleted once it is synced.
     SaveSnapshot(Snapshot),
-    /// Saves the leader's snapshot and drops all entries.
+    /// Saves a snapshot from the leader and deletes all entries.
     InstallSnapshot(Snapshot),
-    /// Notes that [`crate::PersistentState::complete`] holds from now on.
+    /// Sets [`crate::PersistentState::complete`].
     MarkComplete,
 }
 
-/// Says what a node does at the moment.
+/// The role of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// Follows a leader, or waits for one.
+    /// Follows a leader, or knows of none.
     Follower,
-    /// Asks whether it would be elected.
+    /// Collects pre-votes.
     PreCandidate,
-    /// Asks for votes.
+    /// Collects votes.
     Candidate,
-    /// Leads its term.
+    /// Leads the current term.
     Leader,
 }
 
-/// Tells of a new role, term or leader.
+/// A change of role, term or leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RoleChange {
     /// The node's role.
@@ -47,55 +47,55 @@
     pub leader: Option<NodeId>,
 }
 
-/// Says that a linearizable read may be answered now.
+/// A linearizable read that may be answered now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReadReady {
-    /// The driver's number of the read.
+    /// The id that the driver gave the read.
     pub read_id: ReadId,
-    /// The state must cover this index; it does once this output's entries are applied.
+    /// The index up to which the state must be applied; it is, once this output's entries are applied.
     pub index: Index,
 }
 
-/// Says why a proposal isn't followed any further.
+/// The reason why a node stops tracking a proposal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DropReason {
-    /// Leadership was lost first; the proposal may still be committed or overwritten later.
+    /// The node lost leadership; the proposal may still be committed or overwritten later.
     LeadershipLost,
-    /// Another entry was committed in its place; the proposal will never be committed.
+    /// Another entry was committed at its index; the proposal will never be committed.
     Overwritten,
-    /// A snapshot covers its place; whether it was committed is unknown here.
+    /// A snapshot includes its index; this node can't tell whether the proposal was committed.
     CoveredBySnapshot,
 }
 
 impl DropReason {
-    /// Returns whether it is proven that the proposal has no effect.
+    /// Returns whether the proposal is certain to have no effect.
     #[must_use]
     pub fn has_no_effect(self) -> bool {
         self == Self::Overwritten
     }
 }
 
-/// Names a proposal that this node accepted as leader and didn't see committed.
+/// A proposal that this node accepted as leader and did not see committed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ProposalDropped {
-    /// Term under which it was proposed.
+    /// Term in which it was proposed.
     pub term: Term,
-    /// Its place in the log.
+    /// Its index in the log.
     pub index: Index,
-    /// Why it is dropped.
+    /// Why it is no longer tracked.
     pub reason: DropReason,
 }
 
-/// Holds everything that a node wants done since the last call.
+/// The work for the driver that accumulated since the last call.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Output {
-    /// What to write and sync, in order.
+    /// Writes to apply and sync, in order.
     pub writes: Vec<Write>,
-    /// WriteToken to report once `writes` are synced; 0 if there are none.
+    /// Token to pass to [`crate::Node::persisted`] once `writes` are synced; 0 if there are none.
     pub token: WriteToken,
-    /// What to send, at once; each may be lost, repeated or reordered.
+    /// Messages to send at once; each may be lost, duplicated or reordered.
     pub messages: Vec<Message>,
-    /// A snapshot that replaces the state machine's state before `committed` is applied.
+    /// A snapshot that replaces the state of the state machine before `committed` is applied.
     pub install: Option<Snapshot>,
     /// Entries to apply, in order and without gaps.
     pub committed: Vec<Entry>,
@@ -103,7 +103,7 @@
     pub reads: Vec<ReadReady>,
     /// Reads that can't be answered because leadership was lost.
     pub dropped_reads: Vec<ReadId>,
-    /// Proposals that aren't followed any further.
+    /// Proposals that are no longer tracked.
     pub dropped_proposals: Vec<ProposalDropped>,
     /// The last change of role, term or leader.
     pub role_change: Option<RoleChange>,
--- a/crates/raft/src/progress.rs
+++ b/crates/raft/src/progress.rs
@@ -1,4 +1,4 @@
-//! Tracks what the leader knows of each other member.
+//! State of the leader, including the replication progress of each other member.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -9,49 +9,49 @@
 use crate::transfer::Transfer;
 use crate::types::{Index, NodeId, Snapshot};
 
-/// Says how entries are sent to a member.
+/// How entries are replicated to a member.
 #[derive(Debug)]
 pub(crate) enum Mode {
-    /// Where the logs agree isn't known: one message at a time.
+    /// The last matching index is unknown: one append in flight at a time.
     Probe {
-        /// Whether that message is on the way.
+        /// Whether that append is in flight.
         sent: bool,
     },
-    /// The logs agree: several batches on the way.
+    /// The logs match: several batches may be in flight.
     Replicate,
-    /// The member needs entries that are compacted away: one chunk at a time.
+    /// The member needs entries that were compacted: one snapshot chunk in flight at a time.
     Snapshot {
-        /// The snapshot that is being sent, kept even if a newer one is taken meanwhile.
+        /// The snapshot being sent, kept even if a newer one is taken meanwhile.
         snapshot: Arc<Snapshot>,
-        /// Bytes that the member has.
+        /// Bytes that the member has received.
         offset: usize,
-        /// Whether the next chunk is on the way.
+        /// Whether the next chunk is in flight.
         sent: bool,
     },
 }
 
-/// Tracks one member.
+/// The replication progress of one member.
 #[derive(Debug)]
 pub(crate) struct Progress {
     pub(crate) mode: Mode,
-    /// Last index that the member has synced and that agrees with the leader's log.
+    /// Last index up to which the member's log matches the leader's and is synced.
     pub(crate) match_index: Index,
     /// Next index to send.
     pub(crate) next_index: Index,
-    /// Highest commit that a message to the member carried, as far as the member could take it from there.
-    pub(crate) told_commit: Index,
-    /// Last indices of the batches on the way.
+    /// Highest commit index sent to the member, limited to the last entry that the message covered.
+    pub(crate) sent_commit: Index,
+    /// Last index of each batch in flight.
     pub(crate) inflight: VecDeque<Index>,
-    /// Since when what is on the way may be lost.
-    pub(crate) waits_since: Duration,
-    /// Highest round that the member answered; 0 means none.
-    pub(crate) answered_round: u64,
-    /// When the member last answered, if it did in this term.
-    pub(crate) heard_at: Option<Duration>,
-    /// Whether the member may count for a quorum; false on a voter whose disk was lost.
+    /// When the current wait for a reply began; what is in flight is resent if it takes too long.
+    pub(crate) waiting_since: Duration,
+    /// Highest round that the member acknowledged; 0 means none.
+    pub(crate) acked_round: u64,
+    /// When the member last replied, if it did in this term.
+    pub(crate) last_reply_at: Option<Duration>,
+    /// Whether the member counts towards a quorum; false for a voter that lost its disk.
     pub(crate) complete: bool,
-    /// What the member must have synced before it may be promoted.
-    pub(crate) joined_index: Index,
+    /// Index that the member must have synced before it may be promoted.
+    pub(crate) required_index: Index,
 }
 
 impl Progress {
@@ -60,31 +60,31 @@
             mode: Mode::Probe { sent: false },
             match_index: 0,
             next_index: last_index + 1,
-            told_commit: 0,
+            sent_commit: 0,
             inflight: VecDeque::new(),
-            waits_since: now,
-            answered_round: 0,
-            heard_at: None,
+            waiting_since: now,
+            acked_round: 0,
+            last_reply_at: None,
             complete: true,
-            joined_index: last_index,
+            required_index: last_index,
         }
     }
 
-    /// Goes back to sending one message at a time, after the last index known to agree.
+    /// Switches back to probing, from `next_index` or after the last index known to match, whichever is later.
     pub(crate) fn probe_from(&mut self, next_index: Index) {
         self.next_index = next_index.max(self.match_index + 1);
         self.inflight.clear();
         self.mode = Mode::Probe { sent: false };
     }
 
-    /// Notes that the member has synced everything up to `match_index`.
+    /// Records that the member has synced everything up to `match_index`.
     pub(crate) fn accepted(&mut self, match_index: Index, now: Duration) {
         if match_index < self.match_index {
             return;
         }
         if match_index > self.match_index {
             self.match_index = match_index;
-            self.waits_since = now;
+            self.waiting_since = now;
         }
         self.next_index = self.next_index.max(match_index + 1);
         while self
@@ -104,56 +104,52 @@
         }
     }
 
-    /// Notes that a message carries a commit.
-    pub(crate) fn tell_commit(&mut self, commit: Index) {
-        self.told_commit = self.told_commit.max(commit);
+    /// Records a commit index that was sent to the member.
+    pub(crate) fn record_sent_commit(&mut self, commit: Index) {
+        self.sent_commit = self.sent_commit.max(commit);
     }
 
-    /// Returns the round that counts for the lease and for reads.
-    pub(crate) fn counted_round(&self) -> u64 {
-        if self.complete {
-            self.answered_round
-        } else {
-            0
-        }
+    /// Returns the acknowledged round that counts towards the lease and reads; 0 if the member does not count.
+    pub(crate) fn quorum_eligible_round(&self) -> u64 {
+        if self.complete { self.acked_round } else { 0 }
     }
 
-    /// Returns the match that counts for the commit.
-    pub(crate) fn counted_match(&self) -> Index {
+    /// Returns the match index that counts towards the commit index; 0 if the member does not count.
+    pub(crate) fn quorum_eligible_match(&self) -> Index {
         if self.complete { self.match_index } else { 0 }
     }
 }
 
-/// Holds what only a leader has.
+/// The volatile state of a leader.
 #[derive(Debug)]
-pub(crate) struct Leading {
+pub(crate) struct LeaderState {
     pub(crate) peers: BTreeMap<NodeId, Progress>,
     pub(crate) rounds: Rounds,
-    /// When the last round began.
-    pub(crate) round_at: Duration,
-    /// Whether the next output begins a round.
-    pub(crate) round_wanted: bool,
+    /// When the current round began.
+    pub(crate) round_began_at: Duration,
+    /// Whether to begin a round with the next output.
+    pub(crate) round_due: bool,
     pub(crate) began_at: Duration,
-    /// Index of the first entry of the term.
+    /// Index of the term's first entry.
     pub(crate) first_index: Index,
     pub(crate) reads: Vec<PendingRead>,
     pub(crate) transfer: Option<Transfer>,
-    /// Set once another node was asked to campaign: from then on others may vote during this term's lease.
-    pub(crate) lease_given_up: bool,
+    /// Set once another node was told to campaign: from then on others may vote despite this term's lease.
+    pub(crate) lease_surrendered: bool,
 }
 
-impl Leading {
+impl LeaderState {
     pub(crate) fn new(first_index: Index, now: Duration) -> Self {
         Self {
             peers: BTreeMap::new(),
             rounds: Rounds::new(now),
-            round_at: now,
-            round_wanted: true,
+            round_began_at: now,
+            round_due: true,
             began_at: now,
             first_index,
             reads: Vec::new(),
             transfer: None,
-            lease_given_up: false,
+            lease_surrendered: false,
         }
     }
 }
--- a/crates/raft/src/proposal.rs
+++ b/crates/raft/src/proposal.rs
@@ -1,4 +1,4 @@
-//! Takes in proposals, bounds them, and follows each until its fate is known.
+//! Accepts a bounded number of proposals, and tracks each until its outcome is known.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use crate::output::{DropReason, ProposalDropped};
 use crate::types::{Entry, EntryKind, Index, Term};
 
-/// Follows an entry that this node appended as leader.
+/// An entry that this node appended as leader and that is not settled yet.
 #[derive(Debug)]
 pub(crate) struct Proposal {
     term: Term,
@@ -26,20 +26,20 @@
 }
 
 impl Node {
-    /// Appends a command to the log; it takes effect when it comes out as committed with this term and index.
+    /// Appends a command to the log; it takes effect once it is output as committed with the returned term and index.
     ///
-    /// Proposals made before the next [`Node::take_output`] share one message and one sync.
+    /// Proposals made before the next [`Node::take_output`] share one message to each follower and one sync.
     ///
     /// # Errors
     ///
-    /// Returns why the proposal is refused; nothing was appended then.
+    /// Returns why the proposal is refused, in which case nothing was appended.
     pub fn propose(
         &mut self,
         now: Duration,
         payload: Box<[u8]>,
     ) -> Result<(Term, Index), ProposeError> {
         self.observe(now);
-        self.check_may_propose()?;
+        self.check_can_propose()?;
         let max_bytes = self.config.max_batch_bytes;
         if payload.len() > max_bytes {
             return Err(ProposeError::TooLarge { max_bytes });
@@ -49,16 +49,16 @@
         if is_full {
             return Err(ProposeError::Full);
         }
-        Ok(self.append_own(EntryKind::Command, payload))
+        Ok(self.append_as_leader(EntryKind::Command, payload))
     }
 
-    pub(crate) fn check_may_propose(&self) -> Result<(), ProposeError> {
-        let State::Leader(leading) = &self.state else {
+    pub(crate) fn check_can_propose(&self) -> Result<(), ProposeError> {
+        let State::Leader(leader_state) = &self.state else {
             return Err(ProposeError::NotLeader {
                 leader: self.leader,
             });
         };
-        match &leading.transfer {
+        match &leader_state.transfer {
             Some(transfer) => Err(ProposeError::TransferInProgress {
                 successor: transfer.to,
             }),
@@ -66,15 +66,19 @@
         }
     }
 
-    /// Appends an entry to the leader's own log and follows it.
-    pub(crate) fn append_own(&mut self, kind: EntryKind, payload: Box<[u8]>) -> (Term, Index) {
-        let term = self.hard.term;
+    /// Appends an entry to the leader's own log, and tracks it unless it is a no-op.
+    pub(crate) fn append_as_leader(
+        &mut self,
+        kind: EntryKind,
+        payload: Box<[u8]>,
+    ) -> (Term, Index) {
+        let term = self.hard_state.term;
         let index = self.log.last_index() + 1;
         let payload_bytes = payload.len();
         if kind != EntryKind::Noop {
             self.pending_bytes += payload_bytes;
-            // Proposals of a lost term may still wait with higher indices than a new term's.
-            let place = self
+            // Proposals from an earlier term of this leader may still be pending at higher indices.
+            let position = self
                 .proposals
                 .partition_point(|proposal| proposal.index <= index);
             let proposal = Proposal {
@@ -82,7 +86,7 @@
                 index,
                 payload_bytes,
             };
-            self.proposals.insert(place, proposal);
+            self.proposals.insert(position, proposal);
         }
         let entry = Entry {
             term,
@@ -95,18 +99,18 @@
         (term, index)
     }
 
-    /// Tells the driver that the fate of this term's proposals is open; each is still followed.
-    pub(crate) fn drop_proposals_unknown(&mut self) {
+    /// Reports to the driver that the outcome of this term's proposals is unknown; they are still tracked.
+    pub(crate) fn report_leadership_lost(&mut self) {
         let dropped = self
             .proposals
             .iter()
-            .filter(|proposal| proposal.term == self.hard.term)
+            .filter(|proposal| proposal.term == self.hard_state.term)
             .map(|proposal| proposal.dropped(DropReason::LeadershipLost));
         self.dropped_proposals.extend(dropped);
     }
 
-    /// Settles the proposals whose place in the log is committed now.
-    pub(crate) fn settle_proposals(&mut self) {
+    /// Determines the outcome of the proposals whose index is now committed.
+    pub(crate) fn resolve_proposals(&mut self) {
         while self
             .proposals
             .front()
@@ -126,8 +130,8 @@
         }
     }
 
-    /// Gives up following the proposals whose place a snapshot from the leader covers.
-    pub(crate) fn cover_proposals(&mut self, last_index: Index) {
+    /// Stops tracking the proposals whose index is included in a snapshot from the leader.
+    pub(crate) fn drop_covered_proposals(&mut self, last_index: Index) {
         while self
             .proposals
             .front()
--- a/crates/raft/src/replicate.rs
+++ b/crates/raft/src/replicate.rs
@@ -1,28 +1,28 @@
-//! Copies the leader's log to the others and finds out what is committed.
+//! Log replication and commitment.
 
 use crate::membership;
 use crate::node::{Node, State};
-use crate::progress::{Leading, Mode, Progress};
+use crate::progress::{LeaderState, Mode, Progress};
 use crate::types::{Entry, EntryKind, Index, NodeId, Term};
 use crate::{AppendResult, Body};
 
-/// Heartbeat intervals after which an unanswered batch or chunk is sent again; one may simply be slow.
-const RESEND_INTERVALS: u32 = 2;
+/// Heartbeat intervals after which an unacknowledged batch or chunk is resent; one interval may just be a slow reply.
+const RESEND_HEARTBEAT_INTERVALS: u32 = 2;
 
-/// Round of an append that wants no answer; rounds begin at 1.
-const NO_ROUND: u64 = 0;
+/// Round number of an append that gets no reply; real rounds start at 1.
+const NO_REPLY_ROUND: u64 = 0;
 
 impl Node {
-    /// Begins and ends the tracking of members after the membership changed.
+    /// Adds and removes the progress of members after a membership change.
     pub(crate) fn track_members(&mut self) {
         let last_index = self.log.last_index();
-        let State::Leader(leading) = &mut self.state else {
+        let State::Leader(leader_state) = &mut self.state else {
             return;
         };
         let membership = self.log.membership();
-        leading.peers.retain(|id, _| membership.contains(*id));
+        leader_state.peers.retain(|id, _| membership.contains(*id));
         for id in membership.members().filter(|id| *id != self.config.id) {
-            leading
+            leader_state
                 .peers
                 .entry(id)
                 .or_insert_with(|| Progress::new(last_index, self.now));
@@ -31,69 +31,69 @@
 
     pub(crate) fn tick_leader(&mut self) {
         if self.has_lost_quorum() {
-            self.become_follower(self.hard.term, None);
+            self.become_follower(self.hard_state.term, None);
             return;
         }
-        self.end_late_transfer();
+        self.abort_expired_transfer();
         let now = self.now;
-        let resend_after = self.config.heartbeat_interval * RESEND_INTERVALS;
-        let State::Leader(leading) = &mut self.state else {
+        let resend_after = self.config.heartbeat_interval * RESEND_HEARTBEAT_INTERVALS;
+        let State::Leader(leader_state) = &mut self.state else {
             return;
         };
-        if now >= leading.round_at + self.config.heartbeat_interval {
-            leading.round_wanted = true;
+        if now >= leader_state.round_began_at + self.config.heartbeat_interval {
+            leader_state.round_due = true;
         }
-        for progress in leading.peers.values_mut() {
-            if now >= progress.waits_since + resend_after {
-                progress.waits_since = now;
+        for progress in leader_state.peers.values_mut() {
+            if now >= progress.waiting_since + resend_after {
+                progress.waiting_since = now;
                 resend(progress);
             }
         }
-        self.answer_reads();
+        self.release_reads();
     }
 
-    /// Returns whether no quorum answered within the election timeout.
+    /// Returns whether no quorum replied within the election timeout.
     fn has_lost_quorum(&self) -> bool {
-        let State::Leader(leading) = &self.state else {
+        let State::Leader(leader_state) = &self.state else {
             return false;
         };
-        let heard_at = self.log.membership().quorum_value(|id| {
+        let last_reply_at = self.log.membership().quorum_value(|id| {
             if id == self.config.id {
                 return self.now;
             }
-            let peer = leading.peers.get(&id).filter(|peer| peer.complete);
-            peer.and_then(|peer| peer.heard_at).unwrap_or_default()
+            let peer = leader_state.peers.get(&id).filter(|peer| peer.complete);
+            peer.and_then(|peer| peer.last_reply_at).unwrap_or_default()
         });
-        self.now >= heard_at.max(leading.began_at) + self.config.election_timeout
+        self.now >= last_reply_at.max(leader_state.began_at) + self.config.election_timeout
     }
 
-    /// Sends whatever each member is due: heartbeats, entries, parts of a snapshot.
+    /// Sends the heartbeats, entries and snapshot chunks that are due to each member.
     pub(crate) fn replicate(&mut self) {
-        let State::Leader(leading) = &mut self.state else {
+        let State::Leader(leader_state) = &mut self.state else {
             return;
         };
-        let begins_round = std::mem::take(&mut leading.round_wanted);
+        let begins_round = std::mem::take(&mut leader_state.round_due);
         if begins_round {
-            leading.rounds.begin(self.now);
-            leading.round_at = self.now;
-            self.forget_answered_rounds();
+            leader_state.rounds.begin(self.now);
+            leader_state.round_began_at = self.now;
+            self.discard_acked_rounds();
         }
-        let State::Leader(leading) = &self.state else {
+        let State::Leader(leader_state) = &self.state else {
             return;
         };
-        let peers: Vec<NodeId> = leading.peers.keys().copied().collect();
+        let peers: Vec<NodeId> = leader_state.peers.keys().copied().collect();
         for peer in peers {
             let sent = self.send_entries(peer);
             if begins_round && !sent {
                 self.send_heartbeat(peer);
-            } else if self.wants_notice(peer) {
-                self.send_empty(peer, NO_ROUND);
+            } else if self.needs_commit_notice(peer) {
+                self.send_empty_append(peer, NO_REPLY_ROUND);
             }
         }
         self.continue_transfer();
     }
 
-    /// Sends the entries or the chunk that a member may have now; returns whether anything was sent.
+    /// Sends the entries or the snapshot chunk that a member can receive now; returns whether anything was sent.
     fn send_entries(&mut self, peer: NodeId) -> bool {
         let mut sent = false;
         while self.send_one(peer) {
@@ -103,10 +103,10 @@
     }
 
     fn send_one(&mut self, peer: NodeId) -> bool {
-        let State::Leader(leading) = &mut self.state else {
+        let State::Leader(leader_state) = &mut self.state else {
             return false;
         };
-        let Leading { peers, rounds, .. } = leading.as_mut();
+        let LeaderState { peers, rounds, .. } = leader_state.as_mut();
         let Some(progress) = peers.get_mut(&peer) else {
             return false;
         };
@@ -128,9 +128,9 @@
             .log
             .batch(progress.next_index, self.config.max_batch_bytes);
         if progress.inflight.is_empty() {
-            progress.waits_since = self.now;
+            progress.waiting_since = self.now;
         }
-        progress.tell_commit(self.commit.min(prev_index + entries.len() as u64));
+        progress.record_sent_commit(self.commit.min(prev_index + entries.len() as u64));
         if let Mode::Probe { sent } = &mut progress.mode {
             *sent = true;
         } else if let Some(last) = entries.last() {
@@ -144,50 +144,50 @@
             commit: self.commit,
             round: rounds.current(),
         };
-        self.outbox.send(self.hard.term, peer, body);
+        self.outbox.send(self.hard_state.term, peer, body);
         true
     }
 
     fn send_heartbeat(&mut self, peer: NodeId) {
-        if let State::Leader(leading) = &self.state {
-            self.send_empty(peer, leading.rounds.current());
+        if let State::Leader(leader_state) = &self.state {
+            self.send_empty_append(peer, leader_state.rounds.current());
         }
     }
 
-    /// Returns whether a member must be told of the commit by a message of its own, as no append will carry it.
+    /// Returns whether a member needs a separate message for the commit index, as no append will carry it.
     ///
-    /// Only a member that holds a log that is committed to its end is told, so all that it was sent before is answered, and
-    /// the next notice comes after a later batch was answered. On an ordered connection the notice has arrived by then, so
-    /// at most one is on the way, and there is at most one for each batch, without an answer of its own. One that is lost is
-    /// made good by the next heartbeat.
-    fn wants_notice(&self, peer: NodeId) -> bool {
-        let State::Leader(leading) = &self.state else {
+    /// A notice is sent only to a member that has the whole log, and only when all of it is committed. So all earlier appends
+    /// are acknowledged, and the next notice follows the acknowledgement of a later batch. On an ordered connection the
+    /// notice has arrived by then, so at most one is in flight, and there is at most one for each batch, without a reply of
+    /// its own. The next heartbeat makes up for a lost notice.
+    fn needs_commit_notice(&self, peer: NodeId) -> bool {
+        let State::Leader(leader_state) = &self.state else {
             return false;
         };
         let last_index = self.log.last_index();
-        leading.peers.get(&peer).is_some_and(|progress| {
+        leader_state.peers.get(&peer).is_some_and(|progress| {
             matches!(progress.mode, Mode::Replicate)
                 && progress.match_index == last_index
                 && self.commit == last_index
-                && progress.told_commit < last_index
+                && progress.sent_commit < last_index
         })
     }
 
-    /// Sends an append without entries at a place where the logs are known to agree.
-    fn send_empty(&mut self, peer: NodeId, round: u64) {
-        let State::Leader(leading) = &mut self.state else {
+    /// Sends an append without entries at an index where the logs are known to match.
+    fn send_empty_append(&mut self, peer: NodeId, round: u64) {
+        let State::Leader(leader_state) = &mut self.state else {
             return;
         };
-        let Some(progress) = leading.peers.get_mut(&peer) else {
+        let Some(progress) = leader_state.peers.get_mut(&peer) else {
             return;
         };
-        // Every log agrees at index 0.
+        // All logs match at index 0.
         let known = self
             .log
             .term_at(progress.match_index)
             .map(|term| (progress.match_index, term));
         let (prev_index, prev_term) = known.unwrap_or((0, 0));
-        progress.tell_commit(self.commit.min(prev_index));
+        progress.record_sent_commit(self.commit.min(prev_index));
         let body = Body::Append {
             prev_index,
             prev_term,
@@ -195,7 +195,7 @@
             commit: self.commit,
             round,
         };
-        self.outbox.send(self.hard.term, peer, body);
+        self.outbox.send(self.hard_state.term, peer, body);
     }
 
     pub(crate) fn on_append(
@@ -207,16 +207,16 @@
         round: u64,
     ) {
         if matches!(self.state, State::Leader(_))
-            || !are_in_order(&entries, prev_index, prev_term, self.hard.term)
+            || !are_in_order(&entries, prev_index, prev_term, self.hard_state.term)
         {
             return;
         }
-        self.heard_leader(from);
-        let term = self.hard.term;
-        let wants_answer = round != NO_ROUND;
-        // What is committed agrees with every leader's log.
+        self.on_leader_contact(from);
+        let term = self.hard_state.term;
+        let expects_reply = round != NO_REPLY_ROUND;
+        // Committed entries match the log of every leader.
         let agrees = prev_index <= self.commit || self.log.term_at(prev_index) == Some(prev_term);
-        if !agrees && !wants_answer {
+        if !agrees && !expects_reply {
             return;
         }
         if !agrees {
@@ -241,9 +241,9 @@
         if !self.append_missing(entries) {
             return;
         }
-        self.check_joined(match_index, commit);
+        self.mark_complete_once_joined(match_index, commit);
         self.commit_to(commit.min(match_index));
-        if !wants_answer {
+        if !expects_reply {
             return;
         }
         let result = AppendResult::Accepted { match_index };
@@ -252,10 +252,11 @@
             round,
             complete: self.complete,
         };
-        self.outbox.send_promise(match_index, term, from, body);
+        self.outbox
+            .send_after_log_sync(match_index, term, from, body);
     }
 
-    /// Appends the entries that aren't there yet; returns false if they contradict what is committed.
+    /// Appends the entries that are missing; returns false if they conflict with committed entries.
     fn append_missing(&mut self, entries: Vec<Entry>) -> bool {
         let mut missing = entries.into_iter().skip_while(|entry| {
             entry.index <= self.log.base_index()
@@ -280,13 +281,14 @@
         true
     }
 
-    /// Completes an incarnation that holds all that is committed and is still a learner there: as it never was a voter,
-    /// it never promised anything before.
-    fn check_joined(&mut self, match_index: Index, leader_commit: Index) {
+    /// Marks this node complete if it is a learner and has all committed entries.
+    ///
+    /// An incarnation that is still a learner then was never a voter, so no earlier promise of it can have been lost.
+    fn mark_complete_once_joined(&mut self, match_index: Index, leader_commit: Index) {
         let is_learner = self.log.membership().is_learner(self.config.id);
         if !self.complete && is_learner && match_index >= leader_commit {
             self.complete = true;
-            self.outbox.write_complete();
+            self.outbox.write_mark_complete();
         }
     }
 
@@ -297,12 +299,12 @@
         round: u64,
         complete: bool,
     ) {
-        self.note_answer(from, round, complete);
+        self.record_reply(from, round, complete);
         let last_index = self.log.last_index();
-        let State::Leader(leading) = &mut self.state else {
+        let State::Leader(leader_state) = &mut self.state else {
             return;
         };
-        let Some(progress) = leading.peers.get_mut(&from) else {
+        let Some(progress) = leader_state.peers.get_mut(&from) else {
             return;
         };
         match result {
@@ -316,7 +318,7 @@
                 hint_term,
             } => {
                 if !complete && prev_index <= progress.match_index {
-                    // The member lost its disk, and with it what it once had synced.
+                    // The member lost its disk, including entries that it had synced.
                     progress.match_index = 0;
                 }
                 let is_current = match progress.mode {
@@ -333,38 +335,38 @@
         self.advance_commit();
     }
 
-    /// Notes that a member answered a round of this term.
-    pub(crate) fn note_answer(&mut self, from: NodeId, round: u64, complete: bool) {
+    /// Records that a member replied to a round of this term.
+    pub(crate) fn record_reply(&mut self, from: NodeId, round: u64, complete: bool) {
         let now = self.now;
-        let State::Leader(leading) = &mut self.state else {
+        let State::Leader(leader_state) = &mut self.state else {
             return;
         };
-        let current = leading.rounds.current();
-        let Some(progress) = leading.peers.get_mut(&from) else {
+        let current = leader_state.rounds.current();
+        let Some(progress) = leader_state.peers.get_mut(&from) else {
             return;
         };
         if round > current {
             return;
         }
         progress.complete = complete;
-        progress.heard_at = Some(now);
-        progress.answered_round = progress.answered_round.max(round);
-        self.forget_answered_rounds();
+        progress.last_reply_at = Some(now);
+        progress.acked_round = progress.acked_round.max(round);
+        self.discard_acked_rounds();
     }
 
-    fn forget_answered_rounds(&mut self) {
+    fn discard_acked_rounds(&mut self) {
         let quorum_round = self.quorum_round();
-        if let State::Leader(leading) = &mut self.state {
-            leading.rounds.forget_before(quorum_round);
+        if let State::Leader(leader_state) = &mut self.state {
+            leader_state.rounds.discard_before(quorum_round);
         }
     }
 
-    /// Commits what a quorum has synced, if its last entry is of the leader's own term.
+    /// Commits the entries that a quorum has synced, if the last of them is from the leader's own term.
     ///
-    /// An entry of an earlier term that a quorum holds can still be overwritten by a leader of a term in between, so
+    /// An entry of an earlier term that a quorum holds can still be overwritten by the leader of a term in between, so
     /// it is only committed together with an entry of this term.
     pub(crate) fn advance_commit(&mut self) {
-        let State::Leader(leading) = &self.state else {
+        let State::Leader(leader_state) = &self.state else {
             return;
         };
         let durable_index = self.outbox.durable_index();
@@ -372,9 +374,12 @@
             if id == self.config.id {
                 return durable_index;
             }
-            leading.peers.get(&id).map_or(0, Progress::counted_match)
+            leader_state
+                .peers
+                .get(&id)
+                .map_or(0, Progress::quorum_eligible_match)
         });
-        if index > self.commit && self.log.term_at(index) == Some(self.hard.term) {
+        if index > self.commit && self.log.term_at(index) == Some(self.hard_state.term) {
             self.commit_to(index);
         }
     }
@@ -386,7 +391,7 @@
     }
 }
 
-/// Prepares a member whose batches or chunk weren't answered for a while.
+/// Marks the unacknowledged batches or chunk of a member to be sent again.
 fn resend(progress: &mut Progress) {
     match &mut progress.mode {
         Mode::Probe { sent } | Mode::Snapshot { sent, .. } => *sent = false,
@@ -395,15 +400,16 @@
     }
 }
 
-/// Returns whether entries follow each other and the one before, and a leader of `term` could have sent them.
+/// Returns whether the entries are valid, consecutive from `prev_index`, and could come from a leader of `term`.
 fn are_in_order(entries: &[Entry], prev_index: Index, prev_term: Term, term: Term) -> bool {
     let (mut index, mut last_term) = (prev_index, prev_term);
     for entry in entries {
         let is_next = Some(entry.index) == index.checked_add(1)
             && entry.term >= last_term
             && entry.term <= term;
-        let is_sound = entry.kind != EntryKind::Membership || membership::decode(entry).is_some();
-        if !is_next || !is_sound {
+        let is_decodable =
+            entry.kind != EntryKind::Membership || membership::decode(entry).is_some();
+        if !is_next || !is_decodable {
             return false;
         }
         (index, last_term) = (entry.index, entry.term);
--- a/crates/raft/src/snapshot.rs
+++ b/crates/raft/src/snapshot.rs
@@ -1,29 +1,29 @@
-//! Takes snapshots, and sends them in bounded chunks to members that lag too far.
+//! Snapshots: saved locally, and sent in bounded chunks to members that lag too far behind.
 
 use std::sync::Arc;
 
-use crate::node::{HIGHEST, Node, State};
+use crate::node::{MAX_TERM_OR_INDEX, Node, State};
 use crate::output::Write;
 use crate::progress::Mode;
 use crate::types::{Index, NodeId, Snapshot, Term};
 use crate::{AppendResult, Body};
 
-/// Largest snapshot that a node takes in; state is a few megabytes, and this keeps a wrong size from exhausting memory.
+/// Largest snapshot that a node accepts; state is a few megabytes, and this keeps a wrong size from exhausting memory.
 const MAX_SNAPSHOT_BYTES: u64 = 1 << 30;
 
-/// Collects a snapshot that arrives in chunks.
+/// A snapshot that is being received in chunks.
 #[derive(Debug)]
-pub(crate) struct Incoming {
-    /// Chunks of two leaders don't mix: their states may be encoded differently.
+pub(crate) struct IncomingSnapshot {
+    /// Chunks from two leaders can't be combined: their states may be encoded differently.
     leader_term: Term,
     last_index: Index,
     state: Vec<u8>,
 }
 
 impl Node {
-    /// Takes in the driver's state as of `last_index`, an index that it has applied; drops the log behind it.
+    /// Saves the driver's state as of `last_index`, an index that it has applied, and compacts the log before it.
     ///
-    /// Returns false, and does nothing, if a later snapshot is there already or the index isn't applied yet.
+    /// Returns false, and does nothing, if a snapshot at or after `last_index` exists or the index is not applied yet.
     pub fn snapshot_taken(&mut self, last_index: Index, state: Box<[u8]>) -> bool {
         let is_newer = self
             .snapshot
@@ -43,28 +43,28 @@
             state,
         };
         self.outbox
-            .write_other(Write::SaveSnapshot(snapshot.clone()));
+            .write_unawaited(Write::SaveSnapshot(snapshot.clone()));
         self.snapshot = Some(Arc::new(snapshot));
         self.log
             .compact(last_index.saturating_sub(self.config.keep_entries));
         true
     }
 
-    /// Begins to send the latest snapshot to a member; returns whether a chunk was sent.
+    /// Starts sending the latest snapshot to a member; returns whether a chunk was sent.
     pub(crate) fn start_snapshot(&mut self, peer: NodeId) -> bool {
         let snapshot = self
             .snapshot
             .as_ref()
-            .expect("a log that is compacted has a snapshot");
+            .expect("a compacted log has a snapshot");
         let mode = Mode::Snapshot {
             snapshot: Arc::clone(snapshot),
             offset: 0,
             sent: false,
         };
-        let State::Leader(leading) = &mut self.state else {
+        let State::Leader(leader_state) = &mut self.state else {
             return false;
         };
-        let Some(progress) = leading.peers.get_mut(&peer) else {
+        let Some(progress) = leader_state.peers.get_mut(&peer) else {
             return false;
         };
         progress.inflight.clear();
@@ -72,14 +72,14 @@
         self.send_chunk(peer)
     }
 
-    /// Sends the next chunk unless one is on the way; returns whether it was sent.
+    /// Sends the next chunk unless one is in flight; returns whether it was sent.
     pub(crate) fn send_chunk(&mut self, peer: NodeId) -> bool {
         let chunk_bytes = self.config.snapshot_chunk_bytes;
-        let State::Leader(leading) = &mut self.state else {
+        let State::Leader(leader_state) = &mut self.state else {
             return false;
         };
-        let round = leading.rounds.current();
-        let Some(progress) = leading.peers.get_mut(&peer) else {
+        let round = leader_state.rounds.current();
+        let Some(progress) = leader_state.peers.get_mut(&peer) else {
             return false;
         };
         let Mode::Snapshot {
@@ -94,7 +94,7 @@
             return false;
         }
         *sent = true;
-        progress.waits_since = self.now;
+        progress.waiting_since = self.now;
         let end = snapshot.state.len().min(*offset + chunk_bytes);
         let body = Body::SnapshotChunk {
             last_index: snapshot.last_index,
@@ -105,7 +105,7 @@
             data: snapshot.state[*offset..end].into(),
             round,
         };
-        self.outbox.send(self.hard.term, peer, body);
+        self.outbox.send(self.hard_state.term, peer, body);
         true
     }
 
@@ -120,26 +120,26 @@
     ) {
         if matches!(self.state, State::Leader(_))
             || total_bytes > MAX_SNAPSHOT_BYTES
-            || head.last_index > HIGHEST
-            || head.last_term > self.hard.term
+            || head.last_index > MAX_TERM_OR_INDEX
+            || head.last_term > self.hard_state.term
         {
             return;
         }
-        self.heard_leader(from);
+        self.on_leader_contact(from);
         let last_index = head.last_index;
-        // A chunk may arrive late. What follows the snapshot in this log may have been promised, so it must stay.
+        // A chunk may arrive late. Entries after the snapshot in this log may have been acknowledged, so they must stay.
         if self.log.term_at(last_index) == Some(head.last_term) {
             self.commit_to(last_index);
         }
         if last_index <= self.commit {
             return self.accept_snapshot(from, last_index, round);
         }
-        let leader_term = self.hard.term;
-        let fits = |incoming: &Incoming| {
+        let leader_term = self.hard_state.term;
+        let fits = |incoming: &IncomingSnapshot| {
             incoming.leader_term == leader_term && incoming.last_index == last_index
         };
-        let known = self.incoming.take().filter(fits);
-        let mut incoming = known.unwrap_or(Incoming {
+        let known = self.incoming_snapshot.take().filter(fits);
+        let mut incoming = known.unwrap_or(IncomingSnapshot {
             leader_term,
             last_index,
             state: Vec::new(),
@@ -153,7 +153,7 @@
             return self.accept_snapshot(from, last_index, round);
         }
         let next_offset = incoming.state.len() as u64;
-        self.incoming = Some(incoming);
+        self.incoming_snapshot = Some(incoming);
         let body = Body::SnapshotReply {
             last_index,
             next_offset,
@@ -173,11 +173,11 @@
             complete: self.complete,
         };
         self.outbox
-            .send_promise(last_index, self.hard.term, leader, body);
+            .send_after_log_sync(last_index, self.hard_state.term, leader, body);
     }
 
     fn install_snapshot(&mut self, snapshot: Snapshot) {
-        self.cover_proposals(snapshot.last_index);
+        self.drop_covered_proposals(snapshot.last_index);
         self.log.reset(&snapshot);
         self.commit = snapshot.last_index;
         self.applied = snapshot.last_index;
@@ -197,11 +197,11 @@
         round: u64,
         complete: bool,
     ) {
-        self.note_answer(from, round, complete);
-        let State::Leader(leading) = &mut self.state else {
+        self.record_reply(from, round, complete);
+        let State::Leader(leader_state) = &mut self.state else {
             return;
         };
-        let Some(progress) = leading.peers.get_mut(&from) else {
+        let Some(progress) = leader_state.peers.get_mut(&from) else {
             return;
         };
         let Mode::Snapshot {
@@ -215,7 +215,7 @@
         let Ok(next_offset) = usize::try_from(next_offset) else {
             return;
         };
-        // An answer to a chunk that was sent twice changes nothing.
+        // A duplicate reply to a resent chunk is ignored.
         if snapshot.last_index == last_index
             && next_offset != *offset
             && next_offset <= snapshot.state.len()
