--- a/crates/raft/tests/raft/codec.rs
+++ b/crates/raft/tests/raft/codec.rs
@@ -1,4 +1,4 @@
-//! Checks that no bytes and no message, however wrong, stop a node.
+//! Checks that invalid bytes and messages never make the decoder or a node panic.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// Random sequences of messages; they run in a few seconds without optimisation.
+/// Number of random message sequences; they run in a few seconds without optimisation.
 const SEQUENCES: u64 = 2000;
 
-fn number(rng: &mut StdRng) -> u64 {
+fn random_number(rng: &mut StdRng) -> u64 {
     match rng.random_range(0..20) {
         0 => u64::MAX,
         1 => u64::MAX - 1,
@@ -21,19 +21,19 @@
     }
 }
 
-fn any_membership(rng: &mut StdRng) -> Membership {
+fn random_membership(rng: &mut StdRng) -> Membership {
     Membership {
-        voters: vec![1, number(rng), 3],
-        learners: vec![number(rng)],
+        voters: vec![1, random_number(rng), 3],
+        learners: vec![random_number(rng)],
     }
 }
 
-fn any_entries(rng: &mut StdRng) -> Vec<Entry> {
+fn random_entries(rng: &mut StdRng) -> Vec<Entry> {
     let (index, term) = (rng.random_range(1..5), rng.random_range(0..4));
     let mut entries = Vec::new();
-    for place in 0..rng.random_range(0..4) {
-        let membership = any_membership(rng);
-        let encoded = rmp_serde::to_vec_named(&membership).expect("encodable");
+    for offset in 0..rng.random_range(0..4) {
+        let membership = random_membership(rng);
+        let encoded = rmp_serde::to_vec_named(&membership).expect("the value can be encoded");
         let kind =
             [EntryKind::Noop, EntryKind::Command, EntryKind::Membership][rng.random_range(0..3)];
         let payload = if rng.random() {
@@ -44,7 +44,7 @@
         let term = term + rng.random_range(0..2);
         entries.push(Entry {
             term,
-            index: index + place,
+            index: index + offset,
             kind,
             payload,
         });
@@ -52,9 +52,9 @@
     entries
 }
 
-fn any_body(rng: &mut StdRng) -> Body {
-    let (first, second) = (number(rng), number(rng));
-    let (round, flag) = (number(rng), rng.random());
+fn random_body(rng: &mut StdRng) -> Body {
+    let (first, second) = (random_number(rng), random_number(rng));
+    let (round, flag) = (random_number(rng), rng.random());
     match rng.random_range(0..11) {
         0 => Body::PreVote {
             last_index: first,
@@ -68,13 +68,13 @@
         },
         3 => Body::VoteReply { granted: flag },
         4 | 5 => {
-            let entries = any_entries(rng);
+            let entries = random_entries(rng);
             let prev_index = entries.first().map_or(first, |entry| entry.index - 1);
             Body::Append {
                 prev_index,
                 prev_term: second % 3,
                 entries,
-                commit: number(rng),
+                commit: random_number(rng),
                 round,
             }
         }
@@ -90,7 +90,7 @@
             let result = AppendResult::Rejected {
                 prev_index: first,
                 hint_index: second,
-                hint_term: number(rng),
+                hint_term: random_number(rng),
             };
             Body::AppendReply {
                 result,
@@ -101,9 +101,9 @@
         8 => Body::SnapshotChunk {
             last_index: first,
             last_term: second,
-            membership: any_membership(rng),
-            total_bytes: number(rng),
-            offset: number(rng),
+            membership: random_membership(rng),
+            total_bytes: random_number(rng),
+            offset: random_number(rng),
             data: Box::new([1; 3]),
             round,
         },
@@ -117,18 +117,18 @@
     }
 }
 
-fn any_message(rng: &mut StdRng) -> Message {
+fn random_message(rng: &mut StdRng) -> Message {
     let (from, term) = (rng.random_range(2..5), rng.random_range(0..12));
     Message {
         cluster_id: 7,
         from,
         to: 1,
         term,
-        body: any_body(rng),
+        body: random_body(rng),
     }
 }
 
-fn step_anything(seed: u64) {
+fn step_random_messages(seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let membership = Membership {
         voters: vec![1, 2, 3],
@@ -141,15 +141,15 @@
     };
     let mut config = Config::new(1, 7);
     (config.keep_entries, config.snapshot_chunk_bytes) = (0, 2);
-    let mut node = Node::open(config, durable, Duration::ZERO, seed).expect("sound");
+    let mut node = Node::open(config, durable, Duration::ZERO, seed).expect("valid state");
     let mut now = Duration::ZERO;
     for _ in 0..60 {
         now += Duration::from_millis(rng.random_range(0..400));
         node.tick(now);
-        let mut message = any_message(&mut rng);
+        let mut message = random_message(&mut rng);
         let term = node.status().term;
         match node.role() {
-            // Helps the node on, so that all its roles are met.
+            // Helps the node win elections, so that it goes through all roles.
             Role::PreCandidate | Role::Candidate if rng.random() => {
                 let is_pre_vote = node.role() == Role::PreCandidate;
                 message.term = term + u64::from(is_pre_vote);
@@ -164,7 +164,7 @@
         }
         node.step(now, message);
         if node.propose(now, Box::new([1])).is_ok() {
-            node.read(now, 1).expect("it leads");
+            node.read(now, 1).expect("the node is the leader");
         }
         let output = node.take_output();
         node.persisted(now, output.token);
@@ -176,32 +176,32 @@
 
 quickcheck! {
     fn any_bytes_decode_or_fail(bytes: Vec<u8>) -> bool {
-        // Neither outcome matters here: the property is that the decoder returns.
+        // Either outcome is fine: the property is that the decoder returns.
         rmp_serde::from_slice::<Message>(&bytes).map_or(true, |_| true)
     }
 
-    fn damaged_messages_decode_or_fail(seed: u64, place: usize, byte: u8) -> bool {
-        let message = any_message(&mut StdRng::seed_from_u64(seed));
-        let mut bytes = rmp_serde::to_vec_named(&message).expect("encodable");
-        let place = place % bytes.len();
-        let is_same = bytes[place] == byte;
-        bytes[place] = byte;
+    fn damaged_messages_decode_or_fail(seed: u64, offset: usize, byte: u8) -> bool {
+        let message = random_message(&mut StdRng::seed_from_u64(seed));
+        let mut bytes = rmp_serde::to_vec_named(&message).expect("the value can be encoded");
+        let offset = offset % bytes.len();
+        let is_same = bytes[offset] == byte;
+        bytes[offset] = byte;
         let decoded = rmp_serde::from_slice::<Message>(&bytes);
         !is_same || decoded.is_ok_and(|decoded| decoded == message)
     }
 }
 
 cases! {
-    messages_survive_the_codec => {
-        fn survives(seed: u64) -> bool {
-            let message = any_message(&mut StdRng::seed_from_u64(seed));
-            let bytes = rmp_serde::to_vec_named(&message).expect("encodable");
+    messages_round_trip_through_the_codec => {
+        fn round_trips(seed: u64) -> bool {
+            let message = random_message(&mut StdRng::seed_from_u64(seed));
+            let bytes = rmp_serde::to_vec_named(&message).expect("the value can be encoded");
             rmp_serde::from_slice::<Message>(&bytes).is_ok_and(|decoded| decoded == message)
         }
-        QuickCheck::new().tests(2000).quickcheck(survives as fn(u64) -> bool);
+        QuickCheck::new().tests(2000).quickcheck(round_trips as fn(u64) -> bool);
     }
 
-    no_message_stops_a_node => {
-        (0..SEQUENCES).for_each(step_anything);
+    no_message_makes_a_node_panic => {
+        (0..SEQUENCES).for_each(step_random_messages);
     }
 }
--- a/crates/raft/tests/raft/main.rs
+++ b/crates/raft/tests/raft/main.rs
@@ -1,8 +1,8 @@
-//! Tests the replicated log as one program, so that its files share one network in virtual time.
+//! Tests of the replicated log, in one binary so that the files share one simulation.
 
 mod codec;
-mod figures;
-mod named;
-mod net;
-mod rules;
-mod schedules;
+mod fault_schedules;
+mod measurements;
+mod scenarios;
+mod simulation;
+mod single_node;
--- a/crates/raft/tests/raft/net/checks.rs
+++ b/crates/raft/tests/raft/simulation/invariants.rs
@@ -1,11 +1,11 @@
-//! Checks the invariants after every event.
+//! Invariants that are checked after every event.
 
 use hinge_raft::{Entry, NodeId, Output, Role, Snapshot, Write};
 
-use super::{Host, Net};
+use super::{Host, SimulatedNetwork};
 
-impl Net {
-    /// Checks log matching: an index and a term name one entry, with one entry before it.
+impl SimulatedNetwork {
+    /// Checks log matching: an index and a term identify one entry, and the term of its predecessor.
     pub(super) fn check_appends(&mut self, output: &Output) {
         for write in &output.writes {
             let Write::Append(entries) = write else {
@@ -18,7 +18,10 @@
                     .appended
                     .entry(key)
                     .or_insert_with(|| (prev_term.unwrap_or_default(), entry.clone()));
-                assert_eq!(known, entry, "two entries at one index and term");
+                assert_eq!(
+                    known, entry,
+                    "two different entries have the same index and term"
+                );
                 if let Some(prev_term) = prev_term {
                     assert!(
                         *known_prev == 0 || *known_prev == prev_term,
@@ -39,12 +42,12 @@
             assert_eq!(
                 *state,
                 self.state_at(*last_index),
-                "the snapshot holds another state"
+                "the snapshot's state differs from the committed entries"
             );
-            self.hosts.get_mut(&id).expect("known").applied = *last_index;
+            self.hosts.get_mut(&id).expect("the host exists").applied = *last_index;
         }
         for entry in &output.committed {
-            let host = self.hosts.get_mut(&id).expect("known");
+            let host = self.hosts.get_mut(&id).expect("the host exists");
             assert_eq!(
                 entry.index,
                 host.applied + 1,
@@ -52,30 +55,32 @@
             );
             host.applied = entry.index;
             if let Some(first) = self
-                .truth
-                .get(usize::try_from(entry.index - 1).expect("small"))
+                .committed_log
+                .get(usize::try_from(entry.index - 1).expect("an index fits into usize"))
             {
                 assert_eq!(first, entry, "a committed entry was lost or changed");
                 continue;
             }
             self.check_durable(id, entry);
-            let mut hash = self.hashes[self.truth.len()];
+            let mut hash = self.state_hashes[self.committed_log.len()];
             for byte in entry.payload.iter().chain(&entry.term.to_le_bytes()) {
                 hash = (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
             }
-            self.hashes.push(hash);
-            self.truth.push(entry.clone());
+            self.state_hashes.push(hash);
+            self.committed_log.push(entry.clone());
         }
         for (term, index) in &self.overwritten {
-            let committed = self.truth.get(usize::try_from(*index - 1).expect("small"));
+            let committed = self
+                .committed_log
+                .get(usize::try_from(*index - 1).expect("an index fits into usize"));
             assert!(
                 committed.is_none_or(|entry| entry.term != *term),
-                "a proposal that was said not to run ran"
+                "a proposal that was reported as overwritten was committed"
             );
         }
     }
 
-    /// Checks that a quorum of the voters has an entry on its disk when it is first said to be committed.
+    /// Checks that a quorum of the voters has an entry on disk when it is first reported as committed.
     fn check_durable(&self, id: NodeId, entry: &Entry) {
         let membership = self.node(id).membership();
         let holds = |voter: &&NodeId| {
@@ -84,12 +89,12 @@
                 .snapshot
                 .as_ref()
                 .is_some_and(|snapshot| snapshot.last_index >= entry.index);
-            is_covered || self.lost.contains(*voter) || disk.entries.contains(entry)
+            is_covered || self.destroyed.contains(*voter) || disk.entries.contains(entry)
         };
         let holders = membership.voters.iter().filter(holds).count();
         assert!(
             holders >= membership.quorum(),
-            "entry {} is committed on {holders} disks",
+            "entry {} is committed with copies on only {holders} disks",
             entry.index
         );
     }
@@ -103,12 +108,12 @@
         }
         let holds = |(id, host): (&NodeId, &Host)| {
             let node = host.node.as_ref()?;
-            node.holds_lease(self.local(*id)).then_some(*id)
+            node.holds_lease(self.local_time(*id)).then_some(*id)
         };
         let holders: Vec<NodeId> = self.hosts.iter().filter_map(holds).collect();
         assert!(
             holders.len() <= 1,
-            "{holders:?} hold a lease at {:?}",
+            "{holders:?} all hold a lease at {:?}",
             self.now
         );
     }
--- a/crates/raft/tests/raft/net/mod.rs
+++ b/crates/raft/tests/raft/simulation/mod.rs
@@ -1,6 +1,6 @@
-//! Runs nodes in virtual time over a faulty network and disks, and checks the invariants after every event.
+//! Simulates nodes in virtual time with a faulty network and faulty disks, and checks invariants after every event.
 
-mod checks;
+mod invariants;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
@@ -12,10 +12,10 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-const TICK: Duration = Duration::from_millis(60);
-/// Part of the largest drift inside the margin that the clocks have.
-const DRIFT: f64 = 0.98;
-const STATE_REPEATS: usize = 32;
+const TICK_INTERVAL: Duration = Duration::from_millis(60);
+/// Clock drift as a fraction of the largest drift that the margin allows.
+const DRIFT_FRACTION: f64 = 0.98;
+const STATE_HASH_REPEATS: usize = 32;
 
 pub fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -26,8 +26,8 @@
     pub disk: PersistentState,
     pending: VecDeque<(WriteToken, Vec<Write>)>,
     epoch: u64,
-    rate: f64,
-    started: Duration,
+    clock_rate: f64,
+    started_at: Duration,
     pub applied: Index,
     commit: Index,
 }
@@ -38,31 +38,31 @@
     Tick(NodeId, u64),
 }
 
-pub struct Net {
+pub struct SimulatedNetwork {
     pub now: Duration,
     pub hosts: BTreeMap<NodeId, Host>,
     pub rng: StdRng,
-    pub tune: fn(&mut Config),
+    pub configure: fn(&mut Config),
     pub drop_rate: f64,
     pub duplicate_rate: f64,
     pub delay_ms: std::ops::Range<u64>,
     pub sync_ms: std::ops::Range<u64>,
-    pub cut: BTreeSet<(NodeId, NodeId)>,
-    /// What was committed first at each index; it must never change.
-    pub truth: Vec<Entry>,
-    hashes: Vec<u64>,
+    pub blocked_links: BTreeSet<(NodeId, NodeId)>,
+    /// The entry first committed at each index; it must never change.
+    pub committed_log: Vec<Entry>,
+    state_hashes: Vec<u64>,
     pub leaders: BTreeMap<Term, NodeId>,
     appended: HashMap<(Index, Term), (Term, Entry)>,
     overwritten: Vec<(Term, Index)>,
-    read_floors: BTreeMap<u64, Index>,
-    pub answered: BTreeSet<u64>,
-    pub lost: BTreeSet<NodeId>,
+    min_read_indices: BTreeMap<u64, Index>,
+    pub answered_reads: BTreeSet<u64>,
+    pub destroyed: BTreeSet<NodeId>,
     pub sent: BTreeMap<&'static str, u64>,
     queue: BTreeMap<(Duration, u64), Event>,
     sequence: u64,
 }
 
-fn kind(body: &Body) -> &'static str {
+fn message_kind(body: &Body) -> &'static str {
     match body {
         Body::PreVote { .. } | Body::PreVoteReply { .. } => "pre-vote",
         Body::Vote { .. } | Body::VoteReply { .. } => "vote",
@@ -76,7 +76,7 @@
     }
 }
 
-fn apply(disk: &mut PersistentState, write: Write) {
+fn apply_write(disk: &mut PersistentState, write: Write) {
     match write {
         Write::HardState(hard_state) => disk.hard_state = hard_state,
         Write::Truncate { from } => disk.entries.retain(|entry| entry.index < from),
@@ -94,26 +94,26 @@
     }
 }
 
-impl Net {
-    pub fn open(seed: u64, voters: u64, tune: fn(&mut Config)) -> Self {
+impl SimulatedNetwork {
+    pub fn open(seed: u64, voters: u64, configure: fn(&mut Config)) -> Self {
         let mut net = Self {
             now: ms(0),
             hosts: BTreeMap::new(),
             rng: StdRng::seed_from_u64(seed),
-            tune,
+            configure,
             drop_rate: 0.0,
             duplicate_rate: 0.0,
             delay_ms: 1..5,
             sync_ms: 1..5,
-            cut: BTreeSet::new(),
-            truth: Vec::new(),
-            hashes: vec![0],
+            blocked_links: BTreeSet::new(),
+            committed_log: Vec::new(),
+            state_hashes: vec![0],
             leaders: BTreeMap::new(),
             appended: HashMap::new(),
             overwritten: Vec::new(),
-            read_floors: BTreeMap::new(),
-            answered: BTreeSet::new(),
-            lost: BTreeSet::new(),
+            min_read_indices: BTreeMap::new(),
+            answered_reads: BTreeSet::new(),
+            destroyed: BTreeSet::new(),
             sent: BTreeMap::new(),
             queue: BTreeMap::new(),
             sequence: 0,
@@ -130,15 +130,15 @@
 
     pub fn add(&mut self, id: NodeId, disk: PersistentState) {
         let mut config = Config::new(id, 7);
-        (self.tune)(&mut config);
-        // The slowest and the fastest clock differ by as much as the margin allows.
+        (self.configure)(&mut config);
+        // The rates of the slowest and the fastest clock differ by almost as much as the margin allows.
         let ratio = config
             .lease
             .div_duration_f64(config.lease.saturating_sub(config.clock_drift_margin));
-        let widest = DRIFT * (ratio - 1.0) / (ratio + 1.0);
-        let rate = 1.0 + widest * [-1.0, -1.0, 0.0, 1.0, 1.0][self.rng.random_range(0..5)];
+        let max_drift = DRIFT_FRACTION * (ratio - 1.0) / (ratio + 1.0);
+        let clock_rate = 1.0 + max_drift * [-1.0, -1.0, 0.0, 1.0, 1.0][self.rng.random_range(0..5)];
         let (node, pending) = (None, VecDeque::new());
-        let started = self.now;
+        let started_at = self.now;
         self.hosts.insert(
             id,
             Host {
@@ -146,8 +146,8 @@
                 disk,
                 pending,
                 epoch: 0,
-                rate,
-                started,
+                clock_rate,
+                started_at,
                 applied: 0,
                 commit: 0,
             },
@@ -157,26 +157,27 @@
 
     pub fn start(&mut self, id: NodeId) {
         let mut config = Config::new(id, 7);
-        (self.tune)(&mut config);
+        (self.configure)(&mut config);
         let seed = self.rng.random();
-        let host = self.hosts.get_mut(&id).expect("known");
+        let host = self.hosts.get_mut(&id).expect("the host exists");
         host.epoch += 1;
-        host.started = self.now;
+        host.started_at = self.now;
         host.commit = 0;
         host.applied = host
             .disk
             .snapshot
             .as_ref()
             .map_or(0, |snapshot| snapshot.last_index);
-        host.node =
-            Some(Node::open(config, host.disk.clone(), ms(0), seed).expect("the disk is sound"));
+        host.node = Some(
+            Node::open(config, host.disk.clone(), ms(0), seed).expect("the state on disk is valid"),
+        );
         let epoch = host.epoch;
         self.schedule(ms(0), Event::Tick(id, epoch));
     }
 
-    /// Stops a node; of the writes that weren't synced, any first part may have reached the disk.
+    /// Crashes a node; any prefix of its unsynced writes may have reached the disk.
     pub fn crash(&mut self, id: NodeId) {
-        let host = self.hosts.get_mut(&id).expect("known");
+        let host = self.hosts.get_mut(&id).expect("the host exists");
         host.node = None;
         host.epoch += 1;
         let mut writes: Vec<Write> = host
@@ -189,20 +190,22 @@
             entries.truncate(self.rng.random_range(0..=entries.len()));
         }
         for write in writes {
-            apply(&mut host.disk, write);
+            apply_write(&mut host.disk, write);
         }
     }
 
-    /// Loses a node with its disk for good.
-    pub fn lose(&mut self, id: NodeId) {
+    /// Crashes a node and wipes its disk.
+    pub fn destroy(&mut self, id: NodeId) {
         self.crash(id);
-        self.hosts.get_mut(&id).expect("known").disk = PersistentState::joining();
-        self.lost.insert(id);
+        self.hosts.get_mut(&id).expect("the host exists").disk = PersistentState::joining();
+        self.destroyed.insert(id);
     }
 
-    pub fn local(&self, id: NodeId) -> Duration {
+    pub fn local_time(&self, id: NodeId) -> Duration {
         let host = &self.hosts[&id];
-        self.now.saturating_sub(host.started).mul_f64(host.rate)
+        self.now
+            .saturating_sub(host.started_at)
+            .mul_f64(host.clock_rate)
     }
 
     pub fn is_up(&self, id: NodeId) -> bool {
@@ -210,23 +213,23 @@
     }
 
     pub fn node(&self, id: NodeId) -> &Node {
-        self.hosts[&id].node.as_ref().expect("up")
+        self.hosts[&id].node.as_ref().expect("the node is running")
     }
 
-    /// Gives a node an input, and then does what it asks for.
-    pub fn with<T>(
+    /// Passes an input to a node and processes its output.
+    pub fn drive<T>(
         &mut self,
         id: NodeId,
         input: impl FnOnce(&mut Node, Duration) -> T,
     ) -> Option<T> {
-        let now = self.local(id);
+        let now = self.local_time(id);
         let node = self.hosts.get_mut(&id)?.node.as_mut()?;
         let result = input(node, now);
-        self.pump(id);
+        self.process_output(id);
         Some(result)
     }
 
-    pub fn set_cut(&mut self, id: NodeId, both_ways: bool) {
+    pub fn isolate(&mut self, id: NodeId, both_ways: bool) {
         let others: Vec<NodeId> = self
             .hosts
             .keys()
@@ -234,9 +237,9 @@
             .filter(|other| *other != id)
             .collect();
         for other in others {
-            self.cut.insert((id, other));
+            self.blocked_links.insert((id, other));
             if both_ways {
-                self.cut.insert((other, id));
+                self.blocked_links.insert((other, id));
             }
         }
     }
@@ -248,21 +251,24 @@
 
     /// Handles one event.
     pub fn step(&mut self) {
-        let ((at, _), event) = self.queue.pop_first().expect("ticks go on");
+        let ((at, _), event) = self
+            .queue
+            .pop_first()
+            .expect("the queue always holds ticks");
         self.now = at;
         match event {
             Event::Deliver(message) => {
-                let is_cut = self.cut.contains(&(message.from, message.to));
-                if !is_cut && self.hosts.contains_key(&message.to) {
-                    self.with(message.to, |node, now| node.step(now, *message));
+                let is_blocked = self.blocked_links.contains(&(message.from, message.to));
+                if !is_blocked && self.hosts.contains_key(&message.to) {
+                    self.drive(message.to, |node, now| node.step(now, *message));
                 }
             }
             Event::Tick(id, epoch) if self.hosts[&id].epoch == epoch => {
-                self.schedule(TICK, Event::Tick(id, epoch));
-                self.with(id, Node::tick);
+                self.schedule(TICK_INTERVAL, Event::Tick(id, epoch));
+                self.drive(id, Node::tick);
             }
             Event::Synced(id, epoch, token) if self.hosts[&id].epoch == epoch => {
-                let host = self.hosts.get_mut(&id).expect("known");
+                let host = self.hosts.get_mut(&id).expect("the host exists");
                 while host
                     .pending
                     .front()
@@ -270,10 +276,10 @@
                 {
                     let (_, writes) = host.pending.pop_front().expect("the front was just seen");
                     for write in writes {
-                        apply(&mut host.disk, write);
+                        apply_write(&mut host.disk, write);
                     }
                 }
-                self.with(id, |node, now| node.persisted(now, token));
+                self.drive(id, |node, now| node.persisted(now, token));
             }
             Event::Tick(..) | Event::Synced(..) => {}
         }
@@ -291,7 +297,7 @@
         self.now = until;
     }
 
-    /// Runs until a condition holds; panics if it doesn't within the time.
+    /// Runs until a condition holds; panics if it does not hold within the given time.
     pub fn run_until(
         &mut self,
         what: &str,
@@ -300,12 +306,12 @@
     ) {
         let until = self.now + within;
         while !is_met(self) {
-            assert!(self.now < until, "not within {within:?}: {what}");
+            assert!(self.now < until, "did not happen within {within:?}: {what}");
             self.step();
         }
     }
 
-    /// Returns the up node that leads the highest term.
+    /// Returns the running leader with the highest term.
     pub fn leader(&self) -> Option<NodeId> {
         let up = self
             .hosts
@@ -317,56 +323,59 @@
             .map(|(id, _)| *id)
     }
 
-    pub fn elect(&mut self) -> NodeId {
+    pub fn wait_for_leader(&mut self) -> NodeId {
         self.run_until("a leader with a lease", ms(20_000), |net| {
             net.leader()
-                .is_some_and(|id| net.node(id).holds_lease(net.local(id)))
+                .is_some_and(|id| net.node(id).holds_lease(net.local_time(id)))
         });
         self.leader().expect("just seen")
     }
 
     pub fn propose(&mut self, id: NodeId) -> Option<(Term, Index)> {
         let payload: u64 = self.rng.random();
-        self.with(id, |node, now| {
+        self.drive(id, |node, now| {
             node.propose(now, Box::new(payload.to_le_bytes())).ok()
         })
         .flatten()
     }
 
-    /// Proposes until one entry is committed.
+    /// Proposes until at least one more entry is committed, and returns the last committed index.
     pub fn commit_one(&mut self) -> Index {
-        let before = self.truth.len();
+        let before = self.committed_log.len();
         let until = self.now + ms(30_000);
-        while self.truth.len() == before {
-            assert!(self.now < until, "nothing is committed any more");
+        while self.committed_log.len() == before {
+            assert!(self.now < until, "no proposal was committed");
             if let Some(leader) = self.leader() {
                 self.propose(leader);
             }
             self.run(ms(50));
         }
-        self.truth.len() as Index
+        self.committed_log.len() as Index
     }
 
     pub fn read(&mut self, id: NodeId) -> u64 {
-        let read_id = self.read_floors.len() as u64 + 1;
-        self.read_floors.insert(read_id, self.truth.len() as Index);
-        self.with(id, |node, now| node.read(now, read_id).is_ok());
+        let read_id = self.min_read_indices.len() as u64 + 1;
+        self.min_read_indices
+            .insert(read_id, self.committed_log.len() as Index);
+        self.drive(id, |node, now| node.read(now, read_id).is_ok());
         read_id
     }
 
     pub fn take_snapshot(&mut self, id: NodeId) {
         let applied = self.hosts[&id].applied;
         let state = self.state_at(applied);
-        self.with(id, |node, _| node.snapshot_taken(applied, state));
+        self.drive(id, |node, _| node.snapshot_taken(applied, state));
     }
 
     fn state_at(&self, index: Index) -> Box<[u8]> {
-        let hash = self.hashes[usize::try_from(index).expect("small")];
-        hash.to_le_bytes().repeat(STATE_REPEATS).into_boxed_slice()
+        let hash = self.state_hashes[usize::try_from(index).expect("an index fits into usize")];
+        hash.to_le_bytes()
+            .repeat(STATE_HASH_REPEATS)
+            .into_boxed_slice()
     }
 
-    /// Does one step of replacing a lost voter by a new incarnation.
-    pub fn repair(&mut self, old: NodeId, new: NodeId, promote_first: bool) {
+    /// Takes the next step of replacing a lost voter with a new incarnation.
+    pub fn advance_replacement(&mut self, old: NodeId, new: NodeId, promote_first: bool) {
         let Some(leader) = self.leader() else { return };
         let membership = self.node(leader).membership().clone();
         let is_ready = self.node(leader).check_promotion(new).is_ok();
@@ -381,14 +390,14 @@
         } else {
             return;
         };
-        self.with(leader, |node, now| {
+        self.drive(leader, |node, now| {
             node.propose_membership(now, change).is_ok()
         });
     }
 
     /// Returns whether a membership with the new incarnation as a voter and without the old one is committed.
-    pub fn is_repaired(&self, old: NodeId, new: NodeId) -> bool {
-        let committed = self.truth.len() as Index;
+    pub fn is_replaced(&self, old: NodeId, new: NodeId) -> bool {
+        let committed = self.committed_log.len() as Index;
         self.leader().is_some_and(|id| {
             let status = self.node(id).status();
             let membership = &status.membership;
@@ -397,14 +406,14 @@
         })
     }
 
-    fn pump(&mut self, id: NodeId) {
-        let host = self.hosts.get_mut(&id).expect("known");
-        let node = host.node.as_mut().expect("up");
+    fn process_output(&mut self, id: NodeId) {
+        let host = self.hosts.get_mut(&id).expect("the host exists");
+        let node = host.node.as_mut().expect("the node is running");
         let output = node.take_output();
         let status_commit = node.status().commit;
         assert!(
             status_commit >= host.commit,
-            "the commit of {id} stepped back"
+            "the commit index of {id} decreased"
         );
         host.commit = status_commit;
         if !output.writes.is_empty() {
@@ -412,7 +421,7 @@
                 .push_back((output.token, output.writes.clone()));
             let epoch = host.epoch;
             let after = ms(self.rng.random_range(self.sync_ms.clone()));
-            // A later batch isn't synced before an earlier one: its event syncs both.
+            // A batch is never synced before an earlier one: its event syncs both.
             self.schedule(after, Event::Synced(id, epoch, output.token));
         }
         self.check_appends(&output);
@@ -429,11 +438,11 @@
                 read.read_id
             );
             assert!(
-                read.index >= self.read_floors[&read.read_id],
+                read.index >= self.min_read_indices[&read.read_id],
                 "read {} is stale",
                 read.read_id
             );
-            self.answered.insert(read.read_id);
+            self.answered_reads.insert(read.read_id);
         }
         let overwritten = output
             .dropped_proposals
@@ -444,7 +453,7 @@
     }
 
     fn send(&mut self, message: &Message) {
-        *self.sent.entry(kind(&message.body)).or_default() += 1;
+        *self.sent.entry(message_kind(&message.body)).or_default() += 1;
         let copies = 1 + u32::from(self.rng.random_bool(self.duplicate_rate));
         for _ in 0..copies {
             let after = ms(self.rng.random_range(self.delay_ms.clone()));
