--- a/crates/raft/src/config.rs
+++ b/crates/raft/src/config.rs
@@ -15,7 +15,7 @@
 const LEASE: Duration = Duration::from_secs(1);
 /// Part of the lease that the leader does not rely on; covers clocks whose rates differ by a tenth.
 const CLOCK_DRIFT_MARGIN: Duration = Duration::from_millis(100);
-/// Bytes of entries in one message; large enough to make a sync worthwhile, small against the 32 MB memory budget of control.
+/// Bytes of entries in one message; large enough to make good use of a sync, small against the 32 MB memory budget of control.
 const MAX_BATCH_BYTES: usize = 64 * 1024;
 /// Unacknowledged appends in flight to one follower; covers a round trip of ten syncs.
 const MAX_INFLIGHT_BATCHES: usize = 8;
--- a/crates/raft/src/election.rs
+++ b/crates/raft/src/election.rs
@@ -119,7 +119,7 @@
         self.restart_election_timer();
     }
 
-    /// Records contact from this term's leader: this node grants no vote until the lease expires.
+    /// Records contact from this term's leader: this node grants no vote to others until the lease expires.
     pub(crate) fn on_leader_contact(&mut self, leader: NodeId) {
         if self.leader != Some(leader) || !matches!(self.state, State::Follower) {
             self.become_follower(self.hard_state.term, Some(leader));
--- a/crates/raft/src/membership.rs
+++ b/crates/raft/src/membership.rs
@@ -197,7 +197,9 @@
             .peers
             .get(&id)
             .and_then(|peer| peer.last_reply_at);
-        let last_reply_at = last_reply_at.unwrap_or_default().max(leader_state.began_at);
+        let last_reply_at = last_reply_at
+            .unwrap_or_default()
+            .max(leader_state.elected_at);
         id != self.config.id && self.now >= last_reply_at + timeout
     }
 
--- a/crates/raft/src/outbox.rs
+++ b/crates/raft/src/outbox.rs
@@ -17,6 +17,7 @@
     log_token: WriteToken,
     writes: Vec<Write>,
     ready: Vec<Message>,
+    /// Messages that wait until the batch of a token is synced.
     unsent: Vec<(WriteToken, Message)>,
     /// Token and last index of each append that is not synced yet, in order.
     unsynced: Vec<(WriteToken, Index)>,
--- a/crates/raft/src/progress.rs
+++ b/crates/raft/src/progress.rs
@@ -129,7 +129,7 @@
     pub(crate) round_began_at: Duration,
     /// Whether to begin a round with the next output.
     pub(crate) round_due: bool,
-    pub(crate) began_at: Duration,
+    pub(crate) elected_at: Duration,
     /// Index of the term's first entry.
     pub(crate) first_index: Index,
     pub(crate) reads: Vec<PendingRead>,
@@ -145,7 +145,7 @@
             rounds: Rounds::new(now),
             round_began_at: now,
             round_due: true,
-            began_at: now,
+            elected_at: now,
             first_index,
             reads: Vec::new(),
             transfer: None,
--- a/crates/raft/src/replicate.rs
+++ b/crates/raft/src/replicate.rs
@@ -64,7 +64,7 @@
             let peer = leader_state.peers.get(&id).filter(|peer| peer.complete);
             peer.and_then(|peer| peer.last_reply_at).unwrap_or_default()
         });
-        self.now >= last_reply_at.max(leader_state.began_at) + self.config.election_timeout
+        self.now >= last_reply_at.max(leader_state.elected_at) + self.config.election_timeout
     }
 
     /// Sends the heartbeats, entries and snapshot chunks that are due to each member.
@@ -283,7 +283,7 @@
 
     /// Marks this node complete if it is a learner and has all committed entries.
     ///
-    /// An incarnation that is still a learner then was never a voter, so no earlier promise of it can have been lost.
+    /// An incarnation that is still a learner then was never a voter, so it can't have lost a vote or an acknowledgement.
     fn mark_complete_once_joined(&mut self, match_index: Index, leader_commit: Index) {
         let is_learner = self.log.membership().is_learner(self.config.id);
         if !self.complete && is_learner && match_index >= leader_commit {
--- a/crates/raft/src/transfer.rs
+++ b/crates/raft/src/transfer.rs
@@ -19,7 +19,7 @@
 impl Node {
     /// Starts a leadership transfer: refuses proposals, waits until voter `to` has the whole log, then tells it to campaign.
     ///
-    /// If the successor has not taken over within the election timeout, the transfer is aborted.
+    /// If the successor has not taken over within the election timeout, this node aborts the transfer.
     ///
     /// # Errors
     ///
--- a/crates/raft/tests/raft/simulation/mod.rs
+++ b/crates/raft/tests/raft/simulation/mod.rs
@@ -25,6 +25,7 @@
     pub node: Option<Node>,
     pub disk: PersistentState,
     pending: VecDeque<(WriteToken, Vec<Write>)>,
+    /// Changes at each start and crash, so that events of an earlier run are ignored.
     epoch: u64,
     clock_rate: f64,
     started_at: Duration,
@@ -52,8 +53,10 @@
     pub committed_log: Vec<Entry>,
     state_hashes: Vec<u64>,
     pub leaders: BTreeMap<Term, NodeId>,
+    /// Each appended entry, with the term of its predecessor if known.
     appended: HashMap<(Index, Term), (Term, Entry)>,
     overwritten: Vec<(Term, Index)>,
+    /// Number of committed entries when each read was requested; its result must include them.
     min_read_indices: BTreeMap<u64, Index>,
     pub answered_reads: BTreeSet<u64>,
     pub destroyed: BTreeSet<NodeId>,
