--- a/crates/admission/src/accounts.rs
+++ b/crates/admission/src/accounting.rs
@@ -1,27 +1,27 @@
-//! Keeps account of what each team has had, and measures a share by it.
+//! Tracks team usage and derives the fair share from it.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use crate::ask::Ask;
 use crate::order::Claim;
-use crate::turn::{is_overdue, reference};
+use crate::priority::{is_overdue, reference};
+use crate::request::Ask;
 use crate::usage::Usage;
 
-/// Time for which the measured share is believed; uses fade over two seconds.
+/// Lifetime of a computed fair share; usage decays over two seconds.
 const MEASURE_SHARE_EVERY: Duration = Duration::from_millis(50);
 
-/// Holds what the teams have had before one engine, and what they have used elsewhere.
+/// Usage of each team at one engine and at all other engines.
 #[derive(Debug)]
 pub(crate) struct Accounts {
     usage: Usage,
-    /// What the teams have had here of late.
+    /// Short-term usage at this engine.
     had: Usage,
-    /// What the teams have used at other engines, as it was last told.
+    /// Usage at other engines, as last reported by gateways.
     elsewhere: Usage,
-    /// Use of the team that has used most.
+    /// Highest team usage.
     most_used: f64,
-    /// Use that a team's own is measured against, and until when that is believed.
+    /// Reference that team usage is compared with, and the time until which it is valid.
     share: f64,
     share_until: Duration,
 }
@@ -38,12 +38,12 @@
         }
     }
 
-    /// Notes what an ask tells of its team's use at other engines.
+    /// Records the team's usage at other engines, as stated in a slot request.
     pub(crate) fn heard_elsewhere(&mut self, now: Duration, ask: &Ask) {
         self.elsewhere.set(now, &ask.team, ask.elsewhere_tokens);
     }
 
-    /// Charges a team with a request that is granted.
+    /// Charges a team for a granted request.
     pub(crate) fn charge(&mut self, now: Duration, ask: &Ask) {
         for usage in [&mut self.usage, &mut self.had] {
             usage.add(now, &ask.team, ask.service_tokens());
@@ -51,10 +51,11 @@
         self.share_until = Duration::ZERO;
     }
 
-    /// Charges the team of a request that never began only with what was read for it.
+    /// Refunds a team for a request that never began, except for the tokens prefilled for it.
     ///
-    /// The load pattern: engines end, and the places that are granted before them are given back at once. A team whose shared parts are
-    /// kept there would pay for more than it asks for, and wait at all other engines for service that it never had.
+    /// When engines end, the slots granted on them are released at once. Without a refund a team whose prefixes are
+    /// cached there would be charged more than it asks for, and would wait at all other engines for service that it
+    /// never received.
     pub(crate) fn take_back(
         &mut self,
         now: Duration,
@@ -69,22 +70,22 @@
         self.share_until = Duration::ZERO;
     }
 
-    /// Returns what the teams have used here lately.
+    /// Returns the recent usage at this engine.
     pub(crate) fn usage(&self) -> &Usage {
         &self.usage
     }
 
-    /// Returns the use of the team that has used most, as it was last measured.
+    /// Returns the highest team usage, as last computed.
     pub(crate) fn most_used(&self) -> f64 {
         self.most_used
     }
 
-    /// Returns the use that a team's own is measured against, as it was last measured.
+    /// Returns the fair share reference, as last computed.
     pub(crate) fn share(&self) -> f64 {
         self.share
     }
 
-    /// Measures the share again from time to time, and returns it.
+    /// Recomputes the fair share reference if it has expired, and returns it.
     pub(crate) fn measure_share<'a>(
         &mut self,
         now: Duration,
@@ -92,7 +93,8 @@
     ) -> f64 {
         if self.share_until <= now {
             let mut teams: BTreeSet<&str> = self.usage.teams(now).map(|(team, _)| team).collect();
-            // A team that waits and has had nothing shares as well; without it the only one that is served is within its share.
+            // A waiting team without usage counts as well; otherwise the only team being served would be within its
+            // share.
             for team in waiting {
                 teams.insert(team);
             }
@@ -104,13 +106,13 @@
         self.share
     }
 
-    /// Returns what the team with the most has had here of late.
+    /// Returns the highest short-term usage of a team at this engine.
     pub(crate) fn most_had(&self, now: Duration) -> f64 {
         let had = self.had.teams(now).map(|(_, tokens)| tokens);
         had.fold(0.0, f64::max)
     }
 
-    /// Returns what the order needs to know of a team, by what the one with the most has had of late.
+    /// Returns the usage of a team that decides its order, given the highest short-term usage.
     pub(crate) fn claim(&self, now: Duration, team: &str, most_had: f64) -> Claim {
         let had = self.had.of(now, team);
         Claim {
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Returns what a team has used lately, here and at the other engines.
+    /// Returns the recent usage of a team at all engines.
     fn used(&self, now: Duration, team: &str) -> f64 {
         self.usage.of(now, team) + self.elsewhere.of(now, team)
     }
--- a/crates/admission/src/engine.rs
+++ b/crates/admission/src/engine.rs
@@ -1,46 +1,46 @@
-//! Defines what an admission asks its engine.
+//! Defines the interface between an admission and its engine.
 
-/// Describes one request that an engine runs.
+/// A running request, as the engine reports it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Run {
-    /// Number of the request.
+    /// Identifier of the request.
     pub request_id: Box<str>,
-    /// Tokens that it has in memory: what is read of its prompt, and what is generated.
+    /// Tokens in the KV cache: the prefilled part of the prompt and the generated tokens.
     pub kv_tokens: u32,
-    /// Events that it has made.
+    /// Stream events that the engine has produced for it.
     pub events: u32,
 }
 
-/// Describes what an engine does at a moment.
+/// A snapshot of an engine's state.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Report {
-    /// Unix millisecond of the engine's start; none where it does not say.
+    /// Start time of the engine, in Unix milliseconds, if it reports one.
     pub born_unix_ms: Option<u64>,
-    /// Requests that wait for a place in the batch.
+    /// Requests that wait to join the batch.
     pub queued: u32,
     /// Requests in the batch.
     pub active: u32,
-    /// Tokens in memory that can't yield.
+    /// Tokens in the KV cache that can't be evicted.
     pub kv_used_tokens: u64,
-    /// Tokens that fit its memory; none where it does not say.
+    /// Capacity of the KV cache, in tokens, if the engine reports it.
     pub kv_total_tokens: Option<u64>,
-    /// Requests that run; empty where the engine doesn't list them.
+    /// Running requests; empty if the engine doesn't list them.
     pub runs: Vec<Run>,
 }
 
-/// Says what became of a question to an engine.
+/// The outcome of polling an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Answer {
-    /// It answered.
+    /// The engine replied.
     Report(Report),
-    /// Nothing listens at its address.
+    /// Nothing listens at the engine's address.
     Gone,
-    /// There is no answer, which does not tell whether it runs.
+    /// There was no reply, which doesn't tell whether the engine runs.
     Silent,
 }
 
-/// Asks an engine; the admission's edge towards the wire.
+/// An engine that can be polled; implemented by the platform on top of its wire protocol.
 pub trait Engine: Send + Sync + 'static {
-    /// Asks what the engine does now.
+    /// Polls the engine for its current state.
     fn report(&self) -> impl Future<Output = Answer> + Send;
 }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,25 +1,25 @@
-//! Runs the admission role: it stands beside one model engine and says which request is sent to it next.
+//! Schedules the requests that are sent to one model engine.
 //!
-//! Engines take requests as they come and know no teams. So a gateway asks here before it sends: [`Admission`] is the
-//! queue, without any I/O, and [`Server`] serves it. The answers don't pass through here; a gateway that can't reach the
-//! admission sends unasked.
+//! Engines accept requests in order of arrival and know nothing of teams, so a gateway asks the engine's admission
+//! for a slot before it sends a request. [`AdmissionQueue`] decides, without any I/O, and [`Server`] exposes it to
+//! gateways. Responses don't pass through the admission; a gateway that can't reach it sends requests without a slot.
 
-mod accounts;
-mod ask;
-mod asks;
-mod cache;
+mod accounting;
 mod engine;
 mod order;
-mod pace;
+mod prefill_rate;
+mod prefix_cache;
+mod priority;
 mod queue;
-mod serve;
-mod turn;
+mod request;
+mod server;
+mod session;
 mod usage;
 
-pub use ask::{Ask, AskId, Decision, Load, RefusalCause, Rules};
-pub use cache::Cache;
 pub use engine::{Answer, Engine, Report, Run};
-pub use pace::Pace;
+pub use prefill_rate::Pace;
+pub use prefix_cache::Cache;
 pub use queue::Admission;
-pub use serve::{ASKS_PATH, LOAD_PATH, Server};
+pub use request::{Ask, AskId, Decision, Load, RefusalCause, Rules};
+pub use server::{ASKS_PATH, LOAD_PATH, Server};
 pub use usage::Usage;
--- a/crates/admission/src/order.rs
+++ b/crates/admission/src/order.rs
@@ -1,15 +1,16 @@
-//! Puts the asks that wait before an engine into the order of their turns.
+//! Orders the requests that wait for a slot at one engine.
 //!
-//! Streams that go on come first, then teams within their share by rank, then those above it, of which one that has had far less
-//! of late goes first; among these the team with the least use lately at all engines, then the ask whose budget ends first.
+//! Streams to continue come first. Then come teams within their fair share, by rank, and then teams above it; among
+//! the latter an underserved team goes first. Ties go to the team with the lowest recent usage across all engines,
+//! then to the request with the earliest deadline.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-use crate::ask::{Ask, AskId};
-use crate::turn::{precedence, step_of, step_tokens};
+use crate::priority::{precedence, step_of, step_tokens};
+use crate::request::{Ask, AskId};
 
-/// Holds an ask that waits.
+/// A request that waits for a slot.
 #[derive(Debug)]
 pub(crate) struct Waiting {
     pub(crate) id: AskId,
@@ -17,18 +18,20 @@
     pub(crate) since: Duration,
 }
 
-/// Tells what the order needs to know of a team.
+/// The usage of a team that decides the order of its requests.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Claim {
-    /// What it has used lately at all engines, in tokens.
+    /// Recent usage at all engines, in tokens.
     pub(crate) used: f64,
-    /// What it has had here of late, where that is far less than another team; the one with the least is the most overdue.
+    /// Short-term usage at this engine, in tokens, if it is far below that of another team. The team with the lowest
+    /// value is the most underserved.
     pub(crate) overdue_at: Option<f64>,
 }
 
-/// Returns the places of the waiting asks in the order of their turns, by the claims of their teams and the use of a share.
+/// Returns the indices of the waiting requests in scheduling order.
 ///
-/// Each turn adds to its team's use, so that a team with many asks does not take all the turns at once.
+/// Each request placed adds to its team's usage, so that a team with many requests doesn't take all the first
+/// positions.
 pub(crate) fn order_of(
     waiting: &[Waiting],
     share: f64,
--- a/crates/admission/src/pace.rs
+++ b/crates/admission/src/prefill_rate.rs
@@ -1,30 +1,32 @@
-//! Measures how fast an engine reads prompts while others are answered beside them.
+//! Estimates an engine's prefill rate while it decodes other requests.
 
 use std::time::Duration;
 
-/// Time in which an older measurement loses half of its weight; answers last a second or two.
+/// Half-life of older measurements; answers take a second or two.
 const HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// Pace that is assumed at first, in tokens a second: half of what the engines of today read when they do nothing else.
+/// Initial rate, in tokens per second: half of what current engines reach when they do nothing but prefill.
 const FIRST_TOKENS_PER_S: f64 = 25_000.0;
 
-/// Lowest pace that is believed; a stall of the network would otherwise turn every request away.
+/// Lower bound of the estimate, in tokens per second. Without it a network stall would cause every request to be
+/// refused.
 const LOWEST_TOKENS_PER_S: f64 = 12_000.0;
 
-/// Weight of the first assumption, as time.
+/// Weight of the initial rate, as seconds of measurement.
 const FIRST_WEIGHT_S: f64 = 0.2;
 
-/// Measures the pace from how long the engine had tokens to read, and how many it has read.
+/// An exponentially decayed estimate of an engine's prefill rate, from the prefilled tokens and the time the engine
+/// had tokens to prefill.
 #[derive(Debug)]
 pub struct Pace {
     tokens: f64,
     busy_s: f64,
-    /// Since when tokens wait without a break in the measurement.
+    /// Start of the current busy interval that isn't yet measured.
     busy_since: Option<Duration>,
 }
 
 impl Pace {
-    /// Starts with the assumed pace.
+    /// Creates an estimate with the initial rate.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -34,12 +36,12 @@
         }
     }
 
-    /// Notes that the engine has tokens to read from now on.
+    /// Starts a busy interval, unless one is open.
     pub fn busy(&mut self, now: Duration) {
         self.busy_since.get_or_insert(now);
     }
 
-    /// Notes that a prompt was read, and whether more wait.
+    /// Records prefilled tokens; `has_more` tells whether other tokens still await prefill.
     pub fn read(&mut self, now: Duration, tokens: u32, has_more: bool) {
         let Some(since) = self.busy_since else {
             return;
@@ -51,14 +53,14 @@
         self.busy_since = has_more.then_some(now);
     }
 
-    /// Returns the pace in tokens a millisecond.
+    /// Returns the rate in tokens per millisecond.
     #[must_use]
     pub fn per_ms(&self) -> u64 {
         let time = self.time_for(1_000_000).as_millis().max(1);
         u64::try_from(1_000_000 / time).unwrap_or(u64::MAX)
     }
 
-    /// Returns how long the engine needs for some tokens.
+    /// Returns the time that the engine needs to prefill some tokens.
     #[must_use]
     pub fn time_for(&self, tokens: u64) -> Duration {
         let pace = (self.tokens / self.busy_s.max(f64::EPSILON)).max(LOWEST_TOKENS_PER_S);
--- a/crates/admission/src/cache.rs
+++ b/crates/admission/src/prefix_cache.rs
@@ -1,8 +1,8 @@
-//! Models what an engine keeps of the prompts that it has read.
+//! Models which shared prompt prefixes an engine keeps in its KV cache.
 
 use std::collections::{BTreeMap, HashMap};
 
-/// Shared parts whose last use is remembered, at most; far more than fit any engine's memory.
+/// Maximum number of tracked prefixes; far more than fit any engine's KV cache.
 const MAX_PARTS: usize = 65_536;
 
 #[derive(Debug, Clone, Copy)]
@@ -11,19 +11,19 @@
     last_use: u64,
 }
 
-/// Holds the parts that an engine should still keep: the least recently used ones yield.
+/// A model of an engine's prefix cache with LRU eviction.
 #[derive(Debug)]
 pub struct Cache {
     capacity_tokens: u64,
     kept_tokens: u64,
     parts: HashMap<u64, Kept>,
-    /// Parts by their last use.
+    /// Keys by time of last use.
     by_use: BTreeMap<u64, u64>,
     uses: u64,
 }
 
 impl Cache {
-    /// Creates the model of an empty cache.
+    /// Creates an empty cache.
     #[must_use]
     pub fn new(capacity_tokens: u64) -> Self {
         Self {
@@ -35,18 +35,19 @@
         }
     }
 
-    /// Takes in how many tokens fit the memory; what does not fit yields at the next use of a part.
+    /// Changes the capacity; entries that no longer fit are evicted at the next [`PrefixCache::touch`].
     pub fn resize(&mut self, capacity_tokens: u64) {
         self.capacity_tokens = capacity_tokens;
     }
 
-    /// Returns whether a part should be kept.
+    /// Returns whether a prefix should be cached.
     #[must_use]
     pub fn holds(&self, key: u64) -> bool {
         self.parts.contains_key(&key)
     }
 
-    /// Notes the use of a part; `running_tokens` of the memory belong to running requests and don't yield.
+    /// Records a use of a prefix and evicts the least recently used entries over the capacity. Running requests
+    /// occupy `running_tokens` of it, which can't be evicted.
     pub fn touch(&mut self, key: u64, tokens: u64, running_tokens: u64) {
         self.uses += 1;
         let last_use = self.uses;
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -1,85 +1,88 @@
-//! Decides which request is sent to an engine next, and which is turned away.
+//! Decides which request is sent to an engine next, and which is refused.
 //!
-//! The load pattern: callers ask for up to several times of what the engines can do, some teams for most of it, and an
-//! engine that takes everything answers everybody late. So the engine gets only as much to read as keeps it busy over a
-//! round trip; the rest waits here, where the order can still change. A request whose turn would come too late to be on time
-//! is turned away at once, with the time at which the queue is expected to be read.
+//! Under overload callers ask for several times what the engines can serve, some teams for most of it, and an engine
+//! that accepts everything serves everyone late. So the engine is granted only enough prompt tokens to stay busy over
+//! a round trip. All other requests wait in the queue, where their order can still change. A request that would start
+//! too late is refused at once, with the time in which the queue is expected to drain.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use smallvec::SmallVec;
 
-use crate::accounts::Accounts;
-use crate::ask::{Ask, AskId, Decision, Load, RefusalCause, Rules};
-use crate::cache::Cache;
+use crate::accounting::Accounts;
 use crate::engine::{Report, Run};
 use crate::order::{Claim, Waiting, order_of};
-use crate::pace::Pace;
-use crate::turn::turn_permille;
+use crate::prefill_rate::Pace;
+use crate::prefix_cache::Cache;
+use crate::priority::turn_permille;
+use crate::request::{Ask, AskId, Decision, Load, RefusalCause, Rules};
 use crate::usage::Usage;
 
-/// Time from a prompt's reading to the first piece of its answer that is assumed at first: the steps of one event beside
-/// prompts that are read, and the way back.
+/// Initial estimate of the time from the end of prefill to the first event: the decode steps of one event beside
+/// other prefills, and the way back.
 const FIRST_EVENT: Duration = Duration::from_millis(60);
 
-/// Time for which a request must be missing in the engine's reports before its place is given to others: its last bytes
-/// and the word of its end are on their way for milliseconds.
+/// Time for which a request must be missing from the engine's reports before its slot is released. Its last bytes and
+/// the notice of its end take milliseconds to arrive.
 const GIVE_UP_AFTER: Duration = Duration::from_millis(300);
 
-/// Time after which it counts as lost: a lost packet is sent again within a second.
+/// Time after which a missing request counts as lost; a lost packet is retransmitted within a second.
 const LOST_AFTER: Duration = Duration::from_millis(900);
 
-/// Part of its budget for which one ask of each team stays in the queue though its turn would come too late: an eighth, after which
-/// a refusal still leaves its caller most of the time.
+/// Divisor of the budget that gives how long one late request of each team is kept in the queue before it is refused.
+/// An eighth of the budget leaves the caller most of its time after a refusal.
 ///
-/// The load pattern: two teams far above the others ask for several times what there is, one of them more often. A free place that
-/// goes to whoever asks next goes to that one more often; of those that stay for a moment, the team with the least use is chosen.
+/// When two teams far above the others ask for several times the capacity, a free slot that goes to the next arrival
+/// goes more often to the team that sends more often. Among requests kept for a moment, the team with the lowest
+/// usage is chosen instead.
 const STAY_PART: u32 = 8;
 
-/// Part of its budget for which an ask stays whose team has used far less than the one with the most: it is chosen before that one's.
+/// The same divisor for a team with far less usage than the highest; its request is chosen before those of the team
+/// with the highest.
 const STAY_PART_BEHIND: u32 = 2;
 
-/// Part of the most use below which a team has used far less.
+/// Fraction of the highest usage below which a team has far less usage.
 const FAR_LESS: f64 = 0.75;
 
-/// Longest time for which a team that has used more than its share may keep an engine to itself with one prompt: half of the
-/// time in which an answer has to begin.
+/// Longest prefill time of one prompt with which a team above its fair share may block a contended engine: half of
+/// the time within which an answer has to begin.
 const LONGEST_HOLD: Duration = Duration::from_millis(250);
 
-/// Time for which teams within their share are expected to need an engine again, after one of them had to wait for it: about the
-/// time in which the longest prompts are read.
+/// Time for which teams within their fair share are expected to need the engine again after one of them had to wait
+/// for it: about the prefill time of the longest prompts.
 const CROWDED_FOR: Duration = Duration::from_secs(1);
 
-/// Time from the start for which every shared part is taken for kept. The engine goes on while its admission restarts, and
-/// a queue that took its memory for empty would refuse three times too much; the reports correct what is wrong.
+/// Time after the start during which every shared prefix counts as cached. The engine keeps running while its
+/// admission restarts, and a queue that assumed a cold cache would refuse three times too many requests. Reports
+/// correct wrong assumptions.
 const ASSUME_KEPT: Duration = Duration::from_secs(6);
 
-/// Shortest time after which a caller is asked to come back; a few requests are read in it.
+/// Minimum retry delay; a few requests are prefilled in it.
 pub const SHORTEST_RETRY: Duration = Duration::from_millis(100);
 
-/// When a caller may come back to an engine that is gone; a restart takes a second or more.
+/// Retry delay while the engine is gone; a restart takes a second or more.
 const GONE_RETRY: Duration = Duration::from_millis(500);
 
 #[derive(Debug)]
 struct Running {
     ask: Ask,
-    /// What the engine has read for it.
+    /// Prompt tokens that the engine has prefilled.
     read_tokens: u32,
     unread_tokens: u32,
     kv_tokens: u64,
     granted_at: Duration,
-    /// When it was seen that its prompt is read.
+    /// When a report first showed its prefill complete.
     read_at: Option<Duration>,
-    /// Since when the engine's reports lack it.
+    /// Since when the engine's reports don't list it.
     missing_since: Option<Duration>,
-    /// Whether its answer has begun, so that its prompt is read.
+    /// Whether its answer has begun, which implies that its prefill is complete.
     has_begun: bool,
-    /// Whether its place was given to others because it is missing.
+    /// Whether its slot was released because it is missing from reports.
     is_given_up: bool,
 }
 
-/// Holds the queue before one engine.
+/// The queue of requests that wait for a slot at one engine.
 #[derive(Debug)]
 pub struct Admission {
     rules: Rules,
@@ -87,28 +90,29 @@
     running: HashMap<AskId, Running>,
     unread_tokens: u32,
     running_kv: u64,
-    /// Whether this queue is younger than what its engine may still keep.
+    /// Whether shared prefixes count as cached, because this queue may be younger than the engine's cache.
     is_young: bool,
-    /// When the engine has started that was reported last.
+    /// Start time of the engine in its latest report.
     engine_born_unix_ms: Option<u64>,
-    /// Whether nothing listens at the engine's address, as far as is known.
+    /// Whether nothing listens at the engine's address, as far as known.
     engine_is_gone: bool,
-    /// Whether the engine has started again beside this queue, so that it keeps nothing that this queue does not know.
+    /// Whether the engine has restarted since this queue was created, so that this queue knows everything in its
+    /// cache.
     engine_restarted: bool,
     cache: Cache,
     pace: Pace,
-    /// Time from a prompt's reading to the first piece of its answer.
+    /// Measured time from the end of prefill to the first event.
     first_event: Duration,
-    /// Requests among the running ones whose places were given to others.
+    /// Number of entries of `running` whose slots were released.
     given_up: u32,
     lost: Vec<(AskId, Duration)>,
     accounts: Accounts,
-    /// Until when teams within their share are expected to need the engine.
+    /// Until when teams within their fair share are expected to need the engine.
     crowded_until: Duration,
 }
 
 impl Admission {
-    /// Creates the queue of an engine; times count from here on.
+    /// Creates an empty queue; the `now` of all calls counts from its creation.
     #[must_use]
     pub fn new(rules: Rules) -> Self {
         Self {
@@ -131,7 +135,7 @@
         }
     }
 
-    /// Puts an ask into the queue; [`Admission::decide`] says what becomes of it.
+    /// Adds a request to the queue; [`AdmissionQueue::decide`] returns the decision on it.
     pub fn ask(&mut self, now: Duration, id: AskId, ask: Ask) {
         self.accounts.heard_elsewhere(now, &ask);
         self.waiting.push(Waiting {
@@ -141,7 +145,7 @@
         });
     }
 
-    /// Notes that a granted request has begun to answer.
+    /// Records that the answer to a granted request has begun.
     pub fn began(&mut self, now: Duration, id: AskId) {
         let Some(running) = self.running.get_mut(&id) else {
             return;
@@ -159,7 +163,7 @@
         }
     }
 
-    /// Takes in what the engine reports: how far each prompt is read.
+    /// Applies an engine's report, which tells how far each prompt is prefilled.
     pub fn reported(&mut self, now: Duration, report: &Report) {
         self.engine_is_gone = false;
         self.note_birth(now, report.born_unix_ms);
@@ -177,7 +181,7 @@
             };
             let left = running.ask.prompt_tokens.saturating_sub(run.kv_tokens);
             let left = if run.events > 0 { 0 } else { left };
-            // A part that was taken for kept, and is not, shows here first.
+            // A prefix that was assumed to be cached and isn't shows here first.
             more += left.saturating_sub(running.unread_tokens);
             let read_now = running.unread_tokens.saturating_sub(left);
             read += read_now;
@@ -195,10 +199,11 @@
         }
     }
 
-    /// Forgets what a former start of the engine ran and kept, once another one reports.
+    /// Drops the state of the previous engine process once a report comes from a new one.
     ///
-    /// The load pattern: an engine ends under load and starts again under its name before anyone has missed it. It runs nothing
-    /// and keeps nothing, while its queue would hold all places for requests that are lost and take every part for kept.
+    /// An engine can end under load and restart under the same name before anyone notices. The new process runs
+    /// nothing and has an empty cache, while the queue would still count all its slots as taken and every known
+    /// prefix as cached.
     fn note_birth(&mut self, now: Duration, born_unix_ms: Option<u64>) {
         let Some(born) = born_unix_ms else {
             return;
@@ -221,10 +226,10 @@
         self.pace.read(now, 0, false);
     }
 
-    /// Gives the places of requests to others that the engine does not run any more, though no gateway said so.
+    /// Releases the slots of requests that the engine no longer runs although no gateway reported their end.
     ///
-    /// The load pattern: an endpoint runs requests and their answers are lost, or it drops them without a word. Their
-    /// gateways wait to the deadline, and their places would stay taken beside an idle engine.
+    /// An endpoint may lose the answers or drop requests silently. The gateways then wait until the deadline, and
+    /// without a release the slots would stay taken on an idle engine.
     fn give_up_missing(&mut self, now: Duration, is_listed: impl Fn(&str) -> bool) {
         for (id, running) in &mut self.running {
             if is_listed(&running.ask.request_id) {
@@ -245,12 +250,12 @@
         }
     }
 
-    /// Takes the requests that are lost for certain, with the time since which they are missing.
+    /// Takes the requests that are certainly lost, each with the time for which it has been missing.
     pub fn take_lost(&mut self) -> Vec<(AskId, Duration)> {
         std::mem::take(&mut self.lost)
     }
 
-    /// Notes that the engine did not report; the answers tell how far it is until it does.
+    /// Records that the engine didn't report; until the next report only answers show its progress.
     pub fn not_reported(&mut self) {
         self.engine_is_gone = false;
         for running in self.running.values_mut() {
@@ -258,16 +263,17 @@
         }
     }
 
-    /// Notes that nothing listens at the engine's address: nothing is granted until it answers or is silent.
+    /// Records that nothing listens at the engine's address; no request is granted until a poll ends otherwise.
     ///
-    /// The load pattern: engines end under load while their admissions go on. An empty engine is the best choice of every gateway, so
-    /// a queue that went on granting would draw a large part of all requests to where no connection can be had.
+    /// Engines can end under load while their admissions keep running. Every gateway prefers an empty engine, so a
+    /// queue that kept granting slots would attract a large part of all requests to an engine that accepts no
+    /// connection.
     pub fn engine_gone(&mut self) {
         self.not_reported();
         self.engine_is_gone = true;
     }
 
-    /// Notes that a request has ended, or that its caller no longer waits.
+    /// Records that a request has ended, or that its caller no longer waits.
     pub fn ended(&mut self, now: Duration, id: AskId) {
         self.waiting.retain(|waiting| waiting.id != id);
         let Some(running) = self.running.remove(&id) else {
@@ -285,15 +291,15 @@
         self.unread_tokens -= running.unread_tokens;
         self.running_kv -= running.kv_tokens;
         if running.unread_tokens > 0 {
-            // What was not read tells nothing of the pace, but time goes on for the rest.
+            // Tokens that were never prefilled say nothing about the rate, but the clock runs on for the others.
             self.pace.read(now, 0, self.unread_tokens > 0);
         }
-        // Its own part stays in the engine's memory until it yields.
+        // Its own tokens stay in the engine's KV cache until evicted.
         self.cache
             .touch(own_part(id), running.kv_tokens, self.running_kv);
     }
 
-    /// Decides on the asks that wait.
+    /// Returns the decisions on waiting requests that are due.
     pub fn decide(&mut self, now: Duration) -> Vec<Decision> {
         self.is_young = now < ASSUME_KEPT && !self.engine_restarted;
         if self.engine_is_gone {
@@ -311,7 +317,7 @@
         decisions
     }
 
-    /// Returns the load.
+    /// Returns the load of the engine and this queue.
     #[must_use]
     pub fn load(&self) -> Load {
         let waiting = self.waiting.iter();
@@ -325,31 +331,31 @@
         }
     }
 
-    /// Returns how many tokens the engine reads in a millisecond, as measured.
+    /// Returns the measured prefill rate in tokens per millisecond.
     #[must_use]
     pub fn pace_per_ms(&self) -> u64 {
         self.pace.per_ms()
     }
 
-    /// Returns the measured time from a prompt's reading to the first piece of its answer.
+    /// Returns the measured time from the end of prefill to the first event.
     #[must_use]
     pub fn first_event(&self) -> Duration {
         self.first_event
     }
 
-    /// Returns what the teams have used lately.
+    /// Returns the recent usage of the teams at this engine.
     #[must_use]
     pub fn usage(&self) -> &Usage {
         self.accounts.usage()
     }
 
-    /// Returns whether an ask waits for its turn.
+    /// Returns whether a request still waits for a slot.
     #[must_use]
     pub fn is_queued(&self, id: AskId) -> bool {
         self.waiting.iter().any(|waiting| waiting.id == id)
     }
 
-    /// Returns whether any ask waits.
+    /// Returns whether any request waits.
     #[must_use]
     pub fn is_waiting(&self) -> bool {
         !self.waiting.is_empty()
@@ -374,7 +380,7 @@
         ask.prompt_tokens.saturating_sub(kept)
     }
 
-    /// Refuses the asks whose turn comes too late; the others keep their places.
+    /// Refuses the requests that would start too late and keeps the others.
     fn turn_away(&mut self, now: Duration, decisions: &mut Vec<Decision>) {
         let teams = self.waiting.iter().map(|waiting| &*waiting.ask.team);
         let share = self.accounts.measure_share(now, teams);
@@ -388,18 +394,18 @@
             let own = u64::from(self.tokens_to_read(&waiting.ask));
             let Claim { used, overdue_at } = self.accounts.claim(now, &waiting.ask.team, most_had);
             let is_overdue = overdue_at.is_some();
-            // A turn that is overdue comes as for a team within its share.
+            // An underserved team may wait as long as a team within its fair share.
             let counted = if is_overdue { used.min(share) } else { used };
             let permille = turn_permille(self.rules.turn_permille, counted, share);
             let budget = waiting.ask.budget.saturating_sub(self.first_event);
-            // Nobody else is read while a long prompt is, so that of a team above its share counts in its turn. Any other one
-            // doesn't, or long prompts would be refused whenever there is any load.
+            // No other prompt is prefilled during a long one, so a long prompt of a team above its fair share counts
+            // towards its own wait. Other prompts don't, or long ones would be refused under any load.
             let is_above = used > share;
             let is_long = self.pace.time_for(own) > LONGEST_HOLD;
             let keeps_others_out = is_above && is_long && now < self.crowded_until;
             let before_others = if keeps_others_out { ahead + own } else { ahead };
             let turn = now.saturating_sub(waiting.since) + self.pace.time_for(before_others);
-            // Whoever could go now, goes: the engine must not idle for the sake of a share.
+            // A request that could start now does: fairness must not leave the engine idle.
             let has_room = ahead < u64::from(self.rules.max_unread_tokens);
             let could_go = has_room && !keeps_others_out;
             if !is_above && !has_room {
@@ -436,7 +442,7 @@
         }
     }
 
-    /// Refuses all asks, since the engine is gone.
+    /// Refuses all waiting requests because the engine is gone.
     fn refuse_all(&mut self) -> Vec<Decision> {
         let refused = self.waiting.drain(..).map(|waiting| Decision::Refuse {
             id: waiting.id,
@@ -447,7 +453,7 @@
         refused.collect()
     }
 
-    /// Returns the places of the waiting asks in the order of their turns.
+    /// Returns the indices of the waiting requests in scheduling order.
     fn order(&self, now: Duration) -> Vec<usize> {
         let most_had = self.accounts.most_had(now);
         order_of(&self.waiting, self.accounts.share(), |team| {
@@ -489,7 +495,8 @@
     }
 }
 
-/// Returns a key for a request's own part that no shared part has: those are spread over all numbers.
+/// Returns the cache key of a request's own tokens. It doesn't collide with those of shared prefixes, which are
+/// spread over the whole range.
 fn own_part(id: AskId) -> u64 {
     id
 }
--- a/crates/admission/src/serve.rs
+++ b/crates/admission/src/server.rs
@@ -1,4 +1,4 @@
-//! Serves an admission to the gateways.
+//! Serves an admission queue to gateways.
 
 use std::collections::HashMap;
 use std::io;
@@ -17,31 +17,31 @@
 use tokio::time::{Instant, MissedTickBehavior, interval, timeout};
 use viz::{Body, Request, Router};
 
-use crate::ask::{Ask, AskId, Decision, Rules};
-use crate::asks::{self, Asker, News};
 use crate::engine::{Answer, Engine, Report};
 use crate::queue::Admission;
+use crate::request::{Ask, AskId, Decision, Rules};
+use crate::session::{self, Asker, News};
 
-/// Path of the exchange that carries the asks of one gateway for places.
+/// Path of the exchange over which a gateway requests slots.
 pub const ASKS_PATH: &str = "/v1/asks";
 
-/// Path of a gateway's question for the load.
+/// Path of the exchange over which a gateway follows the load.
 pub const LOAD_PATH: &str = "/v1/load";
 
-/// Time between two looks at the queue when nothing else happens: a turn that can't be on time any more is noticed
-/// within a small part of any budget.
+/// Interval at which the queue is re-evaluated without other events, so that a late request is refused within a small
+/// fraction of any budget.
 const LOOK_EVERY: Duration = Duration::from_millis(20);
 
-/// Longest time between two messages of the load, so that a silent connection is noticed.
+/// Maximum interval between load messages, so that a dead connection is detected.
 const LOAD_AT_LEAST: Duration = Duration::from_millis(500);
 
-/// Time between two lines about the engine.
+/// Interval between log lines about the engine's state.
 const TELL_EVERY: Duration = Duration::from_secs(1);
 
-/// Messages of the load between two that tell the teams' use.
+/// Number of load messages for each one that includes team usage.
 const TEAMS_EVERY: u32 = 4;
 
-/// Part of the largest use below which a team's is not told: an eighth of the steps in which the queue tells teams apart.
+/// Divisor of the highest usage below which a team's usage isn't sent: an eighth of a usage level of the queue.
 const SMALL_PART: f64 = 64.0;
 
 #[derive(Debug)]
@@ -74,7 +74,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes the queue, and answers the asks on which that decides.
+    /// Updates the queue and sends the decisions that follow.
     fn change<T>(&self, act: impl FnOnce(&mut State, Duration) -> T) -> T {
         let now = self.began.elapsed();
         let mut state = self.lock();
@@ -100,7 +100,7 @@
         result
     }
 
-    /// Puts an ask into the queue, and returns its id and whether it waits there for its turn.
+    /// Adds a request to the queue, and returns its identifier and whether it still waits.
     pub(crate) fn ask(&self, ask: Ask, asker: Asker) -> (AskId, bool) {
         let id = self.change(|state, now| {
             let id = state.next_id;
@@ -112,12 +112,12 @@
         (id, self.lock().admission.is_queued(id))
     }
 
-    /// Notes that the answer to a granted ask has begun.
+    /// Records that the answer to a granted request has begun.
     pub(crate) fn began(&self, id: AskId) {
         self.change(|state, now| state.admission.began(now, id));
     }
 
-    /// Ends asks, whether they wait or were granted.
+    /// Ends slot requests, whether waiting or granted.
     pub(crate) fn end(&self, ids: impl ExactSizeIterator<Item = AskId>) {
         if ids.len() == 0 {
             return;
@@ -130,13 +130,13 @@
         });
     }
 
-    /// Returns where it is told that this process stops.
+    /// Returns a receiver that is notified when this process shuts down.
     pub(crate) fn stopping(&self) -> watch::Receiver<bool> {
         self.stopping.subscribe()
     }
 }
 
-/// Holds a running admission.
+/// A running admission server.
 #[derive(Debug)]
 pub struct Server {
     handle: ServerHandle,
@@ -145,13 +145,13 @@
 }
 
 impl Server {
-    /// Binds the address for gateways, and serves.
+    /// Binds the address for gateways and starts serving.
     ///
-    /// With an engine to ask, it is asked at each interval how far it is.
+    /// If an engine is given, it is polled at the given interval.
     ///
     /// # Errors
     ///
-    /// Returns the system's error when the address can't be bound.
+    /// Returns the system's error if the address can't be bound.
     pub async fn bind(
         address: &str,
         rules: Rules,
@@ -190,13 +190,14 @@
         })
     }
 
-    /// Returns the address that was bound.
+    /// Returns the bound address.
     #[must_use]
     pub fn local_address(&self) -> SocketAddr {
         self.handle.local_address()
     }
 
-    /// Stops taking asks, lets those that run end, and returns whether all ended before the deadline.
+    /// Stops accepting slot requests, waits for granted ones to end, and returns whether all ended before the
+    /// deadline.
     pub async fn stop(self, deadline: Duration) -> bool {
         self.shared.stopping.send_replace(true);
         let has_ended = self.handle.stop(deadline).await;
@@ -214,7 +215,7 @@
         .post(ASKS_PATH, move |request: Request| {
             let shared = Arc::clone(&ask_shared);
             let answered = exchange(&ask_key, request, |reader, sender| {
-                asks::serve(shared, reader, sender)
+                session::serve(shared, reader, sender)
             });
             async move { answered }
         })
@@ -227,7 +228,7 @@
         })
 }
 
-/// Looks at the queue from time to time, since turns become late without any event.
+/// Re-evaluates the queue periodically, since waiting requests become late without any event.
 async fn look(shared: Arc<Shared>) {
     let mut ticks = interval(LOOK_EVERY);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -239,7 +240,7 @@
     }
 }
 
-/// Asks the engine how far it is, again and again.
+/// Polls the engine periodically and applies its reports.
 async fn follow_engine(engine: impl Engine, report_interval: Duration, shared: Arc<Shared>) {
     let mut ticks = interval(report_interval);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -276,7 +277,7 @@
     }
 }
 
-/// Writes what is believed of the engine beside what it says.
+/// Logs the queue's estimates beside the engine's own figures.
 fn tell_engine(shared: &Shared, report: &Report) {
     let (load, pace, first_event) = {
         let state = shared.lock();
@@ -301,13 +302,13 @@
     );
 }
 
-/// Waits until this process stops.
+/// Waits until this process shuts down.
 pub(crate) async fn stopped(stopping: &mut watch::Receiver<bool>) {
-    // A sender that is gone means the same.
+    // A dropped sender means shutdown as well.
     let _told_or_gone = stopping.wait_for(|is_stopping| *is_stopping).await;
 }
 
-/// Tells a gateway the load whenever it has changed.
+/// Sends the load to a gateway whenever it has changed.
 async fn tell_load(shared: Arc<Shared>, mut reader: FrameReader<Body>, sender: FrameSender) {
     let Ok(Some(ask)) = reader.next::<AskLoad>().await else {
         return;
--- a/crates/admission/src/asks.rs
+++ b/crates/admission/src/session.rs
@@ -1,4 +1,4 @@
-//! Serves the asks of one gateway, all of them over one exchange.
+//! Serves the slot requests of one gateway over a single exchange.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,36 +13,37 @@
 use tokio::sync::mpsc;
 use viz::Body;
 
-use crate::ask::{Ask, AskId, Decision, RefusalCause};
-use crate::serve::{Shared, load, millis, stopped};
+use crate::request::{Ask, AskId, Decision, RefusalCause};
+use crate::server::{Shared, load, millis, stopped};
 
-/// Says what a gateway is told of an ask.
+/// An event to send to the gateway about one slot request.
 #[derive(Debug)]
 pub(crate) enum News {
-    /// It waits for its turn.
+    /// It waits in the queue.
     Queued,
-    /// It is decided.
+    /// It was granted or refused.
     Decided(Decision),
-    /// The engine does not run its request any more, and for how long not.
+    /// The engine no longer runs it, with the time for which it has been missing from reports.
     Lost(Duration),
 }
 
-/// Holds who is told what becomes of an ask.
+/// The sender of events about one slot request to its gateway.
 #[derive(Debug, Clone)]
 pub(crate) struct Asker {
     ask: Arc<AdmitAsk>,
-    /// As many words wait here as three for each ask of the gateway, which bounds its requests under way.
+    /// Unbounded, but holds at most three events for each slot request of the gateway, which limits its requests in
+    /// flight.
     news: mpsc::UnboundedSender<(Arc<AdmitAsk>, News)>,
 }
 
 impl Asker {
-    /// Tells the gateway; one that is gone ends its asks by itself.
+    /// Sends an event to the gateway; a gateway that has disconnected ends its slot requests anyway.
     pub(crate) fn tell(&self, news: News) {
         let _gateway_is_gone = self.news.send((Arc::clone(&self.ask), news));
     }
 }
 
-/// Holds the open asks of one gateway, and ends them when it is dropped, however the exchange ended.
+/// The open slot requests of one gateway; dropping it ends them, however the exchange ended.
 struct Asks {
     shared: Arc<Shared>,
     news: mpsc::UnboundedSender<(Arc<AdmitAsk>, News)>,
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Returns the frame that tells the news, and forgets an ask that is refused.
+    /// Returns the frame for an event; a refused request is no longer open after it.
     fn frame(&mut self, ask: &AdmitAsk, news: &News) -> FromAdmission {
         let number = ask.number;
         match news {
@@ -113,7 +114,7 @@
     }
 }
 
-/// Serves the asks of one gateway until its exchange ends; while this process stops, until none of them is open.
+/// Serves one gateway until its exchange ends or, during shutdown, until it has no open slot request.
 pub(crate) async fn serve(shared: Arc<Shared>, mut reader: FrameReader<Body>, sender: FrameSender) {
     let mut stopping = shared.stopping();
     let (news, mut to_tell) = mpsc::unbounded_channel();
--- a/crates/admission/src/usage.rs
+++ b/crates/admission/src/usage.rs
@@ -1,18 +1,18 @@
-//! Counts what each team has used lately.
+//! Counts the recent usage of each team.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Time in which a use loses half of its weight; shares are owed over some four seconds.
+/// Half-life of usage; fair shares are to hold over about four seconds.
 const HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// The same where only the last few requests count: an engine reads about three in it.
+/// Half-life of short-term usage: an engine prefills about three requests in it.
 const SHORT_HALF_LIFE: Duration = Duration::from_millis(500);
 
-/// Use below which a team is forgotten, in tokens.
+/// Usage below which a team is dropped, in tokens.
 const FORGET_BELOW: f64 = 1.0;
 
-/// Teams that are remembered before the smallest ones are forgotten.
+/// Number of teams from which on those with negligible usage are dropped.
 const MANY_TEAMS: usize = 4096;
 
 #[derive(Debug, Clone, Copy)]
@@ -28,7 +28,7 @@
     }
 }
 
-/// Holds the use of the teams, of which older parts count less.
+/// An exponentially decayed count of tokens for each team.
 #[derive(Debug)]
 pub struct Usage {
     teams: HashMap<Box<str>, Used>,
@@ -45,7 +45,7 @@
 }
 
 impl Usage {
-    /// Creates one in which only the last few requests count.
+    /// Creates a counter that covers only the last few requests.
     pub(crate) fn of_late() -> Self {
         Self {
             half_life: SHORT_HALF_LIFE,
@@ -53,14 +53,14 @@
         }
     }
 
-    /// Returns what a team has used lately, in tokens.
+    /// Returns the recent usage of a team, in tokens.
     #[must_use]
     pub fn of(&self, now: Duration, team: &str) -> f64 {
         let used = self.teams.get(team);
         used.map_or(0.0, |used| used.at(now, self.half_life))
     }
 
-    /// Adds to a team's use.
+    /// Adds tokens to a team's usage.
     pub fn add(&mut self, now: Duration, team: &str, tokens: u32) {
         let before = self.of(now, team);
         let used = Used {
@@ -79,7 +79,7 @@
         self.teams.insert(team.into(), used);
     }
 
-    /// Takes tokens off a team's use again that were added at an earlier time.
+    /// Subtracts tokens that were added at an earlier time, decayed since then.
     pub(crate) fn take_back(&mut self, now: Duration, team: &str, tokens: u32, since: Duration) {
         let left = Used {
             tokens: f64::from(tokens),
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Puts a team's use in place of what was counted before.
+    /// Replaces a team's usage.
     pub fn set(&mut self, now: Duration, team: &str, tokens: u64) {
         #[expect(
             clippy::cast_precision_loss,
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Returns the teams that have used anything lately, in no order.
+    /// Returns the teams with recent usage, in no particular order.
     pub fn teams(&self, now: Duration) -> impl Iterator<Item = (&str, f64)> {
         let teams = self.teams.iter();
         teams
