--- a/crates/admission/src/accounting.rs
+++ b/crates/admission/src/accounting.rs
@@ -5,8 +5,8 @@
 
 use crate::order::Claim;
 use crate::priority::{is_overdue, reference};
-use crate::request::Ask;
-use crate::usage::Usage;
+use crate::request::SlotRequest;
+use crate::usage::TeamUsage;
 
 /// Lifetime of a computed fair share; usage decays over two seconds.
 const MEASURE_SHARE_EVERY: Duration = Duration::from_millis(50);
@@ -14,11 +14,11 @@
 /// Usage of each team at one engine and at all other engines.
 #[derive(Debug)]
 pub(crate) struct Accounts {
-    usage: Usage,
+    usage: TeamUsage,
     /// Short-term usage at this engine.
-    had: Usage,
+    had: TeamUsage,
     /// Usage at other engines, as last reported by gateways.
-    elsewhere: Usage,
+    elsewhere: TeamUsage,
     /// Highest team usage.
     most_used: f64,
     /// Reference that team usage is compared with, and the time until which it is valid.
@@ -29,9 +29,9 @@
 impl Accounts {
     pub(crate) fn new() -> Self {
         Self {
-            usage: Usage::default(),
-            had: Usage::of_late(),
-            elsewhere: Usage::default(),
+            usage: TeamUsage::default(),
+            had: TeamUsage::of_late(),
+            elsewhere: TeamUsage::default(),
             most_used: 0.0,
             share: 1.0,
             share_until: Duration::ZERO,
@@ -39,12 +39,12 @@
     }
 
     /// Records the team's usage at other engines, as stated in a slot request.
-    pub(crate) fn heard_elsewhere(&mut self, now: Duration, ask: &Ask) {
+    pub(crate) fn heard_elsewhere(&mut self, now: Duration, ask: &SlotRequest) {
         self.elsewhere.set(now, &ask.team, ask.elsewhere_tokens);
     }
 
     /// Charges a team for a granted request.
-    pub(crate) fn charge(&mut self, now: Duration, ask: &Ask) {
+    pub(crate) fn charge(&mut self, now: Duration, ask: &SlotRequest) {
         for usage in [&mut self.usage, &mut self.had] {
             usage.add(now, &ask.team, ask.service_tokens());
         }
@@ -59,7 +59,7 @@
     pub(crate) fn take_back(
         &mut self,
         now: Duration,
-        ask: &Ask,
+        ask: &SlotRequest,
         read_tokens: u32,
         granted_at: Duration,
     ) {
@@ -71,7 +71,7 @@
     }
 
     /// Returns the recent usage at this engine.
-    pub(crate) fn usage(&self) -> &Usage {
+    pub(crate) fn usage(&self) -> &TeamUsage {
         &self.usage
     }
 
@@ -114,7 +114,7 @@
 
     /// Returns the usage of a team that decides its order, given the highest short-term usage.
     pub(crate) fn claim(&self, now: Duration, team: &str, most_had: f64) -> Claim {
-        let had = self.had.of(now, team);
+        let had = self.had.tokens(now, team);
         Claim {
             used: self.used(now, team),
             overdue_at: is_overdue(had, most_had).then_some(had),
@@ -123,6 +123,6 @@
 
     /// Returns the recent usage of a team at all engines.
     fn used(&self, now: Duration, team: &str) -> f64 {
-        self.usage.of(now, team) + self.elsewhere.of(now, team)
+        self.usage.tokens(now, team) + self.elsewhere.tokens(now, team)
     }
 }
--- a/crates/admission/src/engine.rs
+++ b/crates/admission/src/engine.rs
@@ -2,7 +2,7 @@
 
 /// A running request, as the engine reports it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Run {
+pub struct EngineRequest {
     /// Identifier of the request.
     pub request_id: Box<str>,
     /// Tokens in the KV cache: the prefilled part of the prompt and the generated tokens.
@@ -13,9 +13,9 @@
 
 /// A snapshot of an engine's state.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Report {
+pub struct EngineReport {
     /// Start time of the engine, in Unix milliseconds, if it reports one.
-    pub born_unix_ms: Option<u64>,
+    pub started_unix_ms: Option<u64>,
     /// Requests that wait to join the batch.
     pub queued: u32,
     /// Requests in the batch.
@@ -25,14 +25,14 @@
     /// Capacity of the KV cache, in tokens, if the engine reports it.
     pub kv_total_tokens: Option<u64>,
     /// Running requests; empty if the engine doesn't list them.
-    pub runs: Vec<Run>,
+    pub requests: Vec<EngineRequest>,
 }
 
 /// The outcome of polling an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Answer {
+pub enum ReportOutcome {
     /// The engine replied.
-    Report(Report),
+    Report(EngineReport),
     /// Nothing listens at the engine's address.
     Gone,
     /// There was no reply, which doesn't tell whether the engine runs.
@@ -42,5 +42,5 @@
 /// An engine that can be polled; implemented by the platform on top of its wire protocol.
 pub trait Engine: Send + Sync + 'static {
     /// Polls the engine for its current state.
-    fn report(&self) -> impl Future<Output = Answer> + Send;
+    fn fetch_report(&self) -> impl Future<Output = ReportOutcome> + Send;
 }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -16,10 +16,10 @@
 mod session;
 mod usage;
 
-pub use engine::{Answer, Engine, Report, Run};
-pub use prefill_rate::Pace;
-pub use prefix_cache::Cache;
-pub use queue::Admission;
-pub use request::{Ask, AskId, Decision, Load, RefusalCause, Rules};
+pub use engine::{Engine, EngineReport, EngineRequest, ReportOutcome};
+pub use prefill_rate::PrefillRate;
+pub use prefix_cache::PrefixCache;
+pub use queue::AdmissionQueue;
+pub use request::{Decision, Load, QueueLimits, RefusalCause, SlotRequest, SlotRequestId};
 pub use server::{ASKS_PATH, LOAD_PATH, Server};
-pub use usage::Usage;
+pub use usage::TeamUsage;
--- a/crates/admission/src/order.rs
+++ b/crates/admission/src/order.rs
@@ -8,13 +8,13 @@
 use std::time::Duration;
 
 use crate::priority::{precedence, step_of, step_tokens};
-use crate::request::{Ask, AskId};
+use crate::request::{SlotRequest, SlotRequestId};
 
 /// A request that waits for a slot.
 #[derive(Debug)]
 pub(crate) struct Waiting {
-    pub(crate) id: AskId,
-    pub(crate) ask: Ask,
+    pub(crate) id: SlotRequestId,
+    pub(crate) ask: SlotRequest,
     pub(crate) since: Duration,
 }
 
@@ -70,14 +70,14 @@
     places.min_by(|(_, a), (_, b)| {
         let (a, b) = (&waiting[*a], &waiting[*b]);
         let by_precedence = {
-            let precedence = |ask: &Ask| {
+            let precedence = |ask: &SlotRequest| {
                 let claim = claims[&*ask.team];
                 precedence(ask.rank, claim.used, share, claim.overdue_at)
             };
             precedence(&a.ask).cmp(&precedence(&b.ask))
         };
         let by_use = {
-            let step = |ask: &Ask| step_of(claims[&*ask.team].used, step_tokens);
+            let step = |ask: &SlotRequest| step_of(claims[&*ask.team].used, step_tokens);
             step(&a.ask).cmp(&step(&b.ask))
         };
         let (a_ends, b_ends) = (a.since + a.ask.budget, b.since + b.ask.budget);
--- a/crates/admission/src/prefill_rate.rs
+++ b/crates/admission/src/prefill_rate.rs
@@ -18,14 +18,14 @@
 /// An exponentially decayed estimate of an engine's prefill rate, from the prefilled tokens and the time the engine
 /// had tokens to prefill.
 #[derive(Debug)]
-pub struct Pace {
+pub struct PrefillRate {
     tokens: f64,
     busy_s: f64,
     /// Start of the current busy interval that isn't yet measured.
     busy_since: Option<Duration>,
 }
 
-impl Pace {
+impl PrefillRate {
     /// Creates an estimate with the initial rate.
     #[must_use]
     pub fn new() -> Self {
@@ -37,12 +37,12 @@
     }
 
     /// Starts a busy interval, unless one is open.
-    pub fn busy(&mut self, now: Duration) {
+    pub fn start(&mut self, now: Duration) {
         self.busy_since.get_or_insert(now);
     }
 
     /// Records prefilled tokens; `has_more` tells whether other tokens still await prefill.
-    pub fn read(&mut self, now: Duration, tokens: u32, has_more: bool) {
+    pub fn record(&mut self, now: Duration, tokens: u32, has_more: bool) {
         let Some(since) = self.busy_since else {
             return;
         };
@@ -55,7 +55,7 @@
 
     /// Returns the rate in tokens per millisecond.
     #[must_use]
-    pub fn per_ms(&self) -> u64 {
+    pub fn tokens_per_ms(&self) -> u64 {
         let time = self.time_for(1_000_000).as_millis().max(1);
         u64::try_from(1_000_000 / time).unwrap_or(u64::MAX)
     }
@@ -73,7 +73,7 @@
     }
 }
 
-impl Default for Pace {
+impl Default for PrefillRate {
     fn default() -> Self {
         Self::new()
     }
--- a/crates/admission/src/prefix_cache.rs
+++ b/crates/admission/src/prefix_cache.rs
@@ -13,7 +13,7 @@
 
 /// A model of an engine's prefix cache with LRU eviction.
 #[derive(Debug)]
-pub struct Cache {
+pub struct PrefixCache {
     capacity_tokens: u64,
     kept_tokens: u64,
     parts: HashMap<u64, Kept>,
@@ -22,7 +22,7 @@
     uses: u64,
 }
 
-impl Cache {
+impl PrefixCache {
     /// Creates an empty cache.
     #[must_use]
     pub fn new(capacity_tokens: u64) -> Self {
@@ -42,7 +42,7 @@
 
     /// Returns whether a prefix should be cached.
     #[must_use]
-    pub fn holds(&self, key: u64) -> bool {
+    pub fn contains(&self, key: u64) -> bool {
         self.parts.contains_key(&key)
     }
 
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -11,13 +11,13 @@
 use smallvec::SmallVec;
 
 use crate::accounting::Accounts;
-use crate::engine::{Report, Run};
+use crate::engine::{EngineReport, EngineRequest};
 use crate::order::{Claim, Waiting, order_of};
-use crate::prefill_rate::Pace;
-use crate::prefix_cache::Cache;
+use crate::prefill_rate::PrefillRate;
+use crate::prefix_cache::PrefixCache;
 use crate::priority::turn_permille;
-use crate::request::{Ask, AskId, Decision, Load, RefusalCause, Rules};
-use crate::usage::Usage;
+use crate::request::{Decision, Load, QueueLimits, RefusalCause, SlotRequest, SlotRequestId};
+use crate::usage::TeamUsage;
 
 /// Initial estimate of the time from the end of prefill to the first event: the decode steps of one event beside
 /// other prefills, and the way back.
@@ -66,7 +66,7 @@
 
 #[derive(Debug)]
 struct Running {
-    ask: Ask,
+    ask: SlotRequest,
     /// Prompt tokens that the engine has prefilled.
     read_tokens: u32,
     unread_tokens: u32,
@@ -84,10 +84,10 @@
 
 /// The queue of requests that wait for a slot at one engine.
 #[derive(Debug)]
-pub struct Admission {
-    rules: Rules,
+pub struct AdmissionQueue {
+    rules: QueueLimits,
     waiting: Vec<Waiting>,
-    running: HashMap<AskId, Running>,
+    running: HashMap<SlotRequestId, Running>,
     unread_tokens: u32,
     running_kv: u64,
     /// Whether shared prefixes count as cached, because this queue may be younger than the engine's cache.
@@ -99,24 +99,24 @@
     /// Whether the engine has restarted since this queue was created, so that this queue knows everything in its
     /// cache.
     engine_restarted: bool,
-    cache: Cache,
-    pace: Pace,
+    cache: PrefixCache,
+    pace: PrefillRate,
     /// Measured time from the end of prefill to the first event.
     first_event: Duration,
     /// Number of entries of `running` whose slots were released.
     given_up: u32,
-    lost: Vec<(AskId, Duration)>,
+    lost: Vec<(SlotRequestId, Duration)>,
     accounts: Accounts,
     /// Until when teams within their fair share are expected to need the engine.
     crowded_until: Duration,
 }
 
-impl Admission {
+impl AdmissionQueue {
     /// Creates an empty queue; the `now` of all calls counts from its creation.
     #[must_use]
-    pub fn new(rules: Rules) -> Self {
+    pub fn new(rules: QueueLimits) -> Self {
         Self {
-            cache: Cache::new(rules.kv_tokens),
+            cache: PrefixCache::new(rules.kv_tokens),
             rules,
             waiting: Vec::new(),
             running: HashMap::new(),
@@ -126,7 +126,7 @@
             engine_born_unix_ms: None,
             engine_is_gone: false,
             engine_restarted: false,
-            pace: Pace::new(),
+            pace: PrefillRate::new(),
             first_event: FIRST_EVENT,
             given_up: 0,
             lost: Vec::new(),
@@ -136,7 +136,7 @@
     }
 
     /// Adds a request to the queue; [`AdmissionQueue::decide`] returns the decision on it.
-    pub fn ask(&mut self, now: Duration, id: AskId, ask: Ask) {
+    pub fn enqueue(&mut self, now: Duration, id: SlotRequestId, ask: SlotRequest) {
         self.accounts.heard_elsewhere(now, &ask);
         self.waiting.push(Waiting {
             id,
@@ -146,7 +146,7 @@
     }
 
     /// Records that the answer to a granted request has begun.
-    pub fn began(&mut self, now: Duration, id: AskId) {
+    pub fn answer_began(&mut self, now: Duration, id: SlotRequestId) {
         let Some(running) = self.running.get_mut(&id) else {
             return;
         };
@@ -159,23 +159,24 @@
         running.read_tokens += tokens;
         if tokens > 0 {
             self.unread_tokens -= tokens;
-            self.pace.read(now, tokens, self.unread_tokens > 0);
+            self.pace.record(now, tokens, self.unread_tokens > 0);
         }
     }
 
     /// Applies an engine's report, which tells how far each prompt is prefilled.
-    pub fn reported(&mut self, now: Duration, report: &Report) {
+    pub fn apply_report(&mut self, now: Duration, report: &EngineReport) {
         self.engine_is_gone = false;
-        self.note_birth(now, report.born_unix_ms);
+        self.note_birth(now, report.started_unix_ms);
         if let Some(kv_tokens) = report.kv_total_tokens.filter(|tokens| *tokens > 0) {
             self.rules.kv_tokens = kv_tokens;
             self.cache.resize(kv_tokens);
         }
-        let runs = report.runs.iter();
-        let runs: HashMap<&str, &Run> = runs.map(|run| (&*run.request_id, run)).collect();
+        let requests = report.requests.iter();
+        let requests: HashMap<&str, &EngineRequest> =
+            requests.map(|run| (&*run.request_id, run)).collect();
         let (mut read, mut more) = (0, 0);
         for running in self.running.values_mut() {
-            let run = runs.get(&*running.ask.request_id);
+            let run = requests.get(&*running.ask.request_id);
             let Some(run) = run.filter(|_| !running.has_begun && !running.is_given_up) else {
                 continue;
             };
@@ -192,9 +193,9 @@
             }
         }
         self.unread_tokens = self.unread_tokens + more - read;
-        self.pace.read(now, read, self.unread_tokens > 0);
-        let is_listed = |id: &str| runs.contains_key(id);
-        if report.queued == 0 && report.active as usize == report.runs.len() {
+        self.pace.record(now, read, self.unread_tokens > 0);
+        let is_listed = |id: &str| requests.contains_key(id);
+        if report.queued == 0 && report.active as usize == report.requests.len() {
             self.give_up_missing(now, is_listed);
         }
     }
@@ -204,8 +205,8 @@
     /// An engine can end under load and restart under the same name before anyone notices. The new process runs
     /// nothing and has an empty cache, while the queue would still count all its slots as taken and every known
     /// prefix as cached.
-    fn note_birth(&mut self, now: Duration, born_unix_ms: Option<u64>) {
-        let Some(born) = born_unix_ms else {
+    fn note_birth(&mut self, now: Duration, started_unix_ms: Option<u64>) {
+        let Some(born) = started_unix_ms else {
             return;
         };
         let before = self.engine_born_unix_ms.replace(born);
@@ -213,7 +214,7 @@
             return;
         }
         self.engine_restarted = true;
-        self.cache = Cache::new(self.rules.kv_tokens);
+        self.cache = PrefixCache::new(self.rules.kv_tokens);
         for (id, running) in &mut self.running {
             if !running.is_given_up {
                 running.is_given_up = true;
@@ -223,7 +224,7 @@
             }
             self.lost.push((*id, Duration::ZERO));
         }
-        self.pace.read(now, 0, false);
+        self.pace.record(now, 0, false);
     }
 
     /// Releases the slots of requests that the engine no longer runs although no gateway reported their end.
@@ -251,12 +252,12 @@
     }
 
     /// Takes the requests that are certainly lost, each with the time for which it has been missing.
-    pub fn take_lost(&mut self) -> Vec<(AskId, Duration)> {
+    pub fn take_lost(&mut self) -> Vec<(SlotRequestId, Duration)> {
         std::mem::take(&mut self.lost)
     }
 
     /// Records that the engine didn't report; until the next report only answers show its progress.
-    pub fn not_reported(&mut self) {
+    pub fn engine_silent(&mut self) {
         self.engine_is_gone = false;
         for running in self.running.values_mut() {
             running.read_at = None;
@@ -269,12 +270,12 @@
     /// queue that kept granting slots would attract a large part of all requests to an engine that accepts no
     /// connection.
     pub fn engine_gone(&mut self) {
-        self.not_reported();
+        self.engine_silent();
         self.engine_is_gone = true;
     }
 
     /// Records that a request has ended, or that its caller no longer waits.
-    pub fn ended(&mut self, now: Duration, id: AskId) {
+    pub fn request_ended(&mut self, now: Duration, id: SlotRequestId) {
         self.waiting.retain(|waiting| waiting.id != id);
         let Some(running) = self.running.remove(&id) else {
             return;
@@ -292,7 +293,7 @@
         self.running_kv -= running.kv_tokens;
         if running.unread_tokens > 0 {
             // Tokens that were never prefilled say nothing about the rate, but the clock runs on for the others.
-            self.pace.read(now, 0, self.unread_tokens > 0);
+            self.pace.record(now, 0, self.unread_tokens > 0);
         }
         // Its own tokens stay in the engine's KV cache until evicted.
         self.cache
@@ -333,31 +334,31 @@
 
     /// Returns the measured prefill rate in tokens per millisecond.
     #[must_use]
-    pub fn pace_per_ms(&self) -> u64 {
-        self.pace.per_ms()
+    pub fn prefill_tokens_per_ms(&self) -> u64 {
+        self.pace.tokens_per_ms()
     }
 
     /// Returns the measured time from the end of prefill to the first event.
     #[must_use]
-    pub fn first_event(&self) -> Duration {
+    pub fn first_event_delay(&self) -> Duration {
         self.first_event
     }
 
     /// Returns the recent usage of the teams at this engine.
     #[must_use]
-    pub fn usage(&self) -> &Usage {
+    pub fn usage(&self) -> &TeamUsage {
         self.accounts.usage()
     }
 
     /// Returns whether a request still waits for a slot.
     #[must_use]
-    pub fn is_queued(&self, id: AskId) -> bool {
+    pub fn is_queued(&self, id: SlotRequestId) -> bool {
         self.waiting.iter().any(|waiting| waiting.id == id)
     }
 
     /// Returns whether any request waits.
     #[must_use]
-    pub fn is_waiting(&self) -> bool {
+    pub fn has_waiting(&self) -> bool {
         !self.waiting.is_empty()
     }
 
@@ -372,10 +373,10 @@
         u32::try_from(self.running.len()).unwrap_or(u32::MAX) - self.given_up
     }
 
-    fn tokens_to_read(&self, ask: &Ask) -> u32 {
+    fn tokens_to_read(&self, ask: &SlotRequest) -> u32 {
         let kept = ask
-            .shared
-            .filter(|(key, _)| self.is_young || self.cache.holds(*key));
+            .shared_prefix
+            .filter(|(key, _)| self.is_young || self.cache.contains(*key));
         let kept = kept.map_or(0, |(_, tokens)| tokens);
         ask.prompt_tokens.saturating_sub(kept)
     }
@@ -396,7 +397,7 @@
             let is_overdue = overdue_at.is_some();
             // An underserved team may wait as long as a team within its fair share.
             let counted = if is_overdue { used.min(share) } else { used };
-            let permille = turn_permille(self.rules.turn_permille, counted, share);
+            let permille = turn_permille(self.rules.max_wait_permille, counted, share);
             let budget = waiting.ask.budget.saturating_sub(self.first_event);
             // No other prompt is prefilled during a long one, so a long prompt of a team above its fair share counts
             // towards its own wait. Other prompts don't, or long ones would be refused under any load.
@@ -465,16 +466,16 @@
         let Waiting { id, ask, since } = next;
         let ahead_tokens = self.unread_tokens;
         let unread_tokens = self.tokens_to_read(&ask);
-        let shared_tokens = ask.shared.map_or(0, |(_, tokens)| tokens);
+        let shared_tokens = ask.shared_prefix.map_or(0, |(_, tokens)| tokens);
         let own = ask.prompt_tokens.saturating_sub(shared_tokens);
         let kv_tokens = u64::from(own) + u64::from(ask.answer_tokens);
         self.running_kv += kv_tokens;
-        if let Some((key, tokens)) = ask.shared {
+        if let Some((key, tokens)) = ask.shared_prefix {
             self.cache.touch(key, u64::from(tokens), self.running_kv);
         }
         self.accounts.charge(now, &ask);
         self.unread_tokens += unread_tokens;
-        self.pace.busy(now);
+        self.pace.start(now);
         let running = Running {
             ask,
             read_tokens: 0,
@@ -497,6 +498,6 @@
 
 /// Returns the cache key of a request's own tokens. It doesn't collide with those of shared prefixes, which are
 /// spread over the whole range.
-fn own_part(id: AskId) -> u64 {
+fn own_part(id: SlotRequestId) -> u64 {
     id
 }
--- a/crates/admission/src/request.rs
+++ b/crates/admission/src/request.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 /// Identifier of a slot request, unique within one admission.
-pub type AskId = u64;
+pub type SlotRequestId = u64;
 
 /// Usage weight of a generated token relative to a prompt token, the same as in the throughput tables.
 const ANSWER_WEIGHT: u32 = 2;
 
 /// The limits of an admission queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Rules {
+pub struct QueueLimits {
     /// Maximum number of granted prompt tokens awaiting prefill at which another request is still granted.
     pub max_unread_tokens: u32,
     /// Maximum number of requests running on the engine.
@@ -18,12 +18,12 @@
     /// KV cache capacity, in tokens, until the engine reports it.
     pub kv_tokens: u64,
     /// Fraction of its budget that a request may wait, in thousandths.
-    pub turn_permille: u32,
+    pub max_wait_permille: u32,
 }
 
 /// A request for a slot at the engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask {
+pub struct SlotRequest {
     /// Identifier by which the engine's reports name the request.
     pub request_id: Box<str>,
     /// Team of the request; empty if it has none.
@@ -35,7 +35,7 @@
     /// Maximum length of the answer.
     pub answer_tokens: u32,
     /// Key and length in tokens of the prompt's shared prefix.
-    pub shared: Option<(u64, u32)>,
+    pub shared_prefix: Option<(u64, u32)>,
     /// Time, from the arrival here, within which the answer must begin.
     pub budget: Duration,
     /// The team's recent usage at other engines, in tokens.
@@ -48,7 +48,7 @@
     /// The request may be sent to the engine.
     Grant {
         /// Identifier of the slot request.
-        id: AskId,
+        id: SlotRequestId,
         /// Time that it waited.
         waited: Duration,
         /// Prompt tokens of other requests that the engine prefills first.
@@ -57,7 +57,7 @@
     /// The request is refused.
     Refuse {
         /// Identifier of the slot request.
-        id: AskId,
+        id: SlotRequestId,
         /// Time until the queue is expected to have room.
         retry_after: Duration,
         /// Prompt tokens of other requests that the engine would prefill first.
@@ -89,7 +89,7 @@
     pub engine_is_gone: bool,
 }
 
-impl Ask {
+impl SlotRequest {
     /// Returns the usage that the request is charged to its team, in tokens.
     pub(crate) fn service_tokens(&self) -> u32 {
         self.prompt_tokens
--- a/crates/admission/src/server.rs
+++ b/crates/admission/src/server.rs
@@ -17,9 +17,9 @@
 use tokio::time::{Instant, MissedTickBehavior, interval, timeout};
 use viz::{Body, Request, Router};
 
-use crate::engine::{Answer, Engine, Report};
-use crate::queue::Admission;
-use crate::request::{Ask, AskId, Decision, Rules};
+use crate::engine::{Engine, EngineReport, ReportOutcome};
+use crate::queue::AdmissionQueue;
+use crate::request::{Decision, QueueLimits, SlotRequest, SlotRequestId};
 use crate::session::{self, Asker, News};
 
 /// Path of the exchange over which a gateway requests slots.
@@ -46,9 +46,9 @@
 
 #[derive(Debug)]
 struct State {
-    admission: Admission,
-    askers: HashMap<AskId, Asker>,
-    next_id: AskId,
+    admission: AdmissionQueue,
+    askers: HashMap<SlotRequestId, Asker>,
+    next_id: SlotRequestId,
 }
 
 #[derive(Debug)]
@@ -62,7 +62,7 @@
 }
 
 impl State {
-    fn tell(&self, id: AskId, news: News) {
+    fn tell(&self, id: SlotRequestId, news: News) {
         if let Some(asker) = self.askers.get(&id) {
             asker.tell(news);
         }
@@ -101,31 +101,31 @@
     }
 
     /// Adds a request to the queue, and returns its identifier and whether it still waits.
-    pub(crate) fn ask(&self, ask: Ask, asker: Asker) -> (AskId, bool) {
+    pub(crate) fn ask(&self, ask: SlotRequest, asker: Asker) -> (SlotRequestId, bool) {
         let id = self.change(|state, now| {
             let id = state.next_id;
             state.next_id += 1;
             state.askers.insert(id, asker);
-            state.admission.ask(now, id, ask);
+            state.admission.enqueue(now, id, ask);
             id
         });
         (id, self.lock().admission.is_queued(id))
     }
 
     /// Records that the answer to a granted request has begun.
-    pub(crate) fn began(&self, id: AskId) {
-        self.change(|state, now| state.admission.began(now, id));
+    pub(crate) fn began(&self, id: SlotRequestId) {
+        self.change(|state, now| state.admission.answer_began(now, id));
     }
 
     /// Ends slot requests, whether waiting or granted.
-    pub(crate) fn end(&self, ids: impl ExactSizeIterator<Item = AskId>) {
+    pub(crate) fn end(&self, ids: impl ExactSizeIterator<Item = SlotRequestId>) {
         if ids.len() == 0 {
             return;
         }
         self.change(|state, now| {
             for id in ids {
                 state.askers.remove(&id);
-                state.admission.ended(now, id);
+                state.admission.request_ended(now, id);
             }
         });
     }
@@ -154,14 +154,14 @@
     /// Returns the system's error if the address can't be bound.
     pub async fn bind(
         address: &str,
-        rules: Rules,
+        rules: QueueLimits,
         key: &ClusterKey,
         registry: &Registry,
         engine: Option<(impl Engine, Duration)>,
     ) -> io::Result<Self> {
         let shared = Arc::new(Shared {
             state: Mutex::new(State {
-                admission: Admission::new(rules),
+                admission: AdmissionQueue::new(rules),
                 askers: HashMap::new(),
                 next_id: 1,
             }),
@@ -234,7 +234,7 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        if shared.lock().admission.is_waiting() {
+        if shared.lock().admission.has_waiting() {
             shared.change(|_state, _now| ());
         }
     }
@@ -248,17 +248,17 @@
     let mut told_at = Instant::now();
     loop {
         ticks.tick().await;
-        let answer = engine.report().await;
-        if let Answer::Report(report) = &answer
+        let answer = engine.fetch_report().await;
+        if let ReportOutcome::Report(report) = &answer
             && told_at.elapsed() >= TELL_EVERY
         {
             told_at = Instant::now();
             tell_engine(&shared, report);
         }
         let engine_state = match answer {
-            Answer::Report(_) => "answers",
-            Answer::Gone => "gone",
-            Answer::Silent => "silent",
+            ReportOutcome::Report(_) => "answers",
+            ReportOutcome::Gone => "gone",
+            ReportOutcome::Silent => "silent",
         };
         if engine_state != state_before {
             info!(
@@ -270,22 +270,22 @@
             state_before = engine_state;
         }
         shared.change(|state, now| match &answer {
-            Answer::Report(report) => state.admission.reported(now, report),
-            Answer::Gone => state.admission.engine_gone(),
-            Answer::Silent => state.admission.not_reported(),
+            ReportOutcome::Report(report) => state.admission.apply_report(now, report),
+            ReportOutcome::Gone => state.admission.engine_gone(),
+            ReportOutcome::Silent => state.admission.engine_silent(),
         });
     }
 }
 
 /// Logs the queue's estimates beside the engine's own figures.
-fn tell_engine(shared: &Shared, report: &Report) {
+fn tell_engine(shared: &Shared, report: &EngineReport) {
     let (load, pace, first_event) = {
         let state = shared.lock();
         let admission = &state.admission;
         (
             admission.load(),
-            admission.pace_per_ms(),
-            admission.first_event(),
+            admission.prefill_tokens_per_ms(),
+            admission.first_event_delay(),
         )
     };
     info!(
--- a/crates/admission/src/session.rs
+++ b/crates/admission/src/session.rs
@@ -13,7 +13,7 @@
 use tokio::sync::mpsc;
 use viz::Body;
 
-use crate::request::{Ask, AskId, Decision, RefusalCause};
+use crate::request::{Decision, RefusalCause, SlotRequest, SlotRequestId};
 use crate::server::{Shared, load, millis, stopped};
 
 /// An event to send to the gateway about one slot request.
@@ -47,7 +47,7 @@
 struct Asks {
     shared: Arc<Shared>,
     news: mpsc::UnboundedSender<(Arc<AdmitAsk>, News)>,
-    open: HashMap<u64, AskId>,
+    open: HashMap<u64, SlotRequestId>,
 }
 
 impl Drop for Asks {
@@ -140,14 +140,14 @@
     }
 }
 
-fn read_ask(ask: &AdmitAsk) -> Ask {
-    Ask {
+fn read_ask(ask: &AdmitAsk) -> SlotRequest {
+    SlotRequest {
         request_id: ask.request_id.clone(),
         team: ask.team.clone(),
         rank: ask.rank,
         prompt_tokens: ask.prompt_tokens,
         answer_tokens: ask.answer_tokens,
-        shared: (ask.shared_key != 0).then_some((ask.shared_key, ask.shared_tokens)),
+        shared_prefix: (ask.shared_key != 0).then_some((ask.shared_key, ask.shared_tokens)),
         budget: Duration::from_millis(ask.budget_ms),
         elsewhere_tokens: ask.elsewhere_tokens,
     }
--- a/crates/admission/src/usage.rs
+++ b/crates/admission/src/usage.rs
@@ -30,12 +30,12 @@
 
 /// An exponentially decayed count of tokens for each team.
 #[derive(Debug)]
-pub struct Usage {
+pub struct TeamUsage {
     teams: HashMap<Box<str>, Used>,
     half_life: Duration,
 }
 
-impl Default for Usage {
+impl Default for TeamUsage {
     fn default() -> Self {
         Self {
             teams: HashMap::new(),
@@ -44,7 +44,7 @@
     }
 }
 
-impl Usage {
+impl TeamUsage {
     /// Creates a counter that covers only the last few requests.
     pub(crate) fn of_late() -> Self {
         Self {
@@ -55,14 +55,14 @@
 
     /// Returns the recent usage of a team, in tokens.
     #[must_use]
-    pub fn of(&self, now: Duration, team: &str) -> f64 {
+    pub fn tokens(&self, now: Duration, team: &str) -> f64 {
         let used = self.teams.get(team);
         used.map_or(0.0, |used| used.at(now, self.half_life))
     }
 
     /// Adds tokens to a team's usage.
     pub fn add(&mut self, now: Duration, team: &str, tokens: u32) {
-        let before = self.of(now, team);
+        let before = self.tokens(now, team);
         let used = Used {
             tokens: before + f64::from(tokens),
             at: now,
@@ -86,7 +86,7 @@
             at: since,
         }
         .at(now, self.half_life);
-        let before = self.of(now, team);
+        let before = self.tokens(now, team);
         if let Some(known) = self.teams.get_mut(team) {
             *known = Used {
                 tokens: (before - left).max(0.0),
--- a/crates/admission/tests/model/mod.rs
+++ b/crates/admission/tests/model/mod.rs
@@ -6,16 +6,19 @@
 use std::ops::Range;
 use std::time::Duration;
 
-use hinge_admission::{Admission, Ask, AskId, Decision, Load, RefusalCause, Report, Rules};
+use hinge_admission::{
+    AdmissionQueue, Decision, EngineReport, Load, QueueLimits, RefusalCause, SlotRequest,
+    SlotRequestId,
+};
 use hinge_routing::{
     Backlog, Candidate, ChoiceRules, Lag, Room, choose, choose_again, load_interval,
 };
 
-const RULES: Rules = Rules {
+const RULES: QueueLimits = QueueLimits {
     max_unread_tokens: 1_000,
     max_running: 64,
     kv_tokens: 280_000,
-    turn_permille: 700,
+    max_wait_permille: 700,
 };
 
 /// Engines of the model.
@@ -95,13 +98,13 @@
 }
 
 struct Engine {
-    admission: Admission,
-    born_unix_ms: u64,
+    admission: AdmissionQueue,
+    started_unix_ms: u64,
     answers: bool,
     /// Whether its admission can tell that it is gone.
     is_noticed: bool,
-    reading: VecDeque<(AskId, u32)>,
-    answering: VecDeque<(AskId, u64)>,
+    reading: VecDeque<(SlotRequestId, u32)>,
+    answering: VecDeque<(SlotRequestId, u64)>,
     /// What the teams have used here, as it was told last.
     told: BTreeMap<Box<str>, u64>,
     known: Known,
@@ -133,20 +136,20 @@
 /// Holds the engines and what became of the requests.
 pub struct World {
     engines: Vec<Engine>,
-    requests: BTreeMap<AskId, Request>,
+    requests: BTreeMap<SlotRequestId, Request>,
     /// Team, time and tokens of each request that came, and of each that began.
     requested: Vec<Served>,
     begun: Vec<Served>,
     now_ms: u64,
-    next_id: AskId,
+    next_id: SlotRequestId,
     news: News,
 }
 
 impl World {
     fn new(news: News) -> Self {
         let engine = || Engine {
-            admission: Admission::new(RULES),
-            born_unix_ms: 1,
+            admission: AdmissionQueue::new(RULES),
+            started_unix_ms: 1,
             answers: true,
             is_noticed: false,
             reading: VecDeque::new(),
@@ -198,7 +201,7 @@
     }
 
     /// Asks for a request at an engine that was not asked yet, as a gateway does; gives it up where too many were.
-    fn ask_elsewhere(&mut self, id: AskId) {
+    fn ask_elsewhere(&mut self, id: SlotRequestId) {
         let request = &self.requests[&id];
         let lag = self.lag(&request.team);
         let may_ask = request.refused < lag.max_asked()
@@ -268,21 +271,23 @@
         }
     }
 
-    fn ask(&mut self, id: AskId, place: usize) {
+    fn ask(&mut self, id: SlotRequestId, place: usize) {
         let request = &self.requests[&id];
         let waited = ms(self.now_ms - request.came_ms);
         self.engines[place].known.since[request.gateway] += request.prompt_tokens;
-        let ask = Ask {
+        let ask = SlotRequest {
             request_id: id.to_string().into(),
             team: request.team.clone(),
             rank: 1,
             prompt_tokens: request.prompt_tokens,
             answer_tokens: ANSWER_TOKENS,
-            shared: None,
+            shared_prefix: None,
             budget: AIM.saturating_sub(waited),
             elsewhere_tokens: self.used_elsewhere(&request.team, place),
         };
-        self.engines[place].admission.ask(ms(self.now_ms), id, ask);
+        self.engines[place]
+            .admission
+            .enqueue(ms(self.now_ms), id, ask);
         self.decide(place);
     }
 
@@ -304,7 +309,7 @@
         }
     }
 
-    fn granted(&mut self, id: AskId, place: usize) {
+    fn granted(&mut self, id: SlotRequestId, place: usize) {
         let engine = &mut self.engines[place];
         let request = self.requests.get_mut(&id).expect("it was asked for");
         if engine.answers {
@@ -313,7 +318,7 @@
         }
         // No connection: the place is given back.
         request.not_sent += 1;
-        engine.admission.ended(ms(self.now_ms), id);
+        engine.admission.request_ended(ms(self.now_ms), id);
         self.ask_elsewhere(id);
     }
 
@@ -343,7 +348,7 @@
             if *tokens > 0 {
                 return;
             }
-            engine.admission.began(ms(self.now_ms), *id);
+            engine.admission.answer_began(ms(self.now_ms), *id);
             let request = &self.requests[id];
             let served = (request.team.clone(), self.now_ms, request.tokens());
             self.begun.push(served);
@@ -358,7 +363,7 @@
             .answering
             .pop_front_if(|(_, end)| *end <= self.now_ms)
         {
-            engine.admission.ended(ms(self.now_ms), id);
+            engine.admission.request_ended(ms(self.now_ms), id);
         }
     }
 
@@ -368,17 +373,17 @@
             if engine.is_noticed {
                 engine.admission.engine_gone();
             } else {
-                engine.admission.not_reported();
+                engine.admission.engine_silent();
             }
             return;
         }
-        let report = Report {
-            born_unix_ms: Some(engine.born_unix_ms),
+        let report = EngineReport {
+            started_unix_ms: Some(engine.started_unix_ms),
             // Nobody is taken for missing while something waits in the engine.
             queued: 1,
-            ..Report::default()
+            ..EngineReport::default()
         };
-        engine.admission.reported(ms(self.now_ms), &report);
+        engine.admission.apply_report(ms(self.now_ms), &report);
     }
 
     /// Tells the load of an engine where it is due; each engine tells it at other moments.
@@ -421,11 +426,11 @@
                 let reading = engine.reading.drain(..).map(|(id, _)| id);
                 let running = reading.chain(engine.answering.drain(..).map(|(id, _)| id));
                 for id in running {
-                    engine.admission.ended(ms(self.now_ms), id);
+                    engine.admission.request_ended(ms(self.now_ms), id);
                 }
             } else if self.now_ms == outage.until_ms {
                 engine.answers = true;
-                engine.born_unix_ms += 1;
+                engine.started_unix_ms += 1;
             }
         }
     }
--- a/crates/admission/tests/server.rs
+++ b/crates/admission/tests/server.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use hinge_admission::{ASKS_PATH, Answer, Engine, Report, Rules, Server};
+use hinge_admission::{ASKS_PATH, Engine, EngineReport, QueueLimits, ReportOutcome, Server};
 use hinge_cases::async_cases;
 use hinge_link::{Client, ClusterKey, Exchange};
 use hinge_schema::routing::{AdmitAsk, AdmitVerdict, AskNumber, FromAdmission, ToAdmission};
@@ -21,8 +21,8 @@
 struct Idle;
 
 impl Engine for Idle {
-    async fn report(&self) -> Answer {
-        Answer::Report(Report::default())
+    async fn fetch_report(&self) -> ReportOutcome {
+        ReportOutcome::Report(EngineReport::default())
     }
 }
 
@@ -30,8 +30,8 @@
 struct Silent;
 
 impl Engine for Silent {
-    async fn report(&self) -> Answer {
-        Answer::Silent
+    async fn fetch_report(&self) -> ReportOutcome {
+        ReportOutcome::Silent
     }
 }
 
@@ -40,11 +40,11 @@
 }
 
 async fn bind(engine: impl Engine) -> Server {
-    let rules = Rules {
+    let rules = QueueLimits {
         max_unread_tokens: 4_000,
         max_running: MAX_RUNNING,
         kv_tokens: 100_000,
-        turn_permille: 700,
+        max_wait_permille: 700,
     };
     let engine = Some((engine, Duration::from_millis(5)));
     let bound = Server::bind("127.0.0.1:0", rules, &key(), &Registry::new(), engine).await;
--- a/crates/daemon/src/roles/admission.rs
+++ b/crates/daemon/src/roles/admission.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use anyhow::{Context as _, Result, bail};
-use hinge_admission::{Rules, Server};
+use hinge_admission::{QueueLimits, Server};
 use hinge_platform::EngineReports;
 use hinge_telemetry::readiness::Reason;
 
@@ -22,15 +22,15 @@
     context.reload(|_settings| {})?;
     let admin = context.bind_admin("admission").await?;
     let address = context.settings.peer_listen.to_string();
-    let rules = Rules {
+    let limits = QueueLimits {
         max_unread_tokens: given.max_unread_tokens,
         max_running: given.slots,
         kv_tokens: given.kv_tokens,
-        turn_permille: given.turn_permille,
+        max_wait_permille: given.turn_permille,
     };
     let reports = given.engine.map(EngineReports::of);
     let engine = reports.map(|reports| (reports, super::millis(given.report_interval_ms)));
-    let server = Server::bind(&address, rules, &context.key, &context.registry, engine)
+    let server = Server::bind(&address, limits, &context.key, &context.registry, engine)
         .await
         .with_context(|| format!("binding the address for gateways {address}"))?;
     context.readiness.clear(Reason::Starting);
