--- a/crates/admission/src/prefix_cache.rs
+++ b/crates/admission/src/cache.rs
@@ -3,10 +3,10 @@
 use std::collections::{BTreeMap, HashMap};
 
 /// Maximum number of tracked prefixes; far more than fit any engine's KV cache.
-const MAX_PARTS: usize = 65_536;
+const MAX_PREFIXES: usize = 65_536;
 
 #[derive(Debug, Clone, Copy)]
-struct Kept {
+struct CachedPrefix {
     tokens: u64,
     last_use: u64,
 }
@@ -15,11 +15,11 @@
 #[derive(Debug)]
 pub struct PrefixCache {
     capacity_tokens: u64,
-    kept_tokens: u64,
-    parts: HashMap<u64, Kept>,
+    cached_tokens: u64,
+    prefixes: HashMap<u64, CachedPrefix>,
     /// Keys by time of last use.
-    by_use: BTreeMap<u64, u64>,
-    uses: u64,
+    keys_by_last_use: BTreeMap<u64, u64>,
+    use_count: u64,
 }
 
 impl PrefixCache {
@@ -28,10 +28,10 @@
     pub fn new(capacity_tokens: u64) -> Self {
         Self {
             capacity_tokens,
-            kept_tokens: 0,
-            parts: HashMap::new(),
-            by_use: BTreeMap::new(),
-            uses: 0,
+            cached_tokens: 0,
+            prefixes: HashMap::new(),
+            keys_by_last_use: BTreeMap::new(),
+            use_count: 0,
         }
     }
 
@@ -43,27 +43,27 @@
     /// Returns whether a prefix should be cached.
     #[must_use]
     pub fn contains(&self, key: u64) -> bool {
-        self.parts.contains_key(&key)
+        self.prefixes.contains_key(&key)
     }
 
     /// Records a use of a prefix and evicts the least recently used entries over the capacity. Running requests
     /// occupy `running_tokens` of it, which can't be evicted.
     pub fn touch(&mut self, key: u64, tokens: u64, running_tokens: u64) {
-        self.uses += 1;
-        let last_use = self.uses;
-        if let Some(before) = self.parts.insert(key, Kept { tokens, last_use }) {
-            self.by_use.remove(&before.last_use);
-            self.kept_tokens -= before.tokens;
+        self.use_count += 1;
+        let last_use = self.use_count;
+        if let Some(previous) = self.prefixes.insert(key, CachedPrefix { tokens, last_use }) {
+            self.keys_by_last_use.remove(&previous.last_use);
+            self.cached_tokens -= previous.tokens;
         }
-        self.by_use.insert(last_use, key);
-        self.kept_tokens += tokens;
-        let room = self.capacity_tokens.saturating_sub(running_tokens);
-        while self.kept_tokens > room || self.parts.len() > MAX_PARTS {
-            let Some((_, oldest)) = self.by_use.pop_first() else {
+        self.keys_by_last_use.insert(last_use, key);
+        self.cached_tokens += tokens;
+        let available_tokens = self.capacity_tokens.saturating_sub(running_tokens);
+        while self.cached_tokens > available_tokens || self.prefixes.len() > MAX_PREFIXES {
+            let Some((_, oldest)) = self.keys_by_last_use.pop_first() else {
                 break;
             };
-            if let Some(gone) = self.parts.remove(&oldest) {
-                self.kept_tokens -= gone.tokens;
+            if let Some(evicted) = self.prefixes.remove(&oldest) {
+                self.cached_tokens -= evicted.tokens;
             }
         }
     }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -4,21 +4,21 @@
 //! for a slot before it sends a request. [`AdmissionQueue`] decides, without any I/O, and [`Server`] exposes it to
 //! gateways. Responses don't pass through the admission; a gateway that can't reach it sends requests without a slot.
 
-mod accounting;
+mod accounts;
+mod cache;
 mod engine;
 mod order;
 mod prefill_rate;
-mod prefix_cache;
-mod priority;
 mod queue;
 mod request;
 mod server;
 mod session;
+mod turn;
 mod usage;
 
+pub use cache::PrefixCache;
 pub use engine::{Engine, EngineReport, EngineRequest, ReportOutcome};
 pub use prefill_rate::PrefillRate;
-pub use prefix_cache::PrefixCache;
 pub use queue::AdmissionQueue;
 pub use request::{Decision, Load, QueueLimits, RefusalCause, SlotRequest, SlotRequestId};
 pub use server::{ASKS_PATH, LOAD_PATH, Server};
--- a/crates/admission/src/order.rs
+++ b/crates/admission/src/order.rs
@@ -7,83 +7,97 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use crate::priority::{precedence, step_of, step_tokens};
 use crate::request::{SlotRequest, SlotRequestId};
+use crate::turn::{level_tokens, scheduling_class, usage_level};
 
 /// A request that waits for a slot.
 #[derive(Debug)]
-pub(crate) struct Waiting {
+pub(crate) struct WaitingRequest {
     pub(crate) id: SlotRequestId,
-    pub(crate) ask: SlotRequest,
-    pub(crate) since: Duration,
+    pub(crate) request: SlotRequest,
+    pub(crate) queued_at: Duration,
 }
 
 /// The usage of a team that decides the order of its requests.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Claim {
+pub(crate) struct TeamStanding {
     /// Recent usage at all engines, in tokens.
     pub(crate) used: f64,
     /// Short-term usage at this engine, in tokens, if it is far below that of another team. The team with the lowest
     /// value is the most underserved.
-    pub(crate) overdue_at: Option<f64>,
+    pub(crate) short_term_if_underserved: Option<f64>,
 }
 
 /// Returns the indices of the waiting requests in scheduling order.
 ///
 /// Each request placed adds to its team's usage, so that a team with many requests doesn't take all the first
 /// positions.
-pub(crate) fn order_of(
-    waiting: &[Waiting],
-    share: f64,
-    claim_of: impl Fn(&str) -> Claim,
+pub(crate) fn scheduling_order(
+    waiting: &[WaitingRequest],
+    fair_share: f64,
+    standing_of: impl Fn(&str) -> TeamStanding,
 ) -> Vec<usize> {
-    let mut claims: HashMap<&str, Claim> = HashMap::new();
+    let mut standings: HashMap<&str, TeamStanding> = HashMap::new();
     for waiting in waiting {
-        let team = &waiting.ask.team;
-        claims.entry(team).or_insert_with(|| claim_of(team));
+        let team = &waiting.request.team;
+        standings.entry(team).or_insert_with(|| standing_of(team));
     }
-    let most = claims.values().map(|claim| claim.used).fold(0.0, f64::max);
-    let step_tokens = step_tokens(most);
-    let mut left: Vec<usize> = (0..waiting.len()).collect();
-    let mut order = Vec::with_capacity(left.len());
-    while let Some((place, next)) = next_of(waiting, &left, &claims, share, step_tokens) {
-        left.swap_remove(place);
+    let max_usage = standings
+        .values()
+        .map(|standing| standing.used)
+        .fold(0.0, f64::max);
+    let level_tokens = level_tokens(max_usage);
+    let mut remaining: Vec<usize> = (0..waiting.len()).collect();
+    let mut order = Vec::with_capacity(remaining.len());
+    while let Some((position, next)) =
+        select_next(waiting, &remaining, &standings, fair_share, level_tokens)
+    {
+        remaining.swap_remove(position);
         order.push(next);
-        let ask = &waiting[next].ask;
-        let claim = claims
-            .get_mut(&*ask.team)
-            .expect("every team was put there");
-        claim.used += f64::from(ask.service_tokens());
-        claim.overdue_at = None;
+        let request = &waiting[next].request;
+        let standing = standings
+            .get_mut(&*request.team)
+            .expect("every waiting team has a standing");
+        standing.used += f64::from(request.usage_tokens());
+        standing.short_term_if_underserved = None;
     }
     order
 }
 
-fn next_of(
-    waiting: &[Waiting],
-    left: &[usize],
-    claims: &HashMap<&str, Claim>,
-    share: f64,
-    step_tokens: f64,
+fn select_next(
+    waiting: &[WaitingRequest],
+    remaining: &[usize],
+    standings: &HashMap<&str, TeamStanding>,
+    fair_share: f64,
+    level_tokens: f64,
 ) -> Option<(usize, usize)> {
-    let places = left.iter().copied().enumerate();
-    places.min_by(|(_, a), (_, b)| {
+    let positions = remaining.iter().copied().enumerate();
+    positions.min_by(|(_, a), (_, b)| {
         let (a, b) = (&waiting[*a], &waiting[*b]);
-        let by_precedence = {
-            let precedence = |ask: &SlotRequest| {
-                let claim = claims[&*ask.team];
-                precedence(ask.rank, claim.used, share, claim.overdue_at)
+        let by_class = {
+            let scheduling_class = |request: &SlotRequest| {
+                let standing = standings[&*request.team];
+                scheduling_class(
+                    request.rank,
+                    standing.used,
+                    fair_share,
+                    standing.short_term_if_underserved,
+                )
             };
-            precedence(&a.ask).cmp(&precedence(&b.ask))
+            scheduling_class(&a.request).cmp(&scheduling_class(&b.request))
         };
-        let by_use = {
-            let step = |ask: &SlotRequest| step_of(claims[&*ask.team].used, step_tokens);
-            step(&a.ask).cmp(&step(&b.ask))
+        let by_usage = {
+            let level =
+                |request: &SlotRequest| usage_level(standings[&*request.team].used, level_tokens);
+            level(&a.request).cmp(&level(&b.request))
         };
-        let (a_ends, b_ends) = (a.since + a.ask.budget, b.since + b.ask.budget);
-        by_precedence
-            .then(by_use)
-            .then(a_ends.cmp(&b_ends))
+        let (a_deadline, b_deadline) = (
+            a.queued_at + a.request.budget,
+            b.queued_at + b.request.budget,
+        );
+        by_class
+            .then(by_usage)
+            .then(a_deadline.cmp(&b_deadline))
             .then(a.id.cmp(&b.id))
     })
 }
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -10,22 +10,22 @@
 
 use smallvec::SmallVec;
 
-use crate::accounting::Accounts;
+use crate::accounts::UsageAccounting;
+use crate::cache::PrefixCache;
 use crate::engine::{EngineReport, EngineRequest};
-use crate::order::{Claim, Waiting, order_of};
+use crate::order::{TeamStanding, WaitingRequest, scheduling_order};
 use crate::prefill_rate::PrefillRate;
-use crate::prefix_cache::PrefixCache;
-use crate::priority::turn_permille;
 use crate::request::{Decision, Load, QueueLimits, RefusalCause, SlotRequest, SlotRequestId};
+use crate::turn::max_wait_permille;
 use crate::usage::TeamUsage;
 
 /// Initial estimate of the time from the end of prefill to the first event: the decode steps of one event beside
 /// other prefills, and the way back.
-const FIRST_EVENT: Duration = Duration::from_millis(60);
+const INITIAL_FIRST_EVENT_DELAY: Duration = Duration::from_millis(60);
 
 /// Time for which a request must be missing from the engine's reports before its slot is released. Its last bytes and
 /// the notice of its end take milliseconds to arrive.
-const GIVE_UP_AFTER: Duration = Duration::from_millis(300);
+const RELEASE_MISSING_AFTER: Duration = Duration::from_millis(300);
 
 /// Time after which a missing request counts as lost; a lost packet is retransmitted within a second.
 const LOST_AFTER: Duration = Duration::from_millis(900);
@@ -36,112 +36,112 @@
 /// When two teams far above the others ask for several times the capacity, a free slot that goes to the next arrival
 /// goes more often to the team that sends more often. Among requests kept for a moment, the team with the lowest
 /// usage is chosen instead.
-const STAY_PART: u32 = 8;
+const LATE_GRACE_DIVISOR: u32 = 8;
 
 /// The same divisor for a team with far less usage than the highest; its request is chosen before those of the team
 /// with the highest.
-const STAY_PART_BEHIND: u32 = 2;
+const LOW_USAGE_GRACE_DIVISOR: u32 = 2;
 
 /// Fraction of the highest usage below which a team has far less usage.
-const FAR_LESS: f64 = 0.75;
+const LOW_USAGE_RATIO: f64 = 0.75;
 
 /// Longest prefill time of one prompt with which a team above its fair share may block a contended engine: half of
 /// the time within which an answer has to begin.
-const LONGEST_HOLD: Duration = Duration::from_millis(250);
+const MAX_BLOCKING_PREFILL: Duration = Duration::from_millis(250);
 
 /// Time for which teams within their fair share are expected to need the engine again after one of them had to wait
 /// for it: about the prefill time of the longest prompts.
-const CROWDED_FOR: Duration = Duration::from_secs(1);
+const CONTENTION_WINDOW: Duration = Duration::from_secs(1);
 
 /// Time after the start during which every shared prefix counts as cached. The engine keeps running while its
 /// admission restarts, and a queue that assumed a cold cache would refuse three times too many requests. Reports
 /// correct wrong assumptions.
-const ASSUME_KEPT: Duration = Duration::from_secs(6);
+const ASSUME_CACHED_FOR: Duration = Duration::from_secs(6);
 
 /// Minimum retry delay; a few requests are prefilled in it.
-pub const SHORTEST_RETRY: Duration = Duration::from_millis(100);
+pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// Retry delay while the engine is gone; a restart takes a second or more.
-const GONE_RETRY: Duration = Duration::from_millis(500);
+const ENGINE_GONE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 #[derive(Debug)]
-struct Running {
-    ask: SlotRequest,
+struct RunningRequest {
+    request: SlotRequest,
     /// Prompt tokens that the engine has prefilled.
-    read_tokens: u32,
+    prefilled_tokens: u32,
     unread_tokens: u32,
     kv_tokens: u64,
     granted_at: Duration,
-    /// When a report first showed its prefill complete.
-    read_at: Option<Duration>,
-    /// Since when the engine's reports don't list it.
+    /// Time at which a report first showed its prefill complete.
+    prefilled_at: Option<Duration>,
+    /// Time since which the engine's reports don't list it.
     missing_since: Option<Duration>,
     /// Whether its answer has begun, which implies that its prefill is complete.
     has_begun: bool,
     /// Whether its slot was released because it is missing from reports.
-    is_given_up: bool,
+    is_released: bool,
 }
 
 /// The queue of requests that wait for a slot at one engine.
 #[derive(Debug)]
 pub struct AdmissionQueue {
-    rules: QueueLimits,
-    waiting: Vec<Waiting>,
-    running: HashMap<SlotRequestId, Running>,
+    limits: QueueLimits,
+    waiting: Vec<WaitingRequest>,
+    running: HashMap<SlotRequestId, RunningRequest>,
     unread_tokens: u32,
-    running_kv: u64,
+    running_kv_tokens: u64,
     /// Whether shared prefixes count as cached, because this queue may be younger than the engine's cache.
-    is_young: bool,
+    assumes_warm_cache: bool,
     /// Start time of the engine in its latest report.
-    engine_born_unix_ms: Option<u64>,
+    engine_started_unix_ms: Option<u64>,
     /// Whether nothing listens at the engine's address, as far as known.
     engine_is_gone: bool,
     /// Whether the engine has restarted since this queue was created, so that this queue knows everything in its
     /// cache.
     engine_restarted: bool,
     cache: PrefixCache,
-    pace: PrefillRate,
+    prefill_rate: PrefillRate,
     /// Measured time from the end of prefill to the first event.
-    first_event: Duration,
+    first_event_delay: Duration,
     /// Number of entries of `running` whose slots were released.
-    given_up: u32,
+    released_count: u32,
     lost: Vec<(SlotRequestId, Duration)>,
-    accounts: Accounts,
-    /// Until when teams within their fair share are expected to need the engine.
-    crowded_until: Duration,
+    accounting: UsageAccounting,
+    /// Time until which teams within their fair share are expected to need the engine.
+    contended_until: Duration,
 }
 
 impl AdmissionQueue {
-    /// Creates an empty queue; the `now` of all calls counts from its creation.
+    /// Creates an empty queue. The `now` passed to its methods is the time since its creation.
     #[must_use]
-    pub fn new(rules: QueueLimits) -> Self {
+    pub fn new(limits: QueueLimits) -> Self {
         Self {
-            cache: PrefixCache::new(rules.kv_tokens),
-            rules,
+            cache: PrefixCache::new(limits.kv_tokens),
+            limits,
             waiting: Vec::new(),
             running: HashMap::new(),
             unread_tokens: 0,
-            running_kv: 0,
-            is_young: true,
-            engine_born_unix_ms: None,
+            running_kv_tokens: 0,
+            assumes_warm_cache: true,
+            engine_started_unix_ms: None,
             engine_is_gone: false,
             engine_restarted: false,
-            pace: PrefillRate::new(),
-            first_event: FIRST_EVENT,
-            given_up: 0,
+            prefill_rate: PrefillRate::new(),
+            first_event_delay: INITIAL_FIRST_EVENT_DELAY,
+            released_count: 0,
             lost: Vec::new(),
-            accounts: Accounts::new(),
-            crowded_until: Duration::ZERO,
+            accounting: UsageAccounting::new(),
+            contended_until: Duration::ZERO,
         }
     }
 
     /// Adds a request to the queue; [`AdmissionQueue::decide`] returns the decision on it.
-    pub fn enqueue(&mut self, now: Duration, id: SlotRequestId, ask: SlotRequest) {
-        self.accounts.heard_elsewhere(now, &ask);
-        self.waiting.push(Waiting {
+    pub fn enqueue(&mut self, now: Duration, id: SlotRequestId, request: SlotRequest) {
+        self.accounting.record_remote_usage(now, &request);
+        self.waiting.push(WaitingRequest {
             id,
-            ask,
-            since: now,
+            request,
+            queued_at: now,
         });
     }
 
@@ -151,52 +151,59 @@
             return;
         };
         running.has_begun = true;
-        if let Some(read_at) = running.read_at {
-            let sample = now.saturating_sub(read_at);
-            self.first_event = (self.first_event * 7 + sample) / 8;
+        if let Some(prefilled_at) = running.prefilled_at {
+            let sample = now.saturating_sub(prefilled_at);
+            self.first_event_delay = (self.first_event_delay * 7 + sample) / 8;
         }
         let tokens = std::mem::take(&mut running.unread_tokens);
-        running.read_tokens += tokens;
+        running.prefilled_tokens += tokens;
         if tokens > 0 {
             self.unread_tokens -= tokens;
-            self.pace.record(now, tokens, self.unread_tokens > 0);
+            self.prefill_rate
+                .record(now, tokens, self.unread_tokens > 0);
         }
     }
 
     /// Applies an engine's report, which tells how far each prompt is prefilled.
     pub fn apply_report(&mut self, now: Duration, report: &EngineReport) {
         self.engine_is_gone = false;
-        self.note_birth(now, report.started_unix_ms);
+        self.detect_restart(now, report.started_unix_ms);
         if let Some(kv_tokens) = report.kv_total_tokens.filter(|tokens| *tokens > 0) {
-            self.rules.kv_tokens = kv_tokens;
+            self.limits.kv_tokens = kv_tokens;
             self.cache.resize(kv_tokens);
         }
         let requests = report.requests.iter();
-        let requests: HashMap<&str, &EngineRequest> =
-            requests.map(|run| (&*run.request_id, run)).collect();
-        let (mut read, mut more) = (0, 0);
+        let requests: HashMap<&str, &EngineRequest> = requests
+            .map(|request| (&*request.request_id, request))
+            .collect();
+        let (mut prefilled, mut added) = (0, 0);
         for running in self.running.values_mut() {
-            let run = requests.get(&*running.ask.request_id);
-            let Some(run) = run.filter(|_| !running.has_begun && !running.is_given_up) else {
+            let reported = requests.get(&*running.request.request_id);
+            let Some(reported) = reported.filter(|_| !running.has_begun && !running.is_released)
+            else {
                 continue;
             };
-            let left = running.ask.prompt_tokens.saturating_sub(run.kv_tokens);
-            let left = if run.events > 0 { 0 } else { left };
+            let unread = running
+                .request
+                .prompt_tokens
+                .saturating_sub(reported.kv_tokens);
+            let unread = if reported.events > 0 { 0 } else { unread };
             // A prefix that was assumed to be cached and isn't shows here first.
-            more += left.saturating_sub(running.unread_tokens);
-            let read_now = running.unread_tokens.saturating_sub(left);
-            read += read_now;
-            running.read_tokens += read_now;
-            running.unread_tokens = left;
-            if left == 0 && running.read_at.is_none() {
-                running.read_at = Some(now);
+            added += unread.saturating_sub(running.unread_tokens);
+            let newly_prefilled = running.unread_tokens.saturating_sub(unread);
+            prefilled += newly_prefilled;
+            running.prefilled_tokens += newly_prefilled;
+            running.unread_tokens = unread;
+            if unread == 0 && running.prefilled_at.is_none() {
+                running.prefilled_at = Some(now);
             }
         }
-        self.unread_tokens = self.unread_tokens + more - read;
-        self.pace.record(now, read, self.unread_tokens > 0);
+        self.unread_tokens = self.unread_tokens + added - prefilled;
+        self.prefill_rate
+            .record(now, prefilled, self.unread_tokens > 0);
         let is_listed = |id: &str| requests.contains_key(id);
         if report.queued == 0 && report.active as usize == report.requests.len() {
-            self.give_up_missing(now, is_listed);
+            self.release_missing(now, is_listed);
         }
     }
 
@@ -205,45 +212,45 @@
     /// An engine can end under load and restart under the same name before anyone notices. The new process runs
     /// nothing and has an empty cache, while the queue would still count all its slots as taken and every known
     /// prefix as cached.
-    fn note_birth(&mut self, now: Duration, started_unix_ms: Option<u64>) {
-        let Some(born) = started_unix_ms else {
+    fn detect_restart(&mut self, now: Duration, started_unix_ms: Option<u64>) {
+        let Some(started_unix_ms) = started_unix_ms else {
             return;
         };
-        let before = self.engine_born_unix_ms.replace(born);
-        if before.is_none_or(|before| before == born) {
+        let previous = self.engine_started_unix_ms.replace(started_unix_ms);
+        if previous.is_none_or(|previous| previous == started_unix_ms) {
             return;
         }
         self.engine_restarted = true;
-        self.cache = PrefixCache::new(self.rules.kv_tokens);
+        self.cache = PrefixCache::new(self.limits.kv_tokens);
         for (id, running) in &mut self.running {
-            if !running.is_given_up {
-                running.is_given_up = true;
-                self.given_up += 1;
+            if !running.is_released {
+                running.is_released = true;
+                self.released_count += 1;
                 self.unread_tokens -= std::mem::take(&mut running.unread_tokens);
-                self.running_kv -= running.kv_tokens;
+                self.running_kv_tokens -= running.kv_tokens;
             }
             self.lost.push((*id, Duration::ZERO));
         }
-        self.pace.record(now, 0, false);
+        self.prefill_rate.record(now, 0, false);
     }
 
     /// Releases the slots of requests that the engine no longer runs although no gateway reported their end.
     ///
     /// An endpoint may lose the answers or drop requests silently. The gateways then wait until the deadline, and
     /// without a release the slots would stay taken on an idle engine.
-    fn give_up_missing(&mut self, now: Duration, is_listed: impl Fn(&str) -> bool) {
+    fn release_missing(&mut self, now: Duration, is_listed: impl Fn(&str) -> bool) {
         for (id, running) in &mut self.running {
-            if is_listed(&running.ask.request_id) {
+            if is_listed(&running.request.request_id) {
                 running.missing_since = None;
                 continue;
             }
             let since = *running.missing_since.get_or_insert(now);
-            let is_missing = now >= since.max(running.granted_at) + GIVE_UP_AFTER;
-            if is_missing && !running.is_given_up {
-                running.is_given_up = true;
-                self.given_up += 1;
+            let is_missing = now >= since.max(running.granted_at) + RELEASE_MISSING_AFTER;
+            if is_missing && !running.is_released {
+                running.is_released = true;
+                self.released_count += 1;
                 self.unread_tokens -= std::mem::take(&mut running.unread_tokens);
-                self.running_kv -= running.kv_tokens;
+                self.running_kv_tokens -= running.kv_tokens;
             }
             if now >= since + LOST_AFTER {
                 self.lost.push((*id, now.saturating_sub(since)));
@@ -260,7 +267,7 @@
     pub fn engine_silent(&mut self) {
         self.engine_is_gone = false;
         for running in self.running.values_mut() {
-            running.read_at = None;
+            running.prefilled_at = None;
         }
     }
 
@@ -281,35 +288,38 @@
             return;
         };
         if !running.has_begun {
-            let (read_tokens, granted_at) = (running.read_tokens, running.granted_at);
-            self.accounts
-                .take_back(now, &running.ask, read_tokens, granted_at);
+            let (prefilled_tokens, granted_at) = (running.prefilled_tokens, running.granted_at);
+            self.accounting
+                .refund(now, &running.request, prefilled_tokens, granted_at);
         }
-        if running.is_given_up {
-            self.given_up -= 1;
+        if running.is_released {
+            self.released_count -= 1;
             return;
         }
         self.unread_tokens -= running.unread_tokens;
-        self.running_kv -= running.kv_tokens;
+        self.running_kv_tokens -= running.kv_tokens;
         if running.unread_tokens > 0 {
             // Tokens that were never prefilled say nothing about the rate, but the clock runs on for the others.
-            self.pace.record(now, 0, self.unread_tokens > 0);
+            self.prefill_rate.record(now, 0, self.unread_tokens > 0);
         }
         // Its own tokens stay in the engine's KV cache until evicted.
-        self.cache
-            .touch(own_part(id), running.kv_tokens, self.running_kv);
+        self.cache.touch(
+            private_cache_key(id),
+            running.kv_tokens,
+            self.running_kv_tokens,
+        );
     }
 
     /// Returns the decisions on waiting requests that are due.
     pub fn decide(&mut self, now: Duration) -> Vec<Decision> {
-        self.is_young = now < ASSUME_KEPT && !self.engine_restarted;
+        self.assumes_warm_cache = now < ASSUME_CACHED_FOR && !self.engine_restarted;
         if self.engine_is_gone {
             return self.refuse_all();
         }
         let mut decisions = Vec::new();
-        self.turn_away(now, &mut decisions);
+        self.refuse_late(now, &mut decisions);
         while self.has_room() {
-            let Some(next) = self.order(now).first().copied() else {
+            let Some(next) = self.scheduling_order(now).first().copied() else {
                 break;
             };
             let next = self.waiting.swap_remove(next);
@@ -326,7 +336,7 @@
             running: self.running_count(),
             unread_tokens: self.unread_tokens,
             waiting_tokens: waiting
-                .map(|waiting| self.tokens_to_read(&waiting.ask))
+                .map(|waiting| self.tokens_to_prefill(&waiting.request))
                 .sum(),
             engine_is_gone: self.engine_is_gone,
         }
@@ -335,19 +345,19 @@
     /// Returns the measured prefill rate in tokens per millisecond.
     #[must_use]
     pub fn prefill_tokens_per_ms(&self) -> u64 {
-        self.pace.tokens_per_ms()
+        self.prefill_rate.tokens_per_ms()
     }
 
     /// Returns the measured time from the end of prefill to the first event.
     #[must_use]
     pub fn first_event_delay(&self) -> Duration {
-        self.first_event
+        self.first_event_delay
     }
 
     /// Returns the recent usage of the teams at this engine.
     #[must_use]
     pub fn usage(&self) -> &TeamUsage {
-        self.accounts.usage()
+        self.accounting.usage()
     }
 
     /// Returns whether a request still waits for a slot.
@@ -364,79 +374,98 @@
 
     fn has_room(&self) -> bool {
         let running = self.running_count();
-        self.unread_tokens < self.rules.max_unread_tokens
-            && running < self.rules.max_running
-            && (running == 0 || self.running_kv < self.rules.kv_tokens)
+        self.unread_tokens < self.limits.max_unread_tokens
+            && running < self.limits.max_running
+            && (running == 0 || self.running_kv_tokens < self.limits.kv_tokens)
     }
 
     fn running_count(&self) -> u32 {
-        u32::try_from(self.running.len()).unwrap_or(u32::MAX) - self.given_up
+        u32::try_from(self.running.len()).unwrap_or(u32::MAX) - self.released_count
     }
 
-    fn tokens_to_read(&self, ask: &SlotRequest) -> u32 {
-        let kept = ask
+    fn tokens_to_prefill(&self, request: &SlotRequest) -> u32 {
+        let cached = request
             .shared_prefix
-            .filter(|(key, _)| self.is_young || self.cache.contains(*key));
-        let kept = kept.map_or(0, |(_, tokens)| tokens);
-        ask.prompt_tokens.saturating_sub(kept)
+            .filter(|(key, _)| self.assumes_warm_cache || self.cache.contains(*key));
+        let cached = cached.map_or(0, |(_, tokens)| tokens);
+        request.prompt_tokens.saturating_sub(cached)
     }
 
     /// Refuses the requests that would start too late and keeps the others.
-    fn turn_away(&mut self, now: Duration, decisions: &mut Vec<Decision>) {
-        let teams = self.waiting.iter().map(|waiting| &*waiting.ask.team);
-        let share = self.accounts.measure_share(now, teams);
-        let most_had = self.accounts.most_had(now);
+    fn refuse_late(&mut self, now: Duration, decisions: &mut Vec<Decision>) {
+        let teams = self.waiting.iter().map(|waiting| &*waiting.request.team);
+        let fair_share = self.accounting.refresh_fair_share(now, teams);
+        let max_short_term = self.accounting.max_short_term(now);
         let mut ahead = u64::from(self.unread_tokens);
         let mut late = Vec::new();
-        let mut staying: SmallVec<[Box<str>; 8]> = SmallVec::new();
-        let mut crowded = false;
-        for place in self.order(now) {
-            let waiting = &self.waiting[place];
-            let own = u64::from(self.tokens_to_read(&waiting.ask));
-            let Claim { used, overdue_at } = self.accounts.claim(now, &waiting.ask.team, most_had);
-            let is_overdue = overdue_at.is_some();
+        let mut teams_in_grace: SmallVec<[Box<str>; 8]> = SmallVec::new();
+        let mut is_contended = false;
+        for index in self.scheduling_order(now) {
+            let waiting = &self.waiting[index];
+            let own_tokens = u64::from(self.tokens_to_prefill(&waiting.request));
+            let TeamStanding {
+                used,
+                short_term_if_underserved,
+            } = self
+                .accounting
+                .standing(now, &waiting.request.team, max_short_term);
+            let is_underserved = short_term_if_underserved.is_some();
             // An underserved team may wait as long as a team within its fair share.
-            let counted = if is_overdue { used.min(share) } else { used };
-            let permille = turn_permille(self.rules.max_wait_permille, counted, share);
-            let budget = waiting.ask.budget.saturating_sub(self.first_event);
+            let effective_used = if is_underserved {
+                used.min(fair_share)
+            } else {
+                used
+            };
+            let wait_permille =
+                max_wait_permille(self.limits.max_wait_permille, effective_used, fair_share);
+            let budget = waiting
+                .request
+                .budget
+                .saturating_sub(self.first_event_delay);
             // No other prompt is prefilled during a long one, so a long prompt of a team above its fair share counts
             // towards its own wait. Other prompts don't, or long ones would be refused under any load.
-            let is_above = used > share;
-            let is_long = self.pace.time_for(own) > LONGEST_HOLD;
-            let keeps_others_out = is_above && is_long && now < self.crowded_until;
-            let before_others = if keeps_others_out { ahead + own } else { ahead };
-            let turn = now.saturating_sub(waiting.since) + self.pace.time_for(before_others);
+            let is_above_share = used > fair_share;
+            let is_long = self.prefill_rate.time_for(own_tokens) > MAX_BLOCKING_PREFILL;
+            let blocks_others = is_above_share && is_long && now < self.contended_until;
+            let ahead_of_start = if blocks_others {
+                ahead + own_tokens
+            } else {
+                ahead
+            };
+            let expected_wait =
+                now.saturating_sub(waiting.queued_at) + self.prefill_rate.time_for(ahead_of_start);
             // A request that could start now does: fairness must not leave the engine idle.
-            let has_room = ahead < u64::from(self.rules.max_unread_tokens);
-            let could_go = has_room && !keeps_others_out;
-            if !is_above && !has_room {
-                crowded = true;
+            let has_room = ahead < u64::from(self.limits.max_unread_tokens);
+            let can_start = has_room && !blocks_others;
+            if !is_above_share && !has_room {
+                is_contended = true;
             }
-            let team = &waiting.ask.team;
-            let part = if is_overdue || used < self.accounts.most_used() * FAR_LESS {
-                STAY_PART_BEHIND
+            let team = &waiting.request.team;
+            let divisor = if is_underserved || used < self.accounting.max_usage() * LOW_USAGE_RATIO
+            {
+                LOW_USAGE_GRACE_DIVISOR
             } else {
-                STAY_PART
+                LATE_GRACE_DIVISOR
             };
-            let stays_until = waiting.since + waiting.ask.budget / part;
-            let may_stay = !keeps_others_out && now < stays_until && !staying.contains(team);
-            if turn <= budget * permille / 1000 || could_go {
-                ahead += own;
-            } else if may_stay {
-                staying.push(team.clone());
+            let grace_until = waiting.queued_at + waiting.request.budget / divisor;
+            let has_grace = !blocks_others && now < grace_until && !teams_in_grace.contains(team);
+            if expected_wait <= budget * wait_permille / 1000 || can_start {
+                ahead += own_tokens;
+            } else if has_grace {
+                teams_in_grace.push(team.clone());
             } else {
                 late.push((waiting.id, ahead));
             }
         }
-        if crowded {
-            self.crowded_until = now + CROWDED_FOR;
+        if is_contended {
+            self.contended_until = now + CONTENTION_WINDOW;
         }
-        let drained = self.pace.time_for(ahead).max(SHORTEST_RETRY);
+        let drain_time = self.prefill_rate.time_for(ahead).max(MIN_RETRY_AFTER);
         for (id, ahead) in late {
             self.waiting.retain(|waiting| waiting.id != id);
             decisions.push(Decision::Refuse {
                 id,
-                retry_after: drained,
+                retry_after: drain_time,
                 ahead_tokens: u32::try_from(ahead).unwrap_or(u32::MAX),
                 cause: RefusalCause::Late,
             });
@@ -447,7 +476,7 @@
     fn refuse_all(&mut self) -> Vec<Decision> {
         let refused = self.waiting.drain(..).map(|waiting| Decision::Refuse {
             id: waiting.id,
-            retry_after: GONE_RETRY,
+            retry_after: ENGINE_GONE_RETRY_AFTER,
             ahead_tokens: 0,
             cause: RefusalCause::EngineGone,
         });
@@ -455,42 +484,47 @@
     }
 
     /// Returns the indices of the waiting requests in scheduling order.
-    fn order(&self, now: Duration) -> Vec<usize> {
-        let most_had = self.accounts.most_had(now);
-        order_of(&self.waiting, self.accounts.share(), |team| {
-            self.accounts.claim(now, team, most_had)
+    fn scheduling_order(&self, now: Duration) -> Vec<usize> {
+        let max_short_term = self.accounting.max_short_term(now);
+        scheduling_order(&self.waiting, self.accounting.fair_share(), |team| {
+            self.accounting.standing(now, team, max_short_term)
         })
     }
 
-    fn grant(&mut self, now: Duration, next: Waiting) -> Decision {
-        let Waiting { id, ask, since } = next;
+    fn grant(&mut self, now: Duration, next: WaitingRequest) -> Decision {
+        let WaitingRequest {
+            id,
+            request,
+            queued_at,
+        } = next;
         let ahead_tokens = self.unread_tokens;
-        let unread_tokens = self.tokens_to_read(&ask);
-        let shared_tokens = ask.shared_prefix.map_or(0, |(_, tokens)| tokens);
-        let own = ask.prompt_tokens.saturating_sub(shared_tokens);
-        let kv_tokens = u64::from(own) + u64::from(ask.answer_tokens);
-        self.running_kv += kv_tokens;
-        if let Some((key, tokens)) = ask.shared_prefix {
-            self.cache.touch(key, u64::from(tokens), self.running_kv);
+        let unread_tokens = self.tokens_to_prefill(&request);
+        let shared_tokens = request.shared_prefix.map_or(0, |(_, tokens)| tokens);
+        let own_tokens = request.prompt_tokens.saturating_sub(shared_tokens);
+        let kv_tokens = u64::from(own_tokens) + u64::from(request.answer_tokens);
+        self.running_kv_tokens += kv_tokens;
+        if let Some((key, tokens)) = request.shared_prefix {
+            self.cache
+                .touch(key, u64::from(tokens), self.running_kv_tokens);
         }
-        self.accounts.charge(now, &ask);
+        self.accounting.charge(now, &request);
         self.unread_tokens += unread_tokens;
-        self.pace.start(now);
-        let running = Running {
-            ask,
-            read_tokens: 0,
+        self.prefill_rate.start(now);
+        let running = RunningRequest {
+            request,
+            prefilled_tokens: 0,
             unread_tokens,
             kv_tokens,
             granted_at: now,
-            read_at: None,
+            prefilled_at: None,
             missing_since: None,
             has_begun: false,
-            is_given_up: false,
+            is_released: false,
         };
         self.running.insert(id, running);
         Decision::Grant {
             id,
-            waited: now.saturating_sub(since),
+            waited: now.saturating_sub(queued_at),
             ahead_tokens,
         }
     }
@@ -498,6 +532,6 @@
 
 /// Returns the cache key of a request's own tokens. It doesn't collide with those of shared prefixes, which are
 /// spread over the whole range.
-fn own_part(id: SlotRequestId) -> u64 {
+fn private_cache_key(id: SlotRequestId) -> u64 {
     id
 }
--- a/crates/admission/src/request.rs
+++ b/crates/admission/src/request.rs
@@ -6,12 +6,12 @@
 pub type SlotRequestId = u64;
 
 /// Usage weight of a generated token relative to a prompt token, the same as in the throughput tables.
-const ANSWER_WEIGHT: u32 = 2;
+const ANSWER_TOKEN_WEIGHT: u32 = 2;
 
 /// The limits of an admission queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueLimits {
-    /// Maximum number of granted prompt tokens awaiting prefill at which another request is still granted.
+    /// Number of granted prompt tokens awaiting prefill from which on no further request is granted.
     pub max_unread_tokens: u32,
     /// Maximum number of requests running on the engine.
     pub max_running: u32,
@@ -90,9 +90,9 @@
 }
 
 impl SlotRequest {
-    /// Returns the usage that the request is charged to its team, in tokens.
-    pub(crate) fn service_tokens(&self) -> u32 {
+    /// Returns the usage charged to the team for the request, in tokens.
+    pub(crate) fn usage_tokens(&self) -> u32 {
         self.prompt_tokens
-            .saturating_add(self.answer_tokens.saturating_mul(ANSWER_WEIGHT))
+            .saturating_add(self.answer_tokens.saturating_mul(ANSWER_TOKEN_WEIGHT))
     }
 }
--- a/crates/admission/src/server.rs
+++ b/crates/admission/src/server.rs
@@ -20,7 +20,7 @@
 use crate::engine::{Engine, EngineReport, ReportOutcome};
 use crate::queue::AdmissionQueue;
 use crate::request::{Decision, QueueLimits, SlotRequest, SlotRequestId};
-use crate::session::{self, Asker, News};
+use crate::session::{self, SlotEvent, SlotEventSender};
 
 /// Path of the exchange over which a gateway requests slots.
 pub const ASKS_PATH: &str = "/v1/asks";
@@ -30,24 +30,24 @@
 
 /// Interval at which the queue is re-evaluated without other events, so that a late request is refused within a small
 /// fraction of any budget.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const REEVALUATE_EVERY: Duration = Duration::from_millis(20);
 
 /// Maximum interval between load messages, so that a dead connection is detected.
-const LOAD_AT_LEAST: Duration = Duration::from_millis(500);
+const MAX_LOAD_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Interval between log lines about the engine's state.
-const TELL_EVERY: Duration = Duration::from_secs(1);
+const ENGINE_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Number of load messages for each one that includes team usage.
-const TEAMS_EVERY: u32 = 4;
+const LOADS_PER_TEAM_USAGE: u32 = 4;
 
 /// Divisor of the highest usage below which a team's usage isn't sent: an eighth of a usage level of the queue.
-const SMALL_PART: f64 = 64.0;
+const NEGLIGIBLE_USAGE_DIVISOR: f64 = 64.0;
 
 #[derive(Debug)]
 struct State {
-    admission: AdmissionQueue,
-    askers: HashMap<SlotRequestId, Asker>,
+    queue: AdmissionQueue,
+    event_senders: HashMap<SlotRequestId, SlotEventSender>,
     next_id: SlotRequestId,
 }
 
@@ -55,16 +55,16 @@
 pub(crate) struct Shared {
     state: Mutex<State>,
     changed: watch::Sender<u64>,
-    stopping: watch::Sender<bool>,
-    began: Instant,
+    shutdown_signal: watch::Sender<bool>,
+    started_at: Instant,
     granted: Counter,
     refused: Counter,
 }
 
 impl State {
-    fn tell(&self, id: SlotRequestId, news: News) {
-        if let Some(asker) = self.askers.get(&id) {
-            asker.tell(news);
+    fn send_event(&self, id: SlotRequestId, event: SlotEvent) {
+        if let Some(event_sender) = self.event_senders.get(&id) {
+            event_sender.send(event);
         }
     }
 }
@@ -75,25 +75,25 @@
     }
 
     /// Updates the queue and sends the decisions that follow.
-    fn change<T>(&self, act: impl FnOnce(&mut State, Duration) -> T) -> T {
-        let now = self.began.elapsed();
+    fn update<T>(&self, apply: impl FnOnce(&mut State, Duration) -> T) -> T {
+        let now = self.started_at.elapsed();
         let mut state = self.lock();
-        let result = act(&mut state, now);
-        for decision in state.admission.decide(now) {
+        let result = apply(&mut state, now);
+        for decision in state.queue.decide(now) {
             match decision {
                 Decision::Grant { id, .. } => {
                     self.granted.inc();
-                    state.tell(id, News::Decided(decision));
+                    state.send_event(id, SlotEvent::Decided(decision));
                 }
                 Decision::Refuse { id, .. } => {
                     self.refused.inc();
-                    state.tell(id, News::Decided(decision));
-                    state.askers.remove(&id);
+                    state.send_event(id, SlotEvent::Decided(decision));
+                    state.event_senders.remove(&id);
                 }
             }
         }
-        for (id, missing) in state.admission.take_lost() {
-            state.tell(id, News::Lost(missing));
+        for (id, missing_for) in state.queue.take_lost() {
+            state.send_event(id, SlotEvent::Lost(missing_for));
         }
         drop(state);
         self.changed.send_modify(|count| *count += 1);
@@ -101,20 +101,24 @@
     }
 
     /// Adds a request to the queue, and returns its identifier and whether it still waits.
-    pub(crate) fn ask(&self, ask: SlotRequest, asker: Asker) -> (SlotRequestId, bool) {
-        let id = self.change(|state, now| {
+    pub(crate) fn enqueue(
+        &self,
+        request: SlotRequest,
+        event_sender: SlotEventSender,
+    ) -> (SlotRequestId, bool) {
+        let id = self.update(|state, now| {
             let id = state.next_id;
             state.next_id += 1;
-            state.askers.insert(id, asker);
-            state.admission.enqueue(now, id, ask);
+            state.event_senders.insert(id, event_sender);
+            state.queue.enqueue(now, id, request);
             id
         });
-        (id, self.lock().admission.is_queued(id))
+        (id, self.lock().queue.is_queued(id))
     }
 
     /// Records that the answer to a granted request has begun.
-    pub(crate) fn began(&self, id: SlotRequestId) {
-        self.change(|state, now| state.admission.answer_began(now, id));
+    pub(crate) fn answer_began(&self, id: SlotRequestId) {
+        self.update(|state, now| state.queue.answer_began(now, id));
     }
 
     /// Ends slot requests, whether waiting or granted.
@@ -122,17 +126,17 @@
         if ids.len() == 0 {
             return;
         }
-        self.change(|state, now| {
+        self.update(|state, now| {
             for id in ids {
-                state.askers.remove(&id);
-                state.admission.request_ended(now, id);
+                state.event_senders.remove(&id);
+                state.queue.request_ended(now, id);
             }
         });
     }
 
     /// Returns a receiver that is notified when this process shuts down.
-    pub(crate) fn stopping(&self) -> watch::Receiver<bool> {
-        self.stopping.subscribe()
+    pub(crate) fn shutdown_signal(&self) -> watch::Receiver<bool> {
+        self.shutdown_signal.subscribe()
     }
 }
 
@@ -154,29 +158,29 @@
     /// Returns the system's error if the address can't be bound.
     pub async fn bind(
         address: &str,
-        rules: QueueLimits,
+        limits: QueueLimits,
         key: &ClusterKey,
         registry: &Registry,
         engine: Option<(impl Engine, Duration)>,
     ) -> io::Result<Self> {
         let shared = Arc::new(Shared {
             state: Mutex::new(State {
-                admission: AdmissionQueue::new(rules),
-                askers: HashMap::new(),
+                queue: AdmissionQueue::new(limits),
+                event_senders: HashMap::new(),
                 next_id: 1,
             }),
             changed: watch::Sender::new(0),
-            stopping: watch::Sender::new(false),
-            began: Instant::now(),
+            shutdown_signal: watch::Sender::new(false),
+            started_at: Instant::now(),
             granted: registry.counter("admission_granted", "Requests that were let through."),
             refused: registry.counter("admission_refused", "Requests that were turned away."),
         });
         let router = router(key, &shared);
         let handle = hinge_link::Server::bind(address, router, Limits::default()).await?;
-        let mut tasks = vec![tokio::spawn(look(Arc::clone(&shared)))];
+        let mut tasks = vec![tokio::spawn(reevaluate(Arc::clone(&shared)))];
         if let Some((engine, report_interval)) = engine {
-            let followed = follow_engine(engine, report_interval, Arc::clone(&shared));
-            tasks.push(tokio::spawn(followed));
+            let polling = poll_engine(engine, report_interval, Arc::clone(&shared));
+            tasks.push(tokio::spawn(polling));
         }
         info!(
             Part::Admission,
@@ -199,93 +203,93 @@
     /// Stops accepting slot requests, waits for granted ones to end, and returns whether all ended before the
     /// deadline.
     pub async fn stop(self, deadline: Duration) -> bool {
-        self.shared.stopping.send_replace(true);
-        let has_ended = self.handle.stop(deadline).await;
+        self.shared.shutdown_signal.send_replace(true);
+        let all_ended = self.handle.stop(deadline).await;
         for task in &self.tasks {
             task.abort();
         }
-        has_ended
+        all_ended
     }
 }
 
 fn router(key: &ClusterKey, shared: &Arc<Shared>) -> Router {
-    let (ask_key, ask_shared) = (key.clone(), Arc::clone(shared));
+    let (slots_key, slots_shared) = (key.clone(), Arc::clone(shared));
     let (load_key, load_shared) = (key.clone(), Arc::clone(shared));
     Router::new()
         .post(ASKS_PATH, move |request: Request| {
-            let shared = Arc::clone(&ask_shared);
-            let answered = exchange(&ask_key, request, |reader, sender| {
+            let shared = Arc::clone(&slots_shared);
+            let response = exchange(&slots_key, request, |reader, sender| {
                 session::serve(shared, reader, sender)
             });
-            async move { answered }
+            async move { response }
         })
         .post(LOAD_PATH, move |request: Request| {
             let shared = Arc::clone(&load_shared);
-            let answered = exchange(&load_key, request, |reader, sender| {
-                tell_load(shared, reader, sender)
+            let response = exchange(&load_key, request, |reader, sender| {
+                stream_load(shared, reader, sender)
             });
-            async move { answered }
+            async move { response }
         })
 }
 
 /// Re-evaluates the queue periodically, since waiting requests become late without any event.
-async fn look(shared: Arc<Shared>) {
-    let mut ticks = interval(LOOK_EVERY);
+async fn reevaluate(shared: Arc<Shared>) {
+    let mut ticks = interval(REEVALUATE_EVERY);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        if shared.lock().admission.has_waiting() {
-            shared.change(|_state, _now| ());
+        if shared.lock().queue.has_waiting() {
+            shared.update(|_state, _now| ());
         }
     }
 }
 
 /// Polls the engine periodically and applies its reports.
-async fn follow_engine(engine: impl Engine, report_interval: Duration, shared: Arc<Shared>) {
+async fn poll_engine(engine: impl Engine, report_interval: Duration, shared: Arc<Shared>) {
     let mut ticks = interval(report_interval);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut state_before = "answers";
-    let mut told_at = Instant::now();
+    let mut previous_state = "answers";
+    let mut logged_at = Instant::now();
     loop {
         ticks.tick().await;
-        let answer = engine.fetch_report().await;
-        if let ReportOutcome::Report(report) = &answer
-            && told_at.elapsed() >= TELL_EVERY
+        let outcome = engine.fetch_report().await;
+        if let ReportOutcome::Report(report) = &outcome
+            && logged_at.elapsed() >= ENGINE_LOG_INTERVAL
         {
-            told_at = Instant::now();
-            tell_engine(&shared, report);
+            logged_at = Instant::now();
+            log_engine(&shared, report);
         }
-        let engine_state = match answer {
+        let engine_state = match outcome {
             ReportOutcome::Report(_) => "answers",
             ReportOutcome::Gone => "gone",
             ReportOutcome::Silent => "silent",
         };
-        if engine_state != state_before {
+        if engine_state != previous_state {
             info!(
                 Part::Admission,
                 "The engine's answers have changed.",
                 engine = engine_state,
-                before = state_before
+                before = previous_state
             );
-            state_before = engine_state;
+            previous_state = engine_state;
         }
-        shared.change(|state, now| match &answer {
-            ReportOutcome::Report(report) => state.admission.apply_report(now, report),
-            ReportOutcome::Gone => state.admission.engine_gone(),
-            ReportOutcome::Silent => state.admission.engine_silent(),
+        shared.update(|state, now| match &outcome {
+            ReportOutcome::Report(report) => state.queue.apply_report(now, report),
+            ReportOutcome::Gone => state.queue.engine_gone(),
+            ReportOutcome::Silent => state.queue.engine_silent(),
         });
     }
 }
 
 /// Logs the queue's estimates beside the engine's own figures.
-fn tell_engine(shared: &Shared, report: &EngineReport) {
-    let (load, pace, first_event) = {
+fn log_engine(shared: &Shared, report: &EngineReport) {
+    let (load, prefill_rate, first_event_delay) = {
         let state = shared.lock();
-        let admission = &state.admission;
+        let queue = &state.queue;
         (
-            admission.load(),
-            admission.prefill_tokens_per_ms(),
-            admission.first_event_delay(),
+            queue.load(),
+            queue.prefill_tokens_per_ms(),
+            queue.first_event_delay(),
         )
     };
     info!(
@@ -297,61 +301,61 @@
         running = load.running,
         unread_tokens = load.unread_tokens,
         waiting_tokens = load.waiting_tokens,
-        pace_per_ms = pace,
-        first_event_ms = first_event.as_millis()
+        pace_per_ms = prefill_rate,
+        first_event_ms = first_event_delay.as_millis()
     );
 }
 
 /// Waits until this process shuts down.
-pub(crate) async fn stopped(stopping: &mut watch::Receiver<bool>) {
+pub(crate) async fn shutdown_requested(shutdown_signal: &mut watch::Receiver<bool>) {
     // A dropped sender means shutdown as well.
-    let _told_or_gone = stopping.wait_for(|is_stopping| *is_stopping).await;
+    let _signalled_or_dropped = shutdown_signal.wait_for(|is_stopping| *is_stopping).await;
 }
 
 /// Sends the load to a gateway whenever it has changed.
-async fn tell_load(shared: Arc<Shared>, mut reader: FrameReader<Body>, sender: FrameSender) {
-    let Ok(Some(ask)) = reader.next::<AskLoad>().await else {
+async fn stream_load(shared: Arc<Shared>, mut reader: FrameReader<Body>, sender: FrameSender) {
+    let Ok(Some(request)) = reader.next::<AskLoad>().await else {
         return;
     };
-    let interval = Duration::from_millis(ask.interval_ms);
+    let interval = Duration::from_millis(request.interval_ms);
     let mut changed = shared.changed.subscribe();
-    let mut stopping = shared.stopping();
+    let mut shutdown_signal = shared.shutdown_signal();
     let mut count = 0_u32;
     loop {
         changed.borrow_and_update();
-        let load = load(&shared, count.is_multiple_of(TEAMS_EVERY));
+        let load = load(&shared, count.is_multiple_of(LOADS_PER_TEAM_USAGE));
         count = count.wrapping_add(1);
         if sender.send(&load).await.is_err() {
             return;
         }
-        let quiet = tokio::time::sleep(interval);
+        let pause = tokio::time::sleep(interval);
         tokio::select! {
-            () = quiet => {}
+            () = pause => {}
             () = sender.closed() => return,
-            () = stopped(&mut stopping) => return,
+            () = shutdown_requested(&mut shutdown_signal) => return,
         }
-        let _changed_or_elapsed = timeout(LOAD_AT_LEAST, changed.changed()).await;
+        let _changed_or_elapsed = timeout(MAX_LOAD_INTERVAL, changed.changed()).await;
     }
 }
 
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "a use is no less than nothing, and a cast from floating point saturates"
+    reason = "usage is not negative, and a cast from floating point saturates"
 )]
 pub(crate) fn load(shared: &Shared, with_teams: bool) -> EngineLoad {
-    let now = shared.began.elapsed();
+    let now = shared.started_at.elapsed();
     let state = shared.lock();
-    let load = state.admission.load();
-    let usage = state.admission.usage();
-    let most = usage
+    let load = state.queue.load();
+    let usage = state.queue.usage();
+    let max_usage = usage
         .teams(now)
         .map(|(_, tokens)| tokens)
         .fold(0.0, f64::max);
-    let told = usage
+    let significant = usage
         .teams(now)
-        .filter(|(_, tokens)| *tokens >= most / SMALL_PART);
-    let teams = told.filter(|_| with_teams);
+        .filter(|(_, tokens)| *tokens >= max_usage / NEGLIGIBLE_USAGE_DIVISOR);
+    let teams = significant.filter(|_| with_teams);
     EngineLoad {
         running: load.running,
         unread_tokens: load.unread_tokens,
--- a/crates/admission/src/session.rs
+++ b/crates/admission/src/session.rs
@@ -14,11 +14,11 @@
 use viz::Body;
 
 use crate::request::{Decision, RefusalCause, SlotRequest, SlotRequestId};
-use crate::server::{Shared, load, millis, stopped};
+use crate::server::{Shared, load, millis, shutdown_requested};
 
 /// An event to send to the gateway about one slot request.
 #[derive(Debug)]
-pub(crate) enum News {
+pub(crate) enum SlotEvent {
     /// It waits in the queue.
     Queued,
     /// It was granted or refused.
@@ -29,41 +29,41 @@
 
 /// The sender of events about one slot request to its gateway.
 #[derive(Debug, Clone)]
-pub(crate) struct Asker {
-    ask: Arc<AdmitAsk>,
+pub(crate) struct SlotEventSender {
+    request: Arc<AdmitAsk>,
     /// Unbounded, but holds at most three events for each slot request of the gateway, which limits its requests in
     /// flight.
-    news: mpsc::UnboundedSender<(Arc<AdmitAsk>, News)>,
+    events: mpsc::UnboundedSender<(Arc<AdmitAsk>, SlotEvent)>,
 }
 
-impl Asker {
+impl SlotEventSender {
     /// Sends an event to the gateway; a gateway that has disconnected ends its slot requests anyway.
-    pub(crate) fn tell(&self, news: News) {
-        let _gateway_is_gone = self.news.send((Arc::clone(&self.ask), news));
+    pub(crate) fn send(&self, event: SlotEvent) {
+        let _gateway_is_gone = self.events.send((Arc::clone(&self.request), event));
     }
 }
 
 /// The open slot requests of one gateway; dropping it ends them, however the exchange ended.
-struct Asks {
+struct GatewaySession {
     shared: Arc<Shared>,
-    news: mpsc::UnboundedSender<(Arc<AdmitAsk>, News)>,
+    events: mpsc::UnboundedSender<(Arc<AdmitAsk>, SlotEvent)>,
     open: HashMap<u64, SlotRequestId>,
 }
 
-impl Drop for Asks {
+impl Drop for GatewaySession {
     fn drop(&mut self) {
         let open = std::mem::take(&mut self.open);
         self.shared.end(open.into_values());
     }
 }
 
-impl Asks {
-    fn hear(&mut self, word: ToAdmission) {
-        match word {
-            ToAdmission::Ask(ask) => self.ask(ask),
+impl GatewaySession {
+    fn handle_frame(&mut self, frame: ToAdmission) {
+        match frame {
+            ToAdmission::Ask(request) => self.enqueue(request),
             ToAdmission::Began(AskNumber { number }) => {
                 if let Some(id) = self.open.get(&number) {
-                    self.shared.began(*id);
+                    self.shared.answer_began(*id);
                 }
             }
             ToAdmission::Ended(AskNumber { number }) => {
@@ -73,41 +73,41 @@
         }
     }
 
-    fn ask(&mut self, ask: AdmitAsk) {
-        let queued = read_ask(&ask);
-        let asker = Asker {
-            ask: Arc::new(ask),
-            news: self.news.clone(),
+    fn enqueue(&mut self, request: AdmitAsk) {
+        let slot_request = to_slot_request(&request);
+        let event_sender = SlotEventSender {
+            request: Arc::new(request),
+            events: self.events.clone(),
         };
-        let number = asker.ask.number;
-        let (id, is_queued) = self.shared.ask(queued, asker.clone());
+        let number = event_sender.request.number;
+        let (id, is_queued) = self.shared.enqueue(slot_request, event_sender.clone());
         self.open.insert(number, id);
         if is_queued {
-            asker.tell(News::Queued);
+            event_sender.send(SlotEvent::Queued);
         }
     }
 
     /// Returns the frame for an event; a refused request is no longer open after it.
-    fn frame(&mut self, ask: &AdmitAsk, news: &News) -> FromAdmission {
-        let number = ask.number;
-        match news {
-            News::Queued => FromAdmission::Queued(AskNumber { number }),
-            News::Decided(decision) => {
-                tell_decision(ask, *decision);
+    fn frame(&mut self, request: &AdmitAsk, event: &SlotEvent) -> FromAdmission {
+        let number = request.number;
+        match event {
+            SlotEvent::Queued => FromAdmission::Queued(AskNumber { number }),
+            SlotEvent::Decided(decision) => {
+                log_decision(request, *decision);
                 if matches!(decision, Decision::Refuse { .. }) {
                     self.open.remove(&number);
                 }
                 let verdict = verdict(number, *decision, load(&self.shared, false));
                 FromAdmission::Verdict(verdict)
             }
-            News::Lost(missing) => {
+            SlotEvent::Lost(missing_for) => {
                 info!(
                     Part::Admission,
                     "The engine does not run a request any more.",
-                    id = ask.request_id,
-                    missing_ms = missing.as_millis()
+                    id = request.request_id,
+                    missing_ms = missing_for.as_millis()
                 );
-                let missing_ms = millis(*missing);
+                let missing_ms = millis(*missing_for);
                 FromAdmission::Lost(AdmitLost { number, missing_ms })
             }
         }
@@ -116,40 +116,41 @@
 
 /// Serves one gateway until its exchange ends or, during shutdown, until it has no open slot request.
 pub(crate) async fn serve(shared: Arc<Shared>, mut reader: FrameReader<Body>, sender: FrameSender) {
-    let mut stopping = shared.stopping();
-    let (news, mut to_tell) = mpsc::unbounded_channel();
-    let mut asks = Asks {
+    let mut shutdown_signal = shared.shutdown_signal();
+    let (events, mut pending) = mpsc::unbounded_channel();
+    let mut session = GatewaySession {
         shared,
-        news,
+        events,
         open: HashMap::new(),
     };
     loop {
         tokio::select! {
-            word = reader.next::<ToAdmission>() => match word {
-                Ok(Some(word)) => asks.hear(word),
+            frame = reader.next::<ToAdmission>() => match frame {
+                Ok(Some(frame)) => session.handle_frame(frame),
                 Ok(None) | Err(_) => return,
             },
-            Some((ask, news)) = to_tell.recv() => {
-                let frame = asks.frame(&ask, &news);
+            Some((request, event)) = pending.recv() => {
+                let frame = session.frame(&request, &event);
                 if sender.send(&frame).await.is_err() {
                     return;
                 }
             }
-            () = stopped(&mut stopping), if asks.open.is_empty() => return,
+            () = shutdown_requested(&mut shutdown_signal), if session.open.is_empty() => return,
         }
     }
 }
 
-fn read_ask(ask: &AdmitAsk) -> SlotRequest {
+fn to_slot_request(request: &AdmitAsk) -> SlotRequest {
     SlotRequest {
-        request_id: ask.request_id.clone(),
-        team: ask.team.clone(),
-        rank: ask.rank,
-        prompt_tokens: ask.prompt_tokens,
-        answer_tokens: ask.answer_tokens,
-        shared_prefix: (ask.shared_key != 0).then_some((ask.shared_key, ask.shared_tokens)),
-        budget: Duration::from_millis(ask.budget_ms),
-        elsewhere_tokens: ask.elsewhere_tokens,
+        request_id: request.request_id.clone(),
+        team: request.team.clone(),
+        rank: request.rank,
+        prompt_tokens: request.prompt_tokens,
+        answer_tokens: request.answer_tokens,
+        shared_prefix: (request.shared_key != 0)
+            .then_some((request.shared_key, request.shared_tokens)),
+        budget: Duration::from_millis(request.budget_ms),
+        elsewhere_tokens: request.elsewhere_tokens,
     }
 }
 
@@ -176,7 +177,7 @@
     }
 }
 
-fn tell_decision(ask: &AdmitAsk, decision: Decision) {
+fn log_decision(request: &AdmitAsk, decision: Decision) {
     match decision {
         Decision::Grant {
             waited,
@@ -185,14 +186,14 @@
         } => info!(
             Part::Admission,
             "Granted.",
-            id = ask.request_id,
-            team = ask.team,
-            rank = ask.rank,
-            elsewhere_tokens = ask.elsewhere_tokens,
+            id = request.request_id,
+            team = request.team,
+            rank = request.rank,
+            elsewhere_tokens = request.elsewhere_tokens,
             waited_ms = waited.as_millis(),
             ahead_tokens = ahead_tokens,
-            prompt_tokens = ask.prompt_tokens,
-            answer_tokens = ask.answer_tokens
+            prompt_tokens = request.prompt_tokens,
+            answer_tokens = request.answer_tokens
         ),
         Decision::Refuse {
             retry_after,
@@ -202,18 +203,18 @@
         } => info!(
             Part::Admission,
             "Refused.",
-            id = ask.request_id,
+            id = request.request_id,
             cause = match cause {
                 RefusalCause::Late => "late",
                 RefusalCause::EngineGone => "engine_gone",
             },
-            team = ask.team,
-            rank = ask.rank,
-            elsewhere_tokens = ask.elsewhere_tokens,
-            budget_ms = ask.budget_ms,
+            team = request.team,
+            rank = request.rank,
+            elsewhere_tokens = request.elsewhere_tokens,
+            budget_ms = request.budget_ms,
             ahead_tokens = ahead_tokens,
-            prompt_tokens = ask.prompt_tokens,
-            answer_tokens = ask.answer_tokens,
+            prompt_tokens = request.prompt_tokens,
+            answer_tokens = request.answer_tokens,
             retry_after_ms = retry_after.as_millis()
         ),
     }
--- a/crates/admission/src/usage.rs
+++ b/crates/admission/src/usage.rs
@@ -7,23 +7,23 @@
 const HALF_LIFE: Duration = Duration::from_secs(2);
 
 /// Half-life of short-term usage: an engine prefills about three requests in it.
-const SHORT_HALF_LIFE: Duration = Duration::from_millis(500);
+const SHORT_TERM_HALF_LIFE: Duration = Duration::from_millis(500);
 
 /// Usage below which a team is dropped, in tokens.
-const FORGET_BELOW: f64 = 1.0;
+const MIN_TRACKED_TOKENS: f64 = 1.0;
 
-/// Number of teams from which on those with negligible usage are dropped.
-const MANY_TEAMS: usize = 4096;
+/// Number of teams at which those with negligible usage are dropped.
+const PRUNE_TEAMS_FROM: usize = 4096;
 
 #[derive(Debug, Clone, Copy)]
-struct Used {
+struct DecayedCount {
     tokens: f64,
-    at: Duration,
+    recorded_at: Duration,
 }
 
-impl Used {
-    fn at(self, now: Duration, half_life: Duration) -> f64 {
-        let age = now.saturating_sub(self.at).as_secs_f64();
+impl DecayedCount {
+    fn tokens_at(self, now: Duration, half_life: Duration) -> f64 {
+        let age = now.saturating_sub(self.recorded_at).as_secs_f64();
         self.tokens * 0.5_f64.powf(age / half_life.as_secs_f64())
     }
 }
@@ -31,7 +31,7 @@
 /// An exponentially decayed count of tokens for each team.
 #[derive(Debug)]
 pub struct TeamUsage {
-    teams: HashMap<Box<str>, Used>,
+    teams: HashMap<Box<str>, DecayedCount>,
     half_life: Duration,
 }
 
@@ -46,9 +46,9 @@
 
 impl TeamUsage {
     /// Creates a counter that covers only the last few requests.
-    pub(crate) fn of_late() -> Self {
+    pub(crate) fn short_term() -> Self {
         Self {
-            half_life: SHORT_HALF_LIFE,
+            half_life: SHORT_TERM_HALF_LIFE,
             ..Self::default()
         }
     }
@@ -56,41 +56,41 @@
     /// Returns the recent usage of a team, in tokens.
     #[must_use]
     pub fn tokens(&self, now: Duration, team: &str) -> f64 {
-        let used = self.teams.get(team);
-        used.map_or(0.0, |used| used.at(now, self.half_life))
+        let count = self.teams.get(team);
+        count.map_or(0.0, |count| count.tokens_at(now, self.half_life))
     }
 
     /// Adds tokens to a team's usage.
     pub fn add(&mut self, now: Duration, team: &str, tokens: u32) {
         let before = self.tokens(now, team);
-        let used = Used {
+        let count = DecayedCount {
             tokens: before + f64::from(tokens),
-            at: now,
+            recorded_at: now,
         };
-        if let Some(known) = self.teams.get_mut(team) {
-            *known = used;
+        if let Some(entry) = self.teams.get_mut(team) {
+            *entry = count;
             return;
         }
-        if self.teams.len() >= MANY_TEAMS {
+        if self.teams.len() >= PRUNE_TEAMS_FROM {
             let half_life = self.half_life;
             self.teams
-                .retain(|_, used| used.at(now, half_life) >= FORGET_BELOW);
+                .retain(|_, count| count.tokens_at(now, half_life) >= MIN_TRACKED_TOKENS);
         }
-        self.teams.insert(team.into(), used);
+        self.teams.insert(team.into(), count);
     }
 
     /// Subtracts tokens that were added at an earlier time, decayed since then.
-    pub(crate) fn take_back(&mut self, now: Duration, team: &str, tokens: u32, since: Duration) {
-        let left = Used {
+    pub(crate) fn refund(&mut self, now: Duration, team: &str, tokens: u32, added_at: Duration) {
+        let refunded = DecayedCount {
             tokens: f64::from(tokens),
-            at: since,
+            recorded_at: added_at,
         }
-        .at(now, self.half_life);
+        .tokens_at(now, self.half_life);
         let before = self.tokens(now, team);
-        if let Some(known) = self.teams.get_mut(team) {
-            *known = Used {
-                tokens: (before - left).max(0.0),
-                at: now,
+        if let Some(entry) = self.teams.get_mut(team) {
+            *entry = DecayedCount {
+                tokens: (before - refunded).max(0.0),
+                recorded_at: now,
             };
         }
     }
@@ -99,16 +99,16 @@
     pub fn set(&mut self, now: Duration, team: &str, tokens: u64) {
         #[expect(
             clippy::cast_precision_loss,
-            reason = "the use of a few seconds is far below 2^52"
+            reason = "the usage of a few seconds is far below 2^52"
         )]
-        let used = Used {
+        let count = DecayedCount {
             tokens: tokens as f64,
-            at: now,
+            recorded_at: now,
         };
-        if let Some(known) = self.teams.get_mut(team) {
-            *known = used;
+        if let Some(entry) = self.teams.get_mut(team) {
+            *entry = count;
         } else if tokens > 0 {
-            self.teams.insert(team.into(), used);
+            self.teams.insert(team.into(), count);
         }
     }
 
@@ -116,7 +116,7 @@
     pub fn teams(&self, now: Duration) -> impl Iterator<Item = (&str, f64)> {
         let teams = self.teams.iter();
         teams
-            .map(move |(team, used)| (&**team, used.at(now, self.half_life)))
-            .filter(|(_, tokens)| *tokens >= FORGET_BELOW)
+            .map(move |(team, count)| (&**team, count.tokens_at(now, self.half_life)))
+            .filter(|(_, tokens)| *tokens >= MIN_TRACKED_TOKENS)
     }
 }
