--- a/crates/admission/tests/model/mod.rs
+++ b/crates/admission/tests/model/mod.rs
@@ -1,6 +1,6 @@
-//! Models several engines with a queue before each, gateways that ask them, and late word of what the teams have used.
+//! Simulates several engines with a queue each, gateways that request slots, and delayed team usage reports.
 //!
-//! Service counts where it begins, as callers see it; what the queues themselves charge is not looked at.
+//! Service counts when the answer begins, as callers see it; what the queues charge is ignored.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::ops::Range;
@@ -14,113 +14,113 @@
     Backlog, Candidate, ChoiceRules, Lag, Room, choose, choose_again, load_interval,
 };
 
-const RULES: QueueLimits = QueueLimits {
+const LIMITS: QueueLimits = QueueLimits {
     max_unread_tokens: 1_000,
     max_running: 64,
     kv_tokens: 280_000,
     max_wait_permille: 700,
 };
 
-/// Engines of the model.
+/// Number of engines.
 pub const ENGINES: usize = 12;
 
-/// Tokens that an engine reads in a millisecond.
-const READ_PER_MS: u32 = 40;
+/// Prompt tokens that an engine prefills per millisecond.
+const PREFILL_TOKENS_PER_MS: u32 = 40;
 
-/// Tokens of each answer.
+/// Length of each answer.
 const ANSWER_TOKENS: u32 = 50;
 
-/// Time between the end of reading and the end of an answer.
-const ANSWER_MS: u64 = 400;
+/// Time from the end of prefill to the end of the answer.
+const ANSWER_DURATION_MS: u64 = 400;
 
-/// Time between two words of what the teams have used.
-const TOLD_EVERY_MS: u64 = 500;
+/// Interval between reports of team usage.
+const USAGE_INTERVAL_MS: u64 = 500;
 
-/// Time in which an answer has to begin.
-const AIM: Duration = Duration::from_millis(500);
+/// Time within which an answer has to begin.
+const FIRST_EVENT_TARGET: Duration = Duration::from_millis(500);
 
-/// Time between two questions of how far an engine is.
-const REPORT_EVERY_MS: u64 = 100;
+/// Interval between polls of an engine.
+const REPORT_INTERVAL_MS: u64 = 100;
 
-/// Time over which the shares of two hot teams are compared.
+/// Window over which the service of hot teams is compared.
 const WINDOW_MS: u64 = 6_000;
 
-/// Connections that a gateway tries for one request.
-const MAX_NOT_SENT: usize = 4;
+/// Maximum number of connections that a gateway tries for one request.
+const MAX_FAILED_CONNECTIONS: usize = 4;
 
-/// Prompt tokens that make an engine nearly idle.
+/// Backlog in prompt tokens up to which an engine counts as nearly idle.
 const IDLE_TOKENS: u32 = 3_000;
 
 fn ms(time_ms: u64) -> Duration {
     Duration::from_millis(time_ms)
 }
 
-/// Describes a team that asks for more than its share, from a moment on.
+/// A team that requests more than its fair share from a given time on.
 #[derive(Debug, Clone)]
-pub struct Hot {
+pub struct HotTeam {
     pub name: &'static str,
     pub from_ms: u64,
-    /// Time between two asks.
+    /// Interval between requests.
     pub every_ms: u64,
     pub prompt_tokens: u32,
-    /// Engines that keep its shared parts, which are asked first; without any all are asked in turn.
-    pub homes: Range<usize>,
+    /// Engines that cache its prefixes and are asked first; if empty, all engines are asked in turn.
+    pub cached_on: Range<usize>,
 }
 
-/// Describes engines that end at a moment, and start again later.
+/// An outage of some engines, which end and restart later.
 #[derive(Debug, Clone)]
 pub struct Outage {
     pub engines: Range<usize>,
     pub at_ms: u64,
     pub until_ms: u64,
-    /// Whether their admissions notice that nothing listens; otherwise they take them for silent.
+    /// Whether their admissions notice that nothing listens; otherwise the engines seem silent.
     pub is_noticed: bool,
 }
 
-/// Says how soon gateways hear of the engines' loads.
+/// How gateways learn the load of engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum News {
-    /// Each gateway knows them as they are.
-    AtOnce,
-    /// They are told from time to time; in between each gateway counts its own asks only.
-    Late,
+pub enum LoadUpdates {
+    /// Every gateway always knows the current load.
+    Immediate,
+    /// Loads are published periodically; in between each gateway adds only its own requests.
+    Periodic,
 }
 
-/// Gateways among which requests are spread.
+/// Number of gateways that requests are spread over.
 const GATEWAYS: usize = 7;
 
-/// What gateways know of an engine.
+/// The load of an engine as gateways know it.
 #[derive(Debug, Clone, Copy, Default)]
-struct Known {
+struct KnownLoad {
     load: Load,
-    /// Tokens that each gateway has asked a place for since then.
-    since: [u32; GATEWAYS],
+    /// Prompt tokens that each gateway has requested slots for since then.
+    added_tokens: [u32; GATEWAYS],
 }
 
 struct Engine {
-    admission: AdmissionQueue,
+    queue: AdmissionQueue,
     started_unix_ms: u64,
-    answers: bool,
+    is_up: bool,
     /// Whether its admission can tell that it is gone.
     is_noticed: bool,
-    reading: VecDeque<(SlotRequestId, u32)>,
-    answering: VecDeque<(SlotRequestId, u64)>,
-    /// What the teams have used here, as it was told last.
-    told: BTreeMap<Box<str>, u64>,
-    known: Known,
+    prefilling: VecDeque<(SlotRequestId, u32)>,
+    decoding: VecDeque<(SlotRequestId, u64)>,
+    /// Team usage at this engine, as last reported.
+    reported_usage: BTreeMap<Box<str>, u64>,
+    known_load: KnownLoad,
 }
 
-/// Holds the team, the time in milliseconds and the tokens of one request.
-type Served = (Box<str>, u64, u32);
+/// Team, time in milliseconds and tokens of one request.
+type ServiceRecord = (Box<str>, u64, u32);
 
-/// Holds a request until it is granted for good, or given up.
+/// A request until it is sent to an engine or given up.
 #[derive(Debug, Clone)]
 struct Request {
     team: Box<str>,
     prompt_tokens: u32,
-    came_ms: u64,
+    arrived_ms: u64,
     gateway: usize,
-    /// Engines that were asked, the last one last.
+    /// Engines asked so far, in order.
     tried: Vec<usize>,
     refused: usize,
     gone: usize,
@@ -133,29 +133,29 @@
     }
 }
 
-/// Holds the engines and what became of the requests.
-pub struct World {
+/// The engines and the outcome of all requests.
+pub struct Simulation {
     engines: Vec<Engine>,
     requests: BTreeMap<SlotRequestId, Request>,
-    /// Team, time and tokens of each request that came, and of each that began.
-    requested: Vec<Served>,
-    begun: Vec<Served>,
+    /// Every request that arrived, and every one whose answer began.
+    requested: Vec<ServiceRecord>,
+    begun: Vec<ServiceRecord>,
     now_ms: u64,
     next_id: SlotRequestId,
-    news: News,
+    load_updates: LoadUpdates,
 }
 
-impl World {
-    fn new(news: News) -> Self {
+impl Simulation {
+    fn new(load_updates: LoadUpdates) -> Self {
         let engine = || Engine {
-            admission: AdmissionQueue::new(RULES),
+            queue: AdmissionQueue::new(LIMITS),
             started_unix_ms: 1,
-            answers: true,
+            is_up: true,
             is_noticed: false,
-            reading: VecDeque::new(),
-            answering: VecDeque::new(),
-            told: BTreeMap::new(),
-            known: Known::default(),
+            prefilling: VecDeque::new(),
+            decoding: VecDeque::new(),
+            reported_usage: BTreeMap::new(),
+            known_load: KnownLoad::default(),
         };
         Self {
             engines: std::iter::repeat_with(engine).take(ENGINES).collect(),
@@ -164,31 +164,33 @@
             begun: Vec::new(),
             now_ms: 0,
             next_id: 1,
-            news,
+            load_updates,
         }
     }
 
-    fn used_elsewhere(&self, team: &str, place: usize) -> u64 {
+    fn usage_elsewhere(&self, team: &str, index: usize) -> u64 {
         let others = self.engines.iter().enumerate();
-        let others = others.filter(|(other, _)| *other != place);
-        others.filter_map(|(_, engine)| engine.told.get(team)).sum()
+        let others = others.filter(|(other, _)| *other != index);
+        others
+            .filter_map(|(_, engine)| engine.reported_usage.get(team))
+            .sum()
     }
 
-    /// Takes a request, and asks for it at an engine.
-    fn request(&mut self, team: &str, prompt_tokens: u32, homes: &Range<usize>) {
+    /// Accepts a request and requests a slot for it at an engine.
+    fn request(&mut self, team: &str, prompt_tokens: u32, cached_on: &Range<usize>) {
         let id = self.next_id;
         self.next_id += 1;
-        let turn = usize::try_from(id).expect("ids are few") * 7;
-        let first = match homes.len() {
-            0 => turn % ENGINES,
-            count => homes.start + turn % count,
+        let spread = usize::try_from(id).expect("ids are few") * 7;
+        let first = match cached_on.len() {
+            0 => spread % ENGINES,
+            count => cached_on.start + spread % count,
         };
         let request = Request {
             team: team.into(),
             prompt_tokens,
-            came_ms: self.now_ms,
-            // Requests of a team come to the gateways in an uneven order.
-            gateway: turn / 3 % GATEWAYS,
+            arrived_ms: self.now_ms,
+            // The requests of a team reach the gateways in an uneven order.
+            gateway: spread / 3 % GATEWAYS,
             tried: vec![first],
             refused: 0,
             gone: 0,
@@ -197,73 +199,80 @@
         self.requested
             .push((team.into(), self.now_ms, request.tokens()));
         self.requests.insert(id, request);
-        self.ask(id, first);
+        self.submit(id, first);
     }
 
-    /// Asks for a request at an engine that was not asked yet, as a gateway does; gives it up where too many were.
-    fn ask_elsewhere(&mut self, id: SlotRequestId) {
+    /// Requests a slot at another engine, as a gateway does; gives up after too many attempts.
+    fn retry_elsewhere(&mut self, id: SlotRequestId) {
         let request = &self.requests[&id];
         let lag = self.lag(&request.team);
-        let may_ask = request.refused < lag.max_asked()
-            && request.gone < MAX_NOT_SENT
-            && request.not_sent < MAX_NOT_SENT;
-        let next = may_ask.then(|| self.choose(request, lag)).flatten();
+        let may_retry = request.refused < lag.max_asked()
+            && request.gone < MAX_FAILED_CONNECTIONS
+            && request.not_sent < MAX_FAILED_CONNECTIONS;
+        let next = may_retry.then(|| self.choose(request, lag)).flatten();
         match next {
-            Some(place) => {
-                let request = self.requests.get_mut(&id).expect("it was just looked at");
-                request.tried.push(place);
-                self.ask(id, place);
+            Some(index) => {
+                let request = self.requests.get_mut(&id).expect("the request is open");
+                request.tried.push(index);
+                self.submit(id, index);
             }
             None => _ = self.requests.remove(&id),
         }
     }
 
-    /// Compares what teams have used at all engines, as gateways are told.
+    /// Compares team usage across all engines, as gateways know it.
     fn lag(&self, team: &str) -> Lag {
-        let mut uses: BTreeMap<&str, u64> = BTreeMap::new();
-        for (team, tokens) in self.engines.iter().flat_map(|engine| &engine.told) {
-            *uses.entry(team).or_default() += tokens;
+        let mut usage: BTreeMap<&str, u64> = BTreeMap::new();
+        for (team, tokens) in self
+            .engines
+            .iter()
+            .flat_map(|engine| &engine.reported_usage)
+        {
+            *usage.entry(team).or_default() += tokens;
         }
-        let most = uses.values().copied().max().unwrap_or_default();
-        Lag::of(uses.get(team).copied().unwrap_or_default(), most)
+        let most = usage.values().copied().max().unwrap_or_default();
+        Lag::of(usage.get(team).copied().unwrap_or_default(), most)
     }
 
     /// Chooses an engine for a request that others refused or lost, as a gateway does.
     fn choose(&self, request: &Request, lag: Lag) -> Option<usize> {
-        let is_gone = |place: &usize| self.engines[*place].admission.load().engine_is_gone;
-        let places: Vec<usize> = (0..ENGINES)
-            .filter(|place| !request.tried.contains(place) && !is_gone(place))
+        let is_gone = |index: &usize| self.engines[*index].queue.load().engine_is_gone;
+        let indices: Vec<usize> = (0..ENGINES)
+            .filter(|index| !request.tried.contains(index) && !is_gone(index))
             .collect();
-        let candidates: Vec<Candidate> = places
+        let candidates: Vec<Candidate> = indices
             .iter()
-            .map(|place| self.candidate(*place, request.gateway))
+            .map(|index| self.candidate(*index, request.gateway))
             .collect();
         let rules = ChoiceRules::default();
         let chosen = if request.refused == 0 {
             choose(&candidates, None, 0, &rules, 0)
         } else {
-            let left = AIM.saturating_sub(ms(self.now_ms - request.came_ms));
+            let left = FIRST_EVENT_TARGET.saturating_sub(ms(self.now_ms - request.arrived_ms));
             let room = Room {
                 idle_tokens: IDLE_TOKENS,
                 readable_tokens: rules.readable_tokens(left),
             };
             choose_again(&candidates, None, 0, &rules, lag, room, 0)
         };
-        chosen.map(|chosen| places[chosen])
+        chosen.map(|chosen| indices[chosen])
     }
 
-    fn candidate(&self, place: usize, gateway: usize) -> Candidate {
-        let engine = &self.engines[place];
-        let (load, since) = match self.news {
-            News::AtOnce => (engine.admission.load(), 0),
-            News::Late => (engine.known.load, engine.known.since[gateway]),
+    fn candidate(&self, index: usize, gateway: usize) -> Candidate {
+        let engine = &self.engines[index];
+        let (load, added_tokens) = match self.load_updates {
+            LoadUpdates::Immediate => (engine.queue.load(), 0),
+            LoadUpdates::Periodic => (
+                engine.known_load.load,
+                engine.known_load.added_tokens[gateway],
+            ),
         };
         Candidate {
-            hash: u64::try_from(place).expect("engines are few"),
+            hash: u64::try_from(index).expect("engines are few"),
             running: load.running,
-            slots: RULES.max_running,
+            slots: LIMITS.max_running,
             backlog: Backlog {
-                unread_tokens: load.unread_tokens + since,
+                unread_tokens: load.unread_tokens + added_tokens,
                 waiting_tokens: load.waiting_tokens,
             },
             is_near: true,
@@ -271,134 +280,133 @@
         }
     }
 
-    fn ask(&mut self, id: SlotRequestId, place: usize) {
+    fn submit(&mut self, id: SlotRequestId, index: usize) {
         let request = &self.requests[&id];
-        let waited = ms(self.now_ms - request.came_ms);
-        self.engines[place].known.since[request.gateway] += request.prompt_tokens;
-        let ask = SlotRequest {
+        let waited = ms(self.now_ms - request.arrived_ms);
+        self.engines[index].known_load.added_tokens[request.gateway] += request.prompt_tokens;
+        let slot_request = SlotRequest {
             request_id: id.to_string().into(),
             team: request.team.clone(),
             rank: 1,
             prompt_tokens: request.prompt_tokens,
             answer_tokens: ANSWER_TOKENS,
             shared_prefix: None,
-            budget: AIM.saturating_sub(waited),
-            elsewhere_tokens: self.used_elsewhere(&request.team, place),
+            budget: FIRST_EVENT_TARGET.saturating_sub(waited),
+            elsewhere_tokens: self.usage_elsewhere(&request.team, index),
         };
-        self.engines[place]
-            .admission
-            .enqueue(ms(self.now_ms), id, ask);
-        self.decide(place);
+        self.engines[index]
+            .queue
+            .enqueue(ms(self.now_ms), id, slot_request);
+        self.decide(index);
     }
 
-    /// Follows what an engine's queue decides.
-    fn decide(&mut self, place: usize) {
+    /// Carries out the decisions of an engine's queue.
+    fn decide(&mut self, index: usize) {
         let now = ms(self.now_ms);
-        for decision in self.engines[place].admission.decide(now) {
+        for decision in self.engines[index].queue.decide(now) {
             match decision {
-                Decision::Grant { id, .. } => self.granted(id, place),
+                Decision::Grant { id, .. } => self.granted(id, index),
                 Decision::Refuse { id, cause, .. } => {
-                    let request = self.requests.get_mut(&id).expect("it was asked for");
+                    let request = self.requests.get_mut(&id).expect("the request is open");
                     match cause {
                         RefusalCause::Late => request.refused += 1,
                         RefusalCause::EngineGone => request.gone += 1,
                     }
-                    self.ask_elsewhere(id);
+                    self.retry_elsewhere(id);
                 }
             }
         }
     }
 
-    fn granted(&mut self, id: SlotRequestId, place: usize) {
-        let engine = &mut self.engines[place];
-        let request = self.requests.get_mut(&id).expect("it was asked for");
-        if engine.answers {
-            engine.reading.push_back((id, request.prompt_tokens));
+    fn granted(&mut self, id: SlotRequestId, index: usize) {
+        let engine = &mut self.engines[index];
+        let request = self.requests.get_mut(&id).expect("the request is open");
+        if engine.is_up {
+            engine.prefilling.push_back((id, request.prompt_tokens));
             return;
         }
-        // No connection: the place is given back.
+        // The connection fails, so the slot is released.
         request.not_sent += 1;
-        engine.admission.request_ended(ms(self.now_ms), id);
-        self.ask_elsewhere(id);
+        engine.queue.request_ended(ms(self.now_ms), id);
+        self.retry_elsewhere(id);
     }
 
     fn step(&mut self) {
         self.now_ms += 1;
-        for place in 0..ENGINES {
-            self.read(place);
-            self.end_answers(place);
-            if self.now_ms.is_multiple_of(REPORT_EVERY_MS) {
-                self.report(place);
+        for index in 0..ENGINES {
+            self.prefill(index);
+            self.complete_answers(index);
+            if self.now_ms.is_multiple_of(REPORT_INTERVAL_MS) {
+                self.poll(index);
             }
-            self.tell_load(place);
-            if self.now_ms.is_multiple_of(TOLD_EVERY_MS) {
-                self.tell_use(place);
+            self.publish_load(index);
+            if self.now_ms.is_multiple_of(USAGE_INTERVAL_MS) {
+                self.publish_usage(index);
             }
-            self.decide(place);
+            self.decide(index);
         }
     }
 
-    fn read(&mut self, place: usize) {
-        let engine = &mut self.engines[place];
-        let mut left = READ_PER_MS;
-        while let Some((id, tokens)) = engine.reading.front_mut() {
-            let read = left.min(*tokens);
-            *tokens -= read;
-            left -= read;
+    fn prefill(&mut self, index: usize) {
+        let engine = &mut self.engines[index];
+        let mut left = PREFILL_TOKENS_PER_MS;
+        while let Some((id, tokens)) = engine.prefilling.front_mut() {
+            let prefilled = left.min(*tokens);
+            *tokens -= prefilled;
+            left -= prefilled;
             if *tokens > 0 {
                 return;
             }
-            engine.admission.answer_began(ms(self.now_ms), *id);
+            engine.queue.answer_began(ms(self.now_ms), *id);
             let request = &self.requests[id];
-            let served = (request.team.clone(), self.now_ms, request.tokens());
-            self.begun.push(served);
-            engine.answering.push_back((*id, self.now_ms + ANSWER_MS));
-            engine.reading.pop_front();
+            let record = (request.team.clone(), self.now_ms, request.tokens());
+            self.begun.push(record);
+            engine
+                .decoding
+                .push_back((*id, self.now_ms + ANSWER_DURATION_MS));
+            engine.prefilling.pop_front();
         }
     }
 
-    fn end_answers(&mut self, place: usize) {
-        let engine = &mut self.engines[place];
-        while let Some((id, _)) = engine
-            .answering
-            .pop_front_if(|(_, end)| *end <= self.now_ms)
-        {
-            engine.admission.request_ended(ms(self.now_ms), id);
+    fn complete_answers(&mut self, index: usize) {
+        let engine = &mut self.engines[index];
+        while let Some((id, _)) = engine.decoding.pop_front_if(|(_, end)| *end <= self.now_ms) {
+            engine.queue.request_ended(ms(self.now_ms), id);
         }
     }
 
-    fn report(&mut self, place: usize) {
-        let engine = &mut self.engines[place];
-        if !engine.answers {
+    fn poll(&mut self, index: usize) {
+        let engine = &mut self.engines[index];
+        if !engine.is_up {
             if engine.is_noticed {
-                engine.admission.engine_gone();
+                engine.queue.engine_gone();
             } else {
-                engine.admission.engine_silent();
+                engine.queue.engine_silent();
             }
             return;
         }
         let report = EngineReport {
             started_unix_ms: Some(engine.started_unix_ms),
-            // Nobody is taken for missing while something waits in the engine.
+            // No request counts as missing while any is queued in the engine.
             queued: 1,
             ..EngineReport::default()
         };
-        engine.admission.apply_report(ms(self.now_ms), &report);
+        engine.queue.apply_report(ms(self.now_ms), &report);
     }
 
-    /// Tells the load of an engine where it is due; each engine tells it at other moments.
-    fn tell_load(&mut self, place: usize) {
+    /// Publishes the load of an engine when due; the engines take turns.
+    fn publish_load(&mut self, index: usize) {
         let every = load_interval(ENGINES, true);
-        let place_in_turn = u32::try_from(place).expect("engines are few");
-        let shift = every * place_in_turn / u32::try_from(ENGINES).expect("engines are few");
+        let position = u32::try_from(index).expect("engines are few");
+        let shift = every * position / u32::try_from(ENGINES).expect("engines are few");
         if (ms(self.now_ms) + shift)
             .as_millis()
             .is_multiple_of(every.as_millis())
         {
-            let engine = &mut self.engines[place];
-            engine.known = Known {
-                load: engine.admission.load(),
-                since: [0; GATEWAYS],
+            let engine = &mut self.engines[index];
+            engine.known_load = KnownLoad {
+                load: engine.queue.load(),
+                added_tokens: [0; GATEWAYS],
             };
         }
     }
@@ -406,82 +414,88 @@
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
-        reason = "a use is no less than nothing, and far below 2^52"
+        reason = "usage is not negative, and far below 2^52"
     )]
-    fn tell_use(&mut self, place: usize) {
-        let engine = &mut self.engines[place];
-        let usage = engine.admission.usage();
-        let told = usage
+    fn publish_usage(&mut self, index: usize) {
+        let engine = &mut self.engines[index];
+        let usage = engine.queue.usage();
+        let reported_usage = usage
             .teams(ms(self.now_ms))
             .map(|(team, tokens)| (team.into(), tokens as u64));
-        engine.told = told.collect();
+        engine.reported_usage = reported_usage.collect();
     }
 
-    /// Ends engines with all that they run, or starts them again.
-    fn follow(&mut self, outage: &Outage) {
+    /// Ends engines together with their requests, or restarts them.
+    fn apply_outage(&mut self, outage: &Outage) {
         for engine in &mut self.engines[outage.engines.clone()] {
             if self.now_ms == outage.at_ms {
-                engine.answers = false;
+                engine.is_up = false;
                 engine.is_noticed = outage.is_noticed;
-                let reading = engine.reading.drain(..).map(|(id, _)| id);
-                let running = reading.chain(engine.answering.drain(..).map(|(id, _)| id));
+                let prefilling = engine.prefilling.drain(..).map(|(id, _)| id);
+                let running = prefilling.chain(engine.decoding.drain(..).map(|(id, _)| id));
                 for id in running {
-                    engine.admission.request_ended(ms(self.now_ms), id);
+                    engine.queue.request_ended(ms(self.now_ms), id);
                 }
             } else if self.now_ms == outage.until_ms {
-                engine.answers = true;
+                engine.is_up = true;
                 engine.started_unix_ms += 1;
             }
         }
     }
 
-    /// Plays some hot teams, and small ones beside them that use a fifth of the engines.
-    pub fn play(hot: &[Hot], outages: &[Outage], news: News, until_ms: u64) -> Self {
-        let mut world = Self::new(news);
-        while world.now_ms < until_ms {
+    /// Runs hot teams beside small ones that use a fifth of the engines.
+    pub fn run(
+        hot: &[HotTeam],
+        outages: &[Outage],
+        load_updates: LoadUpdates,
+        until_ms: u64,
+    ) -> Self {
+        let mut sim = Self::new(load_updates);
+        while sim.now_ms < until_ms {
             for outage in outages {
-                world.follow(outage);
+                sim.apply_outage(outage);
             }
             for team in hot {
-                let since = world.now_ms.checked_sub(team.from_ms);
+                let since = sim.now_ms.checked_sub(team.from_ms);
                 if since.is_some_and(|since| since.is_multiple_of(team.every_ms)) {
-                    world.request(team.name, team.prompt_tokens, &team.homes);
+                    sim.request(team.name, team.prompt_tokens, &team.cached_on);
                 }
             }
-            if world.now_ms.is_multiple_of(20) {
-                let team = format!("small-{}", world.now_ms / 20 % 23);
-                world.request(&team, 2_000, &(0..0));
+            if sim.now_ms.is_multiple_of(20) {
+                let team = format!("small-{}", sim.now_ms / 20 % 23);
+                sim.request(&team, 2_000, &(0..0));
             }
-            world.step();
+            sim.step();
         }
-        world
+        sim
     }
 
-    fn begun_by(&self, team: &str, from_ms: u64) -> u64 {
+    fn service_of(&self, team: &str, from_ms: u64) -> u64 {
         sum(&self.begun, team, from_ms, WINDOW_MS)
     }
 
-    /// Checks that in each window each team has half of what it asked for or the best served one had, whichever is less, second by
-    /// second, but for three requests.
-    pub fn check_owed(&self, teams: &[Hot], from_ms: u64) {
+    /// Checks that in each window every team gets at least half of what it is owed, apart from three requests.
+    ///
+    /// In each second a team is owed what it requested or what the best served team got, whichever is less.
+    pub fn assert_owed_service(&self, teams: &[HotTeam], from_ms: u64) {
         for from in (from_ms..=self.now_ms - WINDOW_MS).step_by(250) {
             let best = teams
                 .iter()
-                .max_by_key(|team| self.begun_by(team.name, from))
+                .max_by_key(|team| self.service_of(team.name, from))
                 .expect("there are teams");
             for team in teams {
                 let owed: u64 = (from..from + WINDOW_MS)
                     .step_by(1_000)
                     .map(|second| {
-                        let asked = sum(&self.requested, team.name, second, 1_000);
-                        asked.min(sum(&self.begun, best.name, second, 1_000))
+                        let requested = sum(&self.requested, team.name, second, 1_000);
+                        requested.min(sum(&self.begun, best.name, second, 1_000))
                     })
                     .sum();
                 let slack = 3 * u64::from(team.prompt_tokens + 2 * ANSWER_TOKENS);
-                let begun = self.begun_by(team.name, from);
+                let begun = self.service_of(team.name, from);
                 assert!(
                     (begun + slack) * 2 >= owed,
-                    "{} from {from} ms: began {begun} of {owed} beside {}",
+                    "{} from {from} ms: served {begun} of {owed} tokens owed, beside {}",
                     team.name,
                     best.name
                 );
@@ -489,14 +503,15 @@
         }
     }
 
-    /// Checks that in each window no hot team has less than half of the one with the most, but for three requests.
-    pub fn check_shares(&self, hot: &[Hot], from_ms: u64) {
+    /// Checks that in each window every hot team gets at least half of what the best served one gets, apart from
+    /// three requests.
+    pub fn assert_similar_service(&self, hot: &[HotTeam], from_ms: u64) {
         let largest = hot.iter().map(|team| team.prompt_tokens + 100).max();
         let slack = 3 * u64::from(largest.expect("there are hot teams"));
         for from in (from_ms..=self.now_ms - WINDOW_MS).step_by(250) {
             let tokens = hot
                 .iter()
-                .map(|team| (team.name, self.begun_by(team.name, from)));
+                .map(|team| (team.name, self.service_of(team.name, from)));
             let tokens: Vec<(&str, u64)> = tokens.collect();
             let most = tokens
                 .iter()
@@ -513,7 +528,7 @@
     }
 }
 
-fn sum(served: &[Served], team: &str, from_ms: u64, for_ms: u64) -> u64 {
+fn sum(served: &[ServiceRecord], team: &str, from_ms: u64, for_ms: u64) -> u64 {
     let window = from_ms..from_ms + for_ms;
     let served = served
         .iter()
@@ -521,13 +536,13 @@
     served.map(|(_, _, tokens)| u64::from(*tokens)).sum()
 }
 
-/// Describes a hot team whose requests are spread over all engines.
-pub fn hot(name: &'static str, from_ms: u64, every_ms: u64, prompt_tokens: u32) -> Hot {
-    Hot {
+/// Returns a hot team whose requests are spread over all engines.
+pub fn hot(name: &'static str, from_ms: u64, every_ms: u64, prompt_tokens: u32) -> HotTeam {
+    HotTeam {
         name,
         from_ms,
         every_ms,
         prompt_tokens,
-        homes: 0..0,
+        cached_on: 0..0,
     }
 }
--- a/crates/admission/tests/multi_engine.rs
+++ b/crates/admission/tests/multi_engine.rs
@@ -1,27 +1,28 @@
-//! Replays loads on the queues of several engines, which tell each other late what the teams have used.
+//! Checks fair shares across the queues of several engines that learn each other's team usage with a delay.
 //!
-//! The load pattern: a team has most of a fleet to itself, and then others ask for more than their shares as well. What it had
-//! too much of may be taken back, but in no six seconds may it get less than half of what another hot team gets.
+//! The case behind these tests: a team has most of the engines to itself, and then others exceed their shares as
+//! well. Its lead may be taken back, but over any six seconds it must get at least half the service of every other
+//! hot team.
 
 mod model;
 
 use hinge_cases::cases;
 
-use model::{Hot, News, Outage, World, hot};
+use model::{HotTeam, LoadUpdates, Outage, Simulation, hot};
 
-const BOTH: [News; 2] = [News::AtOnce, News::Late];
+const LOAD_UPDATE_MODES: [LoadUpdates; 2] = [LoadUpdates::Immediate, LoadUpdates::Periodic];
 
-fn shares_hold((teams, until_ms): (&[Hot], u64)) {
+fn hot_teams_get_similar_service((teams, until_ms): (&[HotTeam], u64)) {
     let from_ms = teams.iter().map(|team| team.from_ms).max();
-    for news in BOTH {
-        let world = World::play(teams, &[], news, until_ms);
-        world.check_shares(teams, from_ms.expect("there are hot teams"));
+    for load_updates in LOAD_UPDATE_MODES {
+        let sim = Simulation::run(teams, &[], load_updates, until_ms);
+        sim.assert_similar_service(teams, from_ms.expect("there are hot teams"));
     }
 }
 
-cases! { shares_hold:
-    a_team_that_was_ahead_of_one_other => (&[hot("first", 0, 5, 4_000), hot("second", 5_000, 9, 5_000)], 18_000),
-    a_team_that_was_ahead_of_three_others => (
+cases! { hot_teams_get_similar_service:
+    one_other_team_joins_later => (&[hot("first", 0, 5, 4_000), hot("second", 5_000, 9, 5_000)], 18_000),
+    three_other_teams_join_later => (
         &[
             hot("first", 0, 5, 4_000),
             hot("second", 5_000, 9, 4_000),
@@ -30,8 +31,8 @@
         ],
         18_000,
     ),
-    a_team_with_few_asks_beside_one_with_many => (&[hot("first", 0, 4, 4_000), hot("second", 0, 18, 5_500)], 16_000),
-    a_team_that_was_ahead_of_five_others => (
+    two_teams_with_unequal_request_rates => (&[hot("first", 0, 4, 4_000), hot("second", 0, 18, 5_500)], 16_000),
+    five_other_teams_join_later => (
         &[
             hot("first", 0, 5, 4_000),
             hot("second", 5_000, 12, 4_000),
@@ -42,7 +43,7 @@
         ],
         18_000,
     ),
-    teams_that_come_one_after_the_other => (
+    teams_join_one_after_the_other => (
         &[
             hot("first", 0, 6, 4_000),
             hot("second", 3_000, 8, 4_500),
@@ -53,31 +54,31 @@
     ),
 }
 
-fn shares_of_what_is_asked_hold((teams, until_ms): (&[Hot], u64)) {
-    for news in BOTH {
-        let world = World::play(teams, &[], news, until_ms);
-        world.check_owed(teams, 5_000);
+fn teams_get_the_service_owed((teams, until_ms): (&[HotTeam], u64)) {
+    for load_updates in LOAD_UPDATE_MODES {
+        let sim = Simulation::run(teams, &[], load_updates, until_ms);
+        sim.assert_owed_service(teams, 5_000);
     }
 }
 
-/// Replays a load while a quarter of the engines is gone for two seconds: their admissions still answer, and their gateways find no
-/// connection.
-fn shares_hold_in_an_outage((teams, until_ms): (&[Hot], u64)) {
-    let cases = BOTH.map(|news| [(news, false), (news, true)]);
-    for (news, is_noticed) in cases.into_iter().flatten() {
+/// Runs a load while a quarter of the engines is gone for two seconds. Their admissions still answer, but gateways
+/// can't connect to the engines.
+fn teams_get_the_service_owed_in_an_outage((teams, until_ms): (&[HotTeam], u64)) {
+    let cases = LOAD_UPDATE_MODES.map(|load_updates| [(load_updates, false), (load_updates, true)]);
+    for (load_updates, is_noticed) in cases.into_iter().flatten() {
         let outage = Outage {
             engines: 0..3,
             at_ms: 5_000,
             until_ms: 7_000,
             is_noticed,
         };
-        let world = World::play(teams, &[outage], news, until_ms);
-        world.check_owed(teams, 1_000);
+        let sim = Simulation::run(teams, &[outage], load_updates, until_ms);
+        sim.assert_owed_service(teams, 1_000);
     }
 }
 
-cases! { shares_of_what_is_asked_hold:
-    a_team_that_asks_seldom_is_not_refused_for_good_by_one_engine => (
+cases! { teams_get_the_service_owed:
+    a_low_rate_team_is_not_refused_permanently_by_one_engine => (
         &[
             hot("seldom", 0, 40, 4_000),
             hot("often", 5_000, 4, 3_000),
@@ -87,14 +88,14 @@
         ],
         12_000,
     ),
-    a_team_that_asks_seldom_beside_one_that_asks_often => (
+    a_low_rate_team_beside_a_high_rate_team => (
         &[hot("seldom", 0, 13, 4_000), hot("often", 5_000, 3, 3_000)],
         12_000,
     ),
 }
 
-/// Returns five hot teams, of which the first one asks most often.
-fn hot_teams() -> [Hot; 5] {
+/// Returns five hot teams, of which the first sends most often.
+fn hot_teams() -> [HotTeam; 5] {
     [
         hot("often", 0, 6, 3_000),
         hot("second", 0, 7, 3_500),
@@ -104,21 +105,21 @@
     ]
 }
 
-cases! { shares_hold_in_an_outage:
-    the_team_that_asks_most_often_does_not_pay_for_engines_that_are_gone => (
+cases! { teams_get_the_service_owed_in_an_outage:
+    the_team_with_the_highest_rate_is_not_charged_for_gone_engines => (
         &[&hot_teams()[..], &[hot("small", 0, 25, 4_000)]].concat(),
         12_000,
     ),
-    a_team_whose_parts_are_kept_by_engines_that_are_gone => (
-        &[&hot_teams()[..], &[Hot { homes: 0..3, ..hot("at-home", 0, 25, 4_000) }]].concat(),
+    a_team_with_prefixes_cached_on_gone_engines => (
+        &[&hot_teams()[..], &[HotTeam { cached_on: 0..3, ..hot("at-home", 0, 25, 4_000) }]].concat(),
         12_000,
     ),
-    a_team_all_of_whose_requests_come_to_one_engine_first => (
-        &[&[Hot { homes: 0..1, ..hot("at-home", 0, 40, 4_000) }], &hot_teams()[..]].concat(),
+    a_team_whose_requests_all_go_to_one_engine_first => (
+        &[&[HotTeam { cached_on: 0..1, ..hot("at-home", 0, 40, 4_000) }], &hot_teams()[..]].concat(),
         13_000,
     ),
-    a_team_whose_parts_are_kept_by_engines_that_stay => (
-        &[&hot_teams()[..], &[Hot { homes: 3..6, ..hot("at-home", 0, 25, 4_000) }]].concat(),
+    a_team_with_prefixes_cached_on_remaining_engines => (
+        &[&hot_teams()[..], &[HotTeam { cached_on: 3..6, ..hot("at-home", 0, 25, 4_000) }]].concat(),
         12_000,
     ),
 }
