--- a/crates/admission/src/accounts.rs
+++ b/crates/admission/src/accounts.rs
@@ -1,126 +1,130 @@
-//! Keeps account of what each team has had, and measures a share by it.
+//! Tracks team usage and derives the fair share from it.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use crate::ask::Ask;
-use crate::order::Claim;
-use crate::turn::{is_overdue, reference};
-use crate::usage::Usage;
+use crate::order::TeamStanding;
+use crate::request::SlotRequest;
+use crate::turn::{fair_share, is_underserved};
+use crate::usage::TeamUsage;
 
-/// Time for which the measured share is believed; uses fade over two seconds.
-const MEASURE_SHARE_EVERY: Duration = Duration::from_millis(50);
+/// Lifetime of a computed fair share; usage decays over two seconds.
+const FAIR_SHARE_TTL: Duration = Duration::from_millis(50);
 
-/// Holds what the teams have had before one engine, and what they have used elsewhere.
+/// Usage of each team at one engine and at all other engines.
 #[derive(Debug)]
-pub(crate) struct Accounts {
-    usage: Usage,
-    /// What the teams have had here of late.
-    had: Usage,
-    /// What the teams have used at other engines, as it was last told.
-    elsewhere: Usage,
-    /// Use of the team that has used most.
-    most_used: f64,
-    /// Use that a team's own is measured against, and until when that is believed.
-    share: f64,
-    share_until: Duration,
+pub(crate) struct UsageAccounting {
+    local: TeamUsage,
+    /// Short-term usage at this engine.
+    short_term: TeamUsage,
+    /// Usage at other engines, as last reported by gateways.
+    remote: TeamUsage,
+    /// Highest team usage, as last computed.
+    max_usage: f64,
+    /// Fair share of a team, and the time until which it is valid.
+    fair_share: f64,
+    fair_share_until: Duration,
 }
 
-impl Accounts {
+impl UsageAccounting {
     pub(crate) fn new() -> Self {
         Self {
-            usage: Usage::default(),
-            had: Usage::of_late(),
-            elsewhere: Usage::default(),
-            most_used: 0.0,
-            share: 1.0,
-            share_until: Duration::ZERO,
+            local: TeamUsage::default(),
+            short_term: TeamUsage::short_term(),
+            remote: TeamUsage::default(),
+            max_usage: 0.0,
+            fair_share: 1.0,
+            fair_share_until: Duration::ZERO,
         }
     }
 
-    /// Notes what an ask tells of its team's use at other engines.
-    pub(crate) fn heard_elsewhere(&mut self, now: Duration, ask: &Ask) {
-        self.elsewhere.set(now, &ask.team, ask.elsewhere_tokens);
+    /// Records the team's usage at other engines, as stated in a slot request.
+    pub(crate) fn record_remote_usage(&mut self, now: Duration, request: &SlotRequest) {
+        self.remote
+            .set(now, &request.team, request.elsewhere_tokens);
     }
 
-    /// Charges a team with a request that is granted.
-    pub(crate) fn charge(&mut self, now: Duration, ask: &Ask) {
-        for usage in [&mut self.usage, &mut self.had] {
-            usage.add(now, &ask.team, ask.service_tokens());
+    /// Charges a team for a granted request.
+    pub(crate) fn charge(&mut self, now: Duration, request: &SlotRequest) {
+        for usage in [&mut self.local, &mut self.short_term] {
+            usage.add(now, &request.team, request.usage_tokens());
         }
-        self.share_until = Duration::ZERO;
+        self.fair_share_until = Duration::ZERO;
     }
 
-    /// Charges the team of a request that never began only with what was read for it.
+    /// Refunds a team for a request that never began, except for the tokens prefilled for it.
     ///
-    /// The load pattern: engines end, and the places that are granted before them are given back at once. A team whose shared parts are
-    /// kept there would pay for more than it asks for, and wait at all other engines for service that it never had.
-    pub(crate) fn take_back(
+    /// When engines end, the slots granted on them are released at once. Without a refund a team whose prefixes are
+    /// cached there would be charged for more than it asks for, and would wait at all other engines for service that it
+    /// never received.
+    pub(crate) fn refund(
         &mut self,
         now: Duration,
-        ask: &Ask,
-        read_tokens: u32,
+        request: &SlotRequest,
+        prefilled_tokens: u32,
         granted_at: Duration,
     ) {
-        let tokens = ask.service_tokens().saturating_sub(read_tokens);
-        for usage in [&mut self.usage, &mut self.had] {
-            usage.take_back(now, &ask.team, tokens, granted_at);
+        let tokens = request.usage_tokens().saturating_sub(prefilled_tokens);
+        for usage in [&mut self.local, &mut self.short_term] {
+            usage.refund(now, &request.team, tokens, granted_at);
         }
-        self.share_until = Duration::ZERO;
+        self.fair_share_until = Duration::ZERO;
     }
 
-    /// Returns what the teams have used here lately.
-    pub(crate) fn usage(&self) -> &Usage {
-        &self.usage
+    /// Returns the recent usage at this engine.
+    pub(crate) fn usage(&self) -> &TeamUsage {
+        &self.local
     }
 
-    /// Returns the use of the team that has used most, as it was last measured.
-    pub(crate) fn most_used(&self) -> f64 {
-        self.most_used
+    /// Returns the highest team usage, as last computed.
+    pub(crate) fn max_usage(&self) -> f64 {
+        self.max_usage
     }
 
-    /// Returns the use that a team's own is measured against, as it was last measured.
-    pub(crate) fn share(&self) -> f64 {
-        self.share
+    /// Returns the fair share of a team, as last computed.
+    pub(crate) fn fair_share(&self) -> f64 {
+        self.fair_share
     }
 
-    /// Measures the share again from time to time, and returns it.
-    pub(crate) fn measure_share<'a>(
+    /// Recomputes the fair share if it has expired, and returns it.
+    pub(crate) fn refresh_fair_share<'a>(
         &mut self,
         now: Duration,
         waiting: impl Iterator<Item = &'a str>,
     ) -> f64 {
-        if self.share_until <= now {
-            let mut teams: BTreeSet<&str> = self.usage.teams(now).map(|(team, _)| team).collect();
-            // A team that waits and has had nothing shares as well; without it the only one that is served is within its share.
+        if self.fair_share_until <= now {
+            let mut teams: BTreeSet<&str> = self.local.teams(now).map(|(team, _)| team).collect();
+            // A waiting team without usage counts as well; otherwise the only team being served would be within its
+            // share.
             for team in waiting {
                 teams.insert(team);
             }
-            let used: Vec<f64> = teams.iter().map(|team| self.used(now, team)).collect();
-            self.most_used = used.iter().copied().fold(0.0, f64::max);
-            self.share = reference(used);
-            self.share_until = now + MEASURE_SHARE_EVERY;
+            let usages: Vec<f64> = teams.iter().map(|team| self.used(now, team)).collect();
+            self.max_usage = usages.iter().copied().fold(0.0, f64::max);
+            self.fair_share = fair_share(usages);
+            self.fair_share_until = now + FAIR_SHARE_TTL;
         }
-        self.share
+        self.fair_share
     }
 
-    /// Returns what the team with the most has had here of late.
-    pub(crate) fn most_had(&self, now: Duration) -> f64 {
-        let had = self.had.teams(now).map(|(_, tokens)| tokens);
-        had.fold(0.0, f64::max)
+    /// Returns the highest short-term usage of a team at this engine.
+    pub(crate) fn max_short_term(&self, now: Duration) -> f64 {
+        let short_term = self.short_term.teams(now).map(|(_, tokens)| tokens);
+        short_term.fold(0.0, f64::max)
     }
 
-    /// Returns what the order needs to know of a team, by what the one with the most has had of late.
-    pub(crate) fn claim(&self, now: Duration, team: &str, most_had: f64) -> Claim {
-        let had = self.had.of(now, team);
-        Claim {
+    /// Returns the usage of a team that decides its order, given the highest short-term usage.
+    pub(crate) fn standing(&self, now: Duration, team: &str, max_short_term: f64) -> TeamStanding {
+        let short_term = self.short_term.tokens(now, team);
+        TeamStanding {
             used: self.used(now, team),
-            overdue_at: is_overdue(had, most_had).then_some(had),
+            short_term_if_underserved: is_underserved(short_term, max_short_term)
+                .then_some(short_term),
         }
     }
 
-    /// Returns what a team has used lately, here and at the other engines.
+    /// Returns the recent usage of a team at all engines.
     fn used(&self, now: Duration, team: &str) -> f64 {
-        self.usage.of(now, team) + self.elsewhere.of(now, team)
+        self.local.tokens(now, team) + self.remote.tokens(now, team)
     }
 }
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -1,243 +1,256 @@
-//! Decides which request is sent to an engine next, and which is turned away.
+//! Decides which request is sent to an engine next, and which is refused.
 //!
-//! The load pattern: callers ask for up to several times of what the engines can do, some teams for most of it, and an
-//! engine that takes everything answers everybody late. So the engine gets only as much to read as keeps it busy over a
-//! round trip; the rest waits here, where the order can still change. A request whose turn would come too late to be on time
-//! is turned away at once, with the time at which the queue is expected to be read.
+//! Under overload callers ask for several times what the engines can serve, some teams for most of it, and an engine
+//! that accepts everything serves everyone late. So the engine is granted only enough prompt tokens to stay busy over
+//! a round trip. All other requests wait in the queue, where their order can still change. A request that would start
+//! too late is refused at once, with the time in which the queue is expected to drain.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use smallvec::SmallVec;
 
-use crate::accounts::Accounts;
-use crate::ask::{Ask, AskId, Decision, Load, RefusalCause, Rules};
-use crate::cache::Cache;
-use crate::engine::{Report, Run};
-use crate::order::{Claim, Waiting, order_of};
-use crate::pace::Pace;
-use crate::turn::turn_permille;
-use crate::usage::Usage;
+use crate::accounts::UsageAccounting;
+use crate::cache::PrefixCache;
+use crate::engine::{EngineReport, EngineRequest};
+use crate::order::{TeamStanding, WaitingRequest, scheduling_order};
+use crate::prefill_rate::PrefillRate;
+use crate::request::{Decision, Load, QueueLimits, RefusalCause, SlotRequest, SlotRequestId};
+use crate::turn::max_wait_permille;
+use crate::usage::TeamUsage;
 
-/// Time from a prompt's reading to the first piece of its answer that is assumed at first: the steps of one event beside
-/// prompts that are read, and the way back.
-const FIRST_EVENT: Duration = Duration::from_millis(60);
+/// Initial estimate of the time from the end of prefill to the first event: the decode steps of one event beside
+/// other prefills, and the way back.
+const INITIAL_FIRST_EVENT_DELAY: Duration = Duration::from_millis(60);
 
-/// Time for which a request must be missing in the engine's reports before its place is given to others: its last bytes
-/// and the word of its end are on their way for milliseconds.
-const GIVE_UP_AFTER: Duration = Duration::from_millis(300);
+/// Time for which a request must be missing from the engine's reports before its slot is released. Its last bytes and
+/// the notice of its end take milliseconds to arrive.
+const RELEASE_MISSING_AFTER: Duration = Duration::from_millis(300);
 
-/// Time after which it counts as lost: a lost packet is sent again within a second.
+/// Time after which a missing request counts as lost; a lost packet is retransmitted within a second.
 const LOST_AFTER: Duration = Duration::from_millis(900);
 
-/// Part of its budget for which one ask of each team stays in the queue though its turn would come too late: an eighth, after which
-/// a refusal still leaves its caller most of the time.
+/// Divisor of the budget that gives how long one late request of each team is kept in the queue before it is refused.
+/// An eighth of the budget leaves the caller most of its time after a refusal.
 ///
-/// The load pattern: two teams far above the others ask for several times what there is, one of them more often. A free place that
-/// goes to whoever asks next goes to that one more often; of those that stay for a moment, the team with the least use is chosen.
-const STAY_PART: u32 = 8;
+/// When two teams far above the others ask for several times the capacity, a free slot that goes to the next arrival
+/// goes more often to the team that sends more often. Among requests kept for a moment, the team with the lowest
+/// usage is chosen instead.
+const LATE_GRACE_DIVISOR: u32 = 8;
 
-/// Part of its budget for which an ask stays whose team has used far less than the one with the most: it is chosen before that one's.
-const STAY_PART_BEHIND: u32 = 2;
+/// The same divisor for a team with far less usage than the highest; its request is chosen before those of the team
+/// with the highest.
+const LOW_USAGE_GRACE_DIVISOR: u32 = 2;
 
-/// Part of the most use below which a team has used far less.
-const FAR_LESS: f64 = 0.75;
+/// Fraction of the highest usage below which a team has far less usage.
+const LOW_USAGE_RATIO: f64 = 0.75;
 
-/// Longest time for which a team that has used more than its share may keep an engine to itself with one prompt: half of the
-/// time in which an answer has to begin.
-const LONGEST_HOLD: Duration = Duration::from_millis(250);
+/// Longest prefill time of one prompt with which a team above its fair share may block a contended engine: half of
+/// the time within which an answer has to begin.
+const MAX_BLOCKING_PREFILL: Duration = Duration::from_millis(250);
 
-/// Time for which teams within their share are expected to need an engine again, after one of them had to wait for it: about the
-/// time in which the longest prompts are read.
-const CROWDED_FOR: Duration = Duration::from_secs(1);
+/// Time for which teams within their fair share are expected to need the engine again after one of them had to wait
+/// for it: about the prefill time of the longest prompts.
+const CONTENTION_WINDOW: Duration = Duration::from_secs(1);
 
-/// Time from the start for which every shared part is taken for kept. The engine goes on while its admission restarts, and
-/// a queue that took its memory for empty would refuse three times too much; the reports correct what is wrong.
-const ASSUME_KEPT: Duration = Duration::from_secs(6);
+/// Time after the start during which every shared prefix counts as cached. The engine keeps running while its
+/// admission restarts, and a queue that assumed a cold cache would refuse three times too many requests. Reports
+/// correct wrong assumptions.
+const ASSUME_CACHED_FOR: Duration = Duration::from_secs(6);
 
-/// Shortest time after which a caller is asked to come back; a few requests are read in it.
-pub const SHORTEST_RETRY: Duration = Duration::from_millis(100);
+/// Minimum retry delay; a few requests are prefilled in it.
+pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// When a caller may come back to an engine that is gone; a restart takes a second or more.
-const GONE_RETRY: Duration = Duration::from_millis(500);
+/// Retry delay while the engine is gone; a restart takes a second or more.
+const ENGINE_GONE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 #[derive(Debug)]
-struct Running {
-    ask: Ask,
-    /// What the engine has read for it.
-    read_tokens: u32,
+struct RunningRequest {
+    request: SlotRequest,
+    /// Prompt tokens that the engine has prefilled.
+    prefilled_tokens: u32,
     unread_tokens: u32,
     kv_tokens: u64,
     granted_at: Duration,
-    /// When it was seen that its prompt is read.
-    read_at: Option<Duration>,
-    /// Since when the engine's reports lack it.
+    /// Time at which a report first showed its prefill complete.
+    prefilled_at: Option<Duration>,
+    /// Time since which the engine's reports don't list it.
     missing_since: Option<Duration>,
-    /// Whether its answer has begun, so that its prompt is read.
+    /// Whether its answer has begun, which implies that its prefill is complete.
     has_begun: bool,
-    /// Whether its place was given to others because it is missing.
-    is_given_up: bool,
+    /// Whether its slot was released because it is missing from reports.
+    is_released: bool,
 }
 
-/// Holds the queue before one engine.
+/// The queue of requests that wait for a slot at one engine.
 #[derive(Debug)]
-pub struct Admission {
-    rules: Rules,
-    waiting: Vec<Waiting>,
-    running: HashMap<AskId, Running>,
+pub struct AdmissionQueue {
+    limits: QueueLimits,
+    waiting: Vec<WaitingRequest>,
+    running: HashMap<SlotRequestId, RunningRequest>,
     unread_tokens: u32,
-    running_kv: u64,
-    /// Whether this queue is younger than what its engine may still keep.
-    is_young: bool,
-    /// When the engine has started that was reported last.
-    engine_born_unix_ms: Option<u64>,
-    /// Whether nothing listens at the engine's address, as far as is known.
+    running_kv_tokens: u64,
+    /// Whether shared prefixes count as cached, because this queue may be younger than the engine's cache.
+    assumes_warm_cache: bool,
+    /// Start time of the engine in its latest report.
+    engine_started_unix_ms: Option<u64>,
+    /// Whether nothing listens at the engine's address, as far as known.
     engine_is_gone: bool,
-    /// Whether the engine has started again beside this queue, so that it keeps nothing that this queue does not know.
+    /// Whether the engine has restarted since this queue was created, so that this queue knows everything in its
+    /// cache.
     engine_restarted: bool,
-    cache: Cache,
-    pace: Pace,
-    /// Time from a prompt's reading to the first piece of its answer.
-    first_event: Duration,
-    /// Requests among the running ones whose places were given to others.
-    given_up: u32,
-    lost: Vec<(AskId, Duration)>,
-    accounts: Accounts,
-    /// Until when teams within their share are expected to need the engine.
-    crowded_until: Duration,
+    cache: PrefixCache,
+    prefill_rate: PrefillRate,
+    /// Measured time from the end of prefill to the first event.
+    first_event_delay: Duration,
+    /// Number of entries of `running` whose slots were released.
+    released_count: u32,
+    lost: Vec<(SlotRequestId, Duration)>,
+    accounting: UsageAccounting,
+    /// Time until which teams within their fair share are expected to need the engine.
+    contended_until: Duration,
 }
 
-impl Admission {
-    /// Creates the queue of an engine; times count from here on.
+impl AdmissionQueue {
+    /// Creates an empty queue. The `now` passed to its methods is the time since its creation.
     #[must_use]
-    pub fn new(rules: Rules) -> Self {
+    pub fn new(limits: QueueLimits) -> Self {
         Self {
-            cache: Cache::new(rules.kv_tokens),
-            rules,
+            cache: PrefixCache::new(limits.kv_tokens),
+            limits,
             waiting: Vec::new(),
             running: HashMap::new(),
             unread_tokens: 0,
-            running_kv: 0,
-            is_young: true,
-            engine_born_unix_ms: None,
+            running_kv_tokens: 0,
+            assumes_warm_cache: true,
+            engine_started_unix_ms: None,
             engine_is_gone: false,
             engine_restarted: false,
-            pace: Pace::new(),
-            first_event: FIRST_EVENT,
-            given_up: 0,
+            prefill_rate: PrefillRate::new(),
+            first_event_delay: INITIAL_FIRST_EVENT_DELAY,
+            released_count: 0,
             lost: Vec::new(),
-            accounts: Accounts::new(),
-            crowded_until: Duration::ZERO,
+            accounting: UsageAccounting::new(),
+            contended_until: Duration::ZERO,
         }
     }
 
-    /// Puts an ask into the queue; [`Admission::decide`] says what becomes of it.
-    pub fn ask(&mut self, now: Duration, id: AskId, ask: Ask) {
-        self.accounts.heard_elsewhere(now, &ask);
-        self.waiting.push(Waiting {
+    /// Adds a request to the queue; [`AdmissionQueue::decide`] returns the decision on it.
+    pub fn enqueue(&mut self, now: Duration, id: SlotRequestId, request: SlotRequest) {
+        self.accounting.record_remote_usage(now, &request);
+        self.waiting.push(WaitingRequest {
             id,
-            ask,
-            since: now,
+            request,
+            queued_at: now,
         });
     }
 
-    /// Notes that a granted request has begun to answer.
-    pub fn began(&mut self, now: Duration, id: AskId) {
+    /// Records that the answer to a granted request has begun.
+    pub fn answer_began(&mut self, now: Duration, id: SlotRequestId) {
         let Some(running) = self.running.get_mut(&id) else {
             return;
         };
         running.has_begun = true;
-        if let Some(read_at) = running.read_at {
-            let sample = now.saturating_sub(read_at);
-            self.first_event = (self.first_event * 7 + sample) / 8;
+        if let Some(prefilled_at) = running.prefilled_at {
+            let sample = now.saturating_sub(prefilled_at);
+            self.first_event_delay = (self.first_event_delay * 7 + sample) / 8;
         }
         let tokens = std::mem::take(&mut running.unread_tokens);
-        running.read_tokens += tokens;
+        running.prefilled_tokens += tokens;
         if tokens > 0 {
             self.unread_tokens -= tokens;
-            self.pace.read(now, tokens, self.unread_tokens > 0);
+            self.prefill_rate
+                .record(now, tokens, self.unread_tokens > 0);
         }
     }
 
-    /// Takes in what the engine reports: how far each prompt is read.
-    pub fn reported(&mut self, now: Duration, report: &Report) {
+    /// Applies an engine's report, which tells how far each prompt is prefilled.
+    pub fn apply_report(&mut self, now: Duration, report: &EngineReport) {
         self.engine_is_gone = false;
-        self.note_birth(now, report.born_unix_ms);
+        self.detect_restart(now, report.started_unix_ms);
         if let Some(kv_tokens) = report.kv_total_tokens.filter(|tokens| *tokens > 0) {
-            self.rules.kv_tokens = kv_tokens;
+            self.limits.kv_tokens = kv_tokens;
             self.cache.resize(kv_tokens);
         }
-        let runs = report.runs.iter();
-        let runs: HashMap<&str, &Run> = runs.map(|run| (&*run.request_id, run)).collect();
-        let (mut read, mut more) = (0, 0);
+        let requests = report.requests.iter();
+        let requests: HashMap<&str, &EngineRequest> = requests
+            .map(|request| (&*request.request_id, request))
+            .collect();
+        let (mut prefilled, mut added) = (0, 0);
         for running in self.running.values_mut() {
-            let run = runs.get(&*running.ask.request_id);
-            let Some(run) = run.filter(|_| !running.has_begun && !running.is_given_up) else {
+            let reported = requests.get(&*running.request.request_id);
+            let Some(reported) = reported.filter(|_| !running.has_begun && !running.is_released)
+            else {
                 continue;
             };
-            let left = running.ask.prompt_tokens.saturating_sub(run.kv_tokens);
-            let left = if run.events > 0 { 0 } else { left };
-            // A part that was taken for kept, and is not, shows here first.
-            more += left.saturating_sub(running.unread_tokens);
-            let read_now = running.unread_tokens.saturating_sub(left);
-            read += read_now;
-            running.read_tokens += read_now;
-            running.unread_tokens = left;
-            if left == 0 && running.read_at.is_none() {
-                running.read_at = Some(now);
+            let unread = running
+                .request
+                .prompt_tokens
+                .saturating_sub(reported.kv_tokens);
+            let unread = if reported.events > 0 { 0 } else { unread };
+            // A prefix that was assumed to be cached and isn't shows here first.
+            added += unread.saturating_sub(running.unread_tokens);
+            let newly_prefilled = running.unread_tokens.saturating_sub(unread);
+            prefilled += newly_prefilled;
+            running.prefilled_tokens += newly_prefilled;
+            running.unread_tokens = unread;
+            if unread == 0 && running.prefilled_at.is_none() {
+                running.prefilled_at = Some(now);
             }
         }
-        self.unread_tokens = self.unread_tokens + more - read;
-        self.pace.read(now, read, self.unread_tokens > 0);
-        let is_listed = |id: &str| runs.contains_key(id);
-        if report.queued == 0 && report.active as usize == report.runs.len() {
-            self.give_up_missing(now, is_listed);
+        self.unread_tokens = self.unread_tokens + added - prefilled;
+        self.prefill_rate
+            .record(now, prefilled, self.unread_tokens > 0);
+        let is_listed = |id: &str| requests.contains_key(id);
+        if report.queued == 0 && report.active as usize == report.requests.len() {
+            self.release_missing(now, is_listed);
         }
     }
 
-    /// Forgets what a former start of the engine ran and kept, once another one reports.
+    /// Drops the state of the previous engine process once a report comes from a new one.
     ///
-    /// The load pattern: an engine ends under load and starts again under its name before anyone has missed it. It runs nothing
-    /// and keeps nothing, while its queue would hold all places for requests that are lost and take every part for kept.
-    fn note_birth(&mut self, now: Duration, born_unix_ms: Option<u64>) {
-        let Some(born) = born_unix_ms else {
+    /// An engine can end under load and restart under the same name before anyone notices. The new process runs
+    /// nothing and has an empty cache, while the queue would still count all its slots as taken and every known
+    /// prefix as cached.
+    fn detect_restart(&mut self, now: Duration, started_unix_ms: Option<u64>) {
+        let Some(started_unix_ms) = started_unix_ms else {
             return;
         };
-        let before = self.engine_born_unix_ms.replace(born);
-        if before.is_none_or(|before| before == born) {
+        let previous = self.engine_started_unix_ms.replace(started_unix_ms);
+        if previous.is_none_or(|previous| previous == started_unix_ms) {
             return;
         }
         self.engine_restarted = true;
-        self.cache = Cache::new(self.rules.kv_tokens);
+        self.cache = PrefixCache::new(self.limits.kv_tokens);
         for (id, running) in &mut self.running {
-            if !running.is_given_up {
-                running.is_given_up = true;
-                self.given_up += 1;
+            if !running.is_released {
+                running.is_released = true;
+                self.released_count += 1;
                 self.unread_tokens -= std::mem::take(&mut running.unread_tokens);
-                self.running_kv -= running.kv_tokens;
+                self.running_kv_tokens -= running.kv_tokens;
             }
             self.lost.push((*id, Duration::ZERO));
         }
-        self.pace.read(now, 0, false);
+        self.prefill_rate.record(now, 0, false);
     }
 
-    /// Gives the places of requests to others that the engine does not run any more, though no gateway said so.
+    /// Releases the slots of requests that the engine no longer runs although no gateway reported their end.
     ///
-    /// The load pattern: an endpoint runs requests and their answers are lost, or it drops them without a word. Their
-    /// gateways wait to the deadline, and their places would stay taken beside an idle engine.
-    fn give_up_missing(&mut self, now: Duration, is_listed: impl Fn(&str) -> bool) {
+    /// An endpoint may lose the answers or drop requests silently. The gateways then wait until the deadline, and
+    /// without a release the slots would stay taken on an idle engine.
+    fn release_missing(&mut self, now: Duration, is_listed: impl Fn(&str) -> bool) {
         for (id, running) in &mut self.running {
-            if is_listed(&running.ask.request_id) {
+            if is_listed(&running.request.request_id) {
                 running.missing_since = None;
                 continue;
             }
             let since = *running.missing_since.get_or_insert(now);
-            let is_missing = now >= since.max(running.granted_at) + GIVE_UP_AFTER;
-            if is_missing && !running.is_given_up {
-                running.is_given_up = true;
-                self.given_up += 1;
+            let is_missing = now >= since.max(running.granted_at) + RELEASE_MISSING_AFTER;
+            if is_missing && !running.is_released {
+                running.is_released = true;
+                self.released_count += 1;
                 self.unread_tokens -= std::mem::take(&mut running.unread_tokens);
-                self.running_kv -= running.kv_tokens;
+                self.running_kv_tokens -= running.kv_tokens;
             }
             if now >= since + LOST_AFTER {
                 self.lost.push((*id, now.saturating_sub(since)));
@@ -245,64 +258,68 @@
         }
     }
 
-    /// Takes the requests that are lost for certain, with the time since which they are missing.
-    pub fn take_lost(&mut self) -> Vec<(AskId, Duration)> {
+    /// Takes the requests that are certainly lost, each with the time for which it has been missing.
+    pub fn take_lost(&mut self) -> Vec<(SlotRequestId, Duration)> {
         std::mem::take(&mut self.lost)
     }
 
-    /// Notes that the engine did not report; the answers tell how far it is until it does.
-    pub fn not_reported(&mut self) {
+    /// Records that the engine didn't report; until the next report only answers show its progress.
+    pub fn engine_silent(&mut self) {
         self.engine_is_gone = false;
         for running in self.running.values_mut() {
-            running.read_at = None;
+            running.prefilled_at = None;
         }
     }
 
-    /// Notes that nothing listens at the engine's address: nothing is granted until it answers or is silent.
+    /// Records that nothing listens at the engine's address; no request is granted until a poll ends otherwise.
     ///
-    /// The load pattern: engines end under load while their admissions go on. An empty engine is the best choice of every gateway, so
-    /// a queue that went on granting would draw a large part of all requests to where no connection can be had.
+    /// Engines can end under load while their admissions keep running. Every gateway prefers an empty engine, so a
+    /// queue that kept granting slots would attract a large part of all requests to an engine that accepts no
+    /// connection.
     pub fn engine_gone(&mut self) {
-        self.not_reported();
+        self.engine_silent();
         self.engine_is_gone = true;
     }
 
-    /// Notes that a request has ended, or that its caller no longer waits.
-    pub fn ended(&mut self, now: Duration, id: AskId) {
+    /// Records that a request has ended, or that its caller no longer waits.
+    pub fn request_ended(&mut self, now: Duration, id: SlotRequestId) {
         self.waiting.retain(|waiting| waiting.id != id);
         let Some(running) = self.running.remove(&id) else {
             return;
         };
         if !running.has_begun {
-            let (read_tokens, granted_at) = (running.read_tokens, running.granted_at);
-            self.accounts
-                .take_back(now, &running.ask, read_tokens, granted_at);
+            let (prefilled_tokens, granted_at) = (running.prefilled_tokens, running.granted_at);
+            self.accounting
+                .refund(now, &running.request, prefilled_tokens, granted_at);
         }
-        if running.is_given_up {
-            self.given_up -= 1;
+        if running.is_released {
+            self.released_count -= 1;
             return;
         }
         self.unread_tokens -= running.unread_tokens;
-        self.running_kv -= running.kv_tokens;
+        self.running_kv_tokens -= running.kv_tokens;
         if running.unread_tokens > 0 {
-            // What was not read tells nothing of the pace, but time goes on for the rest.
-            self.pace.read(now, 0, self.unread_tokens > 0);
+            // Tokens that were never prefilled say nothing about the rate, but the clock runs on for the others.
+            self.prefill_rate.record(now, 0, self.unread_tokens > 0);
         }
-        // Its own part stays in the engine's memory until it yields.
-        self.cache
-            .touch(own_part(id), running.kv_tokens, self.running_kv);
+        // Its own tokens stay in the engine's KV cache until evicted.
+        self.cache.touch(
+            private_cache_key(id),
+            running.kv_tokens,
+            self.running_kv_tokens,
+        );
     }
 
-    /// Decides on the asks that wait.
+    /// Returns the decisions on waiting requests that are due.
     pub fn decide(&mut self, now: Duration) -> Vec<Decision> {
-        self.is_young = now < ASSUME_KEPT && !self.engine_restarted;
+        self.assumes_warm_cache = now < ASSUME_CACHED_FOR && !self.engine_restarted;
         if self.engine_is_gone {
             return self.refuse_all();
         }
         let mut decisions = Vec::new();
-        self.turn_away(now, &mut decisions);
+        self.refuse_late(now, &mut decisions);
         while self.has_room() {
-            let Some(next) = self.order(now).first().copied() else {
+            let Some(next) = self.scheduling_order(now).first().copied() else {
                 break;
             };
             let next = self.waiting.swap_remove(next);
@@ -311,7 +328,7 @@
         decisions
     }
 
-    /// Returns the load.
+    /// Returns the load of the engine and this queue.
     #[must_use]
     pub fn load(&self) -> Load {
         let waiting = self.waiting.iter();
@@ -319,177 +336,202 @@
             running: self.running_count(),
             unread_tokens: self.unread_tokens,
             waiting_tokens: waiting
-                .map(|waiting| self.tokens_to_read(&waiting.ask))
+                .map(|waiting| self.tokens_to_prefill(&waiting.request))
                 .sum(),
             engine_is_gone: self.engine_is_gone,
         }
     }
 
-    /// Returns how many tokens the engine reads in a millisecond, as measured.
+    /// Returns the measured prefill rate in tokens per millisecond.
     #[must_use]
-    pub fn pace_per_ms(&self) -> u64 {
-        self.pace.per_ms()
+    pub fn prefill_tokens_per_ms(&self) -> u64 {
+        self.prefill_rate.tokens_per_ms()
     }
 
-    /// Returns the measured time from a prompt's reading to the first piece of its answer.
+    /// Returns the measured time from the end of prefill to the first event.
     #[must_use]
-    pub fn first_event(&self) -> Duration {
-        self.first_event
+    pub fn first_event_delay(&self) -> Duration {
+        self.first_event_delay
     }
 
-    /// Returns what the teams have used lately.
+    /// Returns the recent usage of the teams at this engine.
     #[must_use]
-    pub fn usage(&self) -> &Usage {
-        self.accounts.usage()
+    pub fn usage(&self) -> &TeamUsage {
+        self.accounting.usage()
     }
 
-    /// Returns whether an ask waits for its turn.
+    /// Returns whether a request still waits for a slot.
     #[must_use]
-    pub fn is_queued(&self, id: AskId) -> bool {
+    pub fn is_queued(&self, id: SlotRequestId) -> bool {
         self.waiting.iter().any(|waiting| waiting.id == id)
     }
 
-    /// Returns whether any ask waits.
+    /// Returns whether any request waits.
     #[must_use]
-    pub fn is_waiting(&self) -> bool {
+    pub fn has_waiting(&self) -> bool {
         !self.waiting.is_empty()
     }
 
     fn has_room(&self) -> bool {
         let running = self.running_count();
-        self.unread_tokens < self.rules.max_unread_tokens
-            && running < self.rules.max_running
-            && (running == 0 || self.running_kv < self.rules.kv_tokens)
+        self.unread_tokens < self.limits.max_unread_tokens
+            && running < self.limits.max_running
+            && (running == 0 || self.running_kv_tokens < self.limits.kv_tokens)
     }
 
     fn running_count(&self) -> u32 {
-        u32::try_from(self.running.len()).unwrap_or(u32::MAX) - self.given_up
+        u32::try_from(self.running.len()).unwrap_or(u32::MAX) - self.released_count
     }
 
-    fn tokens_to_read(&self, ask: &Ask) -> u32 {
-        let kept = ask
-            .shared
-            .filter(|(key, _)| self.is_young || self.cache.holds(*key));
-        let kept = kept.map_or(0, |(_, tokens)| tokens);
-        ask.prompt_tokens.saturating_sub(kept)
+    fn tokens_to_prefill(&self, request: &SlotRequest) -> u32 {
+        let cached = request
+            .shared_prefix
+            .filter(|(key, _)| self.assumes_warm_cache || self.cache.contains(*key));
+        let cached = cached.map_or(0, |(_, tokens)| tokens);
+        request.prompt_tokens.saturating_sub(cached)
     }
 
-    /// Refuses the asks whose turn comes too late; the others keep their places.
-    fn turn_away(&mut self, now: Duration, decisions: &mut Vec<Decision>) {
-        let teams = self.waiting.iter().map(|waiting| &*waiting.ask.team);
-        let share = self.accounts.measure_share(now, teams);
-        let most_had = self.accounts.most_had(now);
+    /// Refuses the requests that would start too late and keeps the others.
+    fn refuse_late(&mut self, now: Duration, decisions: &mut Vec<Decision>) {
+        let teams = self.waiting.iter().map(|waiting| &*waiting.request.team);
+        let fair_share = self.accounting.refresh_fair_share(now, teams);
+        let max_short_term = self.accounting.max_short_term(now);
         let mut ahead = u64::from(self.unread_tokens);
         let mut late = Vec::new();
-        let mut staying: SmallVec<[Box<str>; 8]> = SmallVec::new();
-        let mut crowded = false;
-        for place in self.order(now) {
-            let waiting = &self.waiting[place];
-            let own = u64::from(self.tokens_to_read(&waiting.ask));
-            let Claim { used, overdue_at } = self.accounts.claim(now, &waiting.ask.team, most_had);
-            let is_overdue = overdue_at.is_some();
-            // A turn that is overdue comes as for a team within its share.
-            let counted = if is_overdue { used.min(share) } else { used };
-            let permille = turn_permille(self.rules.turn_permille, counted, share);
-            let budget = waiting.ask.budget.saturating_sub(self.first_event);
-            // Nobody else is read while a long prompt is, so that of a team above its share counts in its turn. Any other one
-            // doesn't, or long prompts would be refused whenever there is any load.
-            let is_above = used > share;
-            let is_long = self.pace.time_for(own) > LONGEST_HOLD;
-            let keeps_others_out = is_above && is_long && now < self.crowded_until;
-            let before_others = if keeps_others_out { ahead + own } else { ahead };
-            let turn = now.saturating_sub(waiting.since) + self.pace.time_for(before_others);
-            // Whoever could go now, goes: the engine must not idle for the sake of a share.
-            let has_room = ahead < u64::from(self.rules.max_unread_tokens);
-            let could_go = has_room && !keeps_others_out;
-            if !is_above && !has_room {
-                crowded = true;
+        let mut teams_in_grace: SmallVec<[Box<str>; 8]> = SmallVec::new();
+        let mut is_contended = false;
+        for index in self.scheduling_order(now) {
+            let waiting = &self.waiting[index];
+            let own_tokens = u64::from(self.tokens_to_prefill(&waiting.request));
+            let TeamStanding {
+                used,
+                short_term_if_underserved,
+            } = self
+                .accounting
+                .standing(now, &waiting.request.team, max_short_term);
+            let is_underserved = short_term_if_underserved.is_some();
+            // An underserved team may wait as long as a team within its fair share.
+            let effective_used = if is_underserved {
+                used.min(fair_share)
+            } else {
+                used
+            };
+            let wait_permille =
+                max_wait_permille(self.limits.max_wait_permille, effective_used, fair_share);
+            let budget = waiting
+                .request
+                .budget
+                .saturating_sub(self.first_event_delay);
+            // No other prompt is prefilled during a long one, so a long prompt of a team above its fair share counts
+            // towards its own wait. Other prompts don't, or long ones would be refused under any load.
+            let is_above_share = used > fair_share;
+            let is_long = self.prefill_rate.time_for(own_tokens) > MAX_BLOCKING_PREFILL;
+            let blocks_others = is_above_share && is_long && now < self.contended_until;
+            let ahead_of_start = if blocks_others {
+                ahead + own_tokens
+            } else {
+                ahead
+            };
+            let expected_wait =
+                now.saturating_sub(waiting.queued_at) + self.prefill_rate.time_for(ahead_of_start);
+            // A request that could start now does: fairness must not leave the engine idle.
+            let has_room = ahead < u64::from(self.limits.max_unread_tokens);
+            let can_start = has_room && !blocks_others;
+            if !is_above_share && !has_room {
+                is_contended = true;
             }
-            let team = &waiting.ask.team;
-            let part = if is_overdue || used < self.accounts.most_used() * FAR_LESS {
-                STAY_PART_BEHIND
+            let team = &waiting.request.team;
+            let divisor = if is_underserved || used < self.accounting.max_usage() * LOW_USAGE_RATIO
+            {
+                LOW_USAGE_GRACE_DIVISOR
             } else {
-                STAY_PART
+                LATE_GRACE_DIVISOR
             };
-            let stays_until = waiting.since + waiting.ask.budget / part;
-            let may_stay = !keeps_others_out && now < stays_until && !staying.contains(team);
-            if turn <= budget * permille / 1000 || could_go {
-                ahead += own;
-            } else if may_stay {
-                staying.push(team.clone());
+            let grace_until = waiting.queued_at + waiting.request.budget / divisor;
+            let has_grace = !blocks_others && now < grace_until && !teams_in_grace.contains(team);
+            if expected_wait <= budget * wait_permille / 1000 || can_start {
+                ahead += own_tokens;
+            } else if has_grace {
+                teams_in_grace.push(team.clone());
             } else {
                 late.push((waiting.id, ahead));
             }
         }
-        if crowded {
-            self.crowded_until = now + CROWDED_FOR;
+        if is_contended {
+            self.contended_until = now + CONTENTION_WINDOW;
         }
-        let drained = self.pace.time_for(ahead).max(SHORTEST_RETRY);
+        let drain_time = self.prefill_rate.time_for(ahead).max(MIN_RETRY_AFTER);
         for (id, ahead) in late {
             self.waiting.retain(|waiting| waiting.id != id);
             decisions.push(Decision::Refuse {
                 id,
-                retry_after: drained,
+                retry_after: drain_time,
                 ahead_tokens: u32::try_from(ahead).unwrap_or(u32::MAX),
                 cause: RefusalCause::Late,
             });
         }
     }
 
-    /// Refuses all asks, since the engine is gone.
+    /// Refuses all waiting requests because the engine is gone.
     fn refuse_all(&mut self) -> Vec<Decision> {
         let refused = self.waiting.drain(..).map(|waiting| Decision::Refuse {
             id: waiting.id,
-            retry_after: GONE_RETRY,
+            retry_after: ENGINE_GONE_RETRY_AFTER,
             ahead_tokens: 0,
             cause: RefusalCause::EngineGone,
         });
         refused.collect()
     }
 
-    /// Returns the places of the waiting asks in the order of their turns.
-    fn order(&self, now: Duration) -> Vec<usize> {
-        let most_had = self.accounts.most_had(now);
-        order_of(&self.waiting, self.accounts.share(), |team| {
-            self.accounts.claim(now, team, most_had)
+    /// Returns the indices of the waiting requests in scheduling order.
+    fn scheduling_order(&self, now: Duration) -> Vec<usize> {
+        let max_short_term = self.accounting.max_short_term(now);
+        scheduling_order(&self.waiting, self.accounting.fair_share(), |team| {
+            self.accounting.standing(now, team, max_short_term)
         })
     }
 
-    fn grant(&mut self, now: Duration, next: Waiting) -> Decision {
-        let Waiting { id, ask, since } = next;
+    fn grant(&mut self, now: Duration, next: WaitingRequest) -> Decision {
+        let WaitingRequest {
+            id,
+            request,
+            queued_at,
+        } = next;
         let ahead_tokens = self.unread_tokens;
-        let unread_tokens = self.tokens_to_read(&ask);
-        let shared_tokens = ask.shared.map_or(0, |(_, tokens)| tokens);
-        let own = ask.prompt_tokens.saturating_sub(shared_tokens);
-        let kv_tokens = u64::from(own) + u64::from(ask.answer_tokens);
-        self.running_kv += kv_tokens;
-        if let Some((key, tokens)) = ask.shared {
-            self.cache.touch(key, u64::from(tokens), self.running_kv);
+        let unread_tokens = self.tokens_to_prefill(&request);
+        let shared_tokens = request.shared_prefix.map_or(0, |(_, tokens)| tokens);
+        let own_tokens = request.prompt_tokens.saturating_sub(shared_tokens);
+        let kv_tokens = u64::from(own_tokens) + u64::from(request.answer_tokens);
+        self.running_kv_tokens += kv_tokens;
+        if let Some((key, tokens)) = request.shared_prefix {
+            self.cache
+                .touch(key, u64::from(tokens), self.running_kv_tokens);
         }
-        self.accounts.charge(now, &ask);
+        self.accounting.charge(now, &request);
         self.unread_tokens += unread_tokens;
-        self.pace.busy(now);
-        let running = Running {
-            ask,
-            read_tokens: 0,
+        self.prefill_rate.start(now);
+        let running = RunningRequest {
+            request,
+            prefilled_tokens: 0,
             unread_tokens,
             kv_tokens,
             granted_at: now,
-            read_at: None,
+            prefilled_at: None,
             missing_since: None,
             has_begun: false,
-            is_given_up: false,
+            is_released: false,
         };
         self.running.insert(id, running);
         Decision::Grant {
             id,
-            waited: now.saturating_sub(since),
+            waited: now.saturating_sub(queued_at),
             ahead_tokens,
         }
     }
 }
 
-/// Returns a key for a request's own part that no shared part has: those are spread over all numbers.
-fn own_part(id: AskId) -> u64 {
+/// Returns the cache key of a request's own tokens. It doesn't collide with those of shared prefixes, which are
+/// spread over the whole range.
+fn private_cache_key(id: SlotRequestId) -> u64 {
     id
 }
--- a/crates/admission/src/turn.rs
+++ b/crates/admission/src/turn.rs
@@ -1,117 +1,123 @@
-//! Compares the uses of teams: when a turn must come by a team's use, and who goes before whom.
+//! Computes scheduling priorities and wait limits from team usage.
 
-/// Factors of the part of a budget in which a turn must come, in thousandths: for a team far above a whole share, and for
-/// one far below it. The greatest lets a turn come a little late rather than never.
-const LEAST_FACTOR: f64 = 100.0;
-const GREATEST_FACTOR: f64 = 2_500.0;
+/// Bounds of the factor applied to a wait limit, in thousandths: the lower for a team far above the fair share, the
+/// upper for one far below it. The upper bound lets a request start slightly late rather than never.
+const MIN_WAIT_FACTOR_PERMILLE: f64 = 100.0;
+const MAX_WAIT_FACTOR_PERMILLE: f64 = 2_500.0;
 
-/// Steps of use between no use and that of the team with the most; teams on one step take turns by their budgets. Fewer
-/// steps let a team with many asks keep its lead.
-const USE_STEPS: f64 = 8.0;
+/// Levels between no usage and the highest team usage; requests of teams on one level are ordered by deadline. Fewer
+/// levels let a team with many requests keep its lead.
+const USAGE_LEVELS: f64 = 8.0;
 
-/// Smallest step of use, in tokens: about one request.
-const SMALLEST_STEP_TOKENS: f64 = 2_000.0;
+/// Smallest width of a usage level, in tokens: about one request.
+const MIN_LEVEL_TOKENS: f64 = 2_000.0;
 
-/// Returns the part of its budget in which an ask's turn must come, in thousandths.
+/// Returns how long a request may wait, in thousandths of its budget.
 ///
-/// The load pattern: a long prompt of a hot team is granted, and for as long as it is read nobody's turn comes in the
-/// usual part of a budget. Who asks often then draws a free moment often, and a small team hardly ever. So a team
-/// that has used less than the reference may wait longer, and one that has used more must find the engine free sooner;
-/// by the square, since a part of it is a small difference and the wait behind one long prompt a great one.
-pub(crate) fn turn_permille(budget_permille: u32, used: f64, share: f64) -> u32 {
+/// Once a long prompt of a hot team is granted, no waiting request can start within the usual limit until that
+/// prompt is prefilled. A team that sends often then hits a free moment often, and a small team hardly ever. So a
+/// team below its fair share may wait longer, and one above it must find the engine free sooner. The ratio is squared
+/// because usage differs by small factors, while the wait behind one long prompt is large.
+pub(crate) fn max_wait_permille(base_permille: u32, used: f64, fair_share: f64) -> u32 {
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
         reason = "the factor lies between two small numbers"
     )]
-    let factor =
-        ((share / used.max(1.0)).powi(2) * 1000.0).clamp(LEAST_FACTOR, GREATEST_FACTOR) as u32;
-    budget_permille * factor / 1000
+    let factor_permille = ((fair_share / used.max(1.0)).powi(2) * 1000.0)
+        .clamp(MIN_WAIT_FACTOR_PERMILLE, MAX_WAIT_FACTOR_PERMILLE) as u32;
+    base_permille * factor_permille / 1000
 }
 
-/// Says whose turn comes before others' whatever has been used; less goes first.
+/// The scheduling class of a request, regardless of the exact usage; the lowest goes first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Precedence {
-    /// What has begun and goes on.
-    Begun,
-    /// A team within its share, by its rank.
+pub(crate) enum SchedulingClass {
+    /// A stream that has begun and continues.
+    BegunStream,
+    /// A team within its fair share, by rank.
     WithinShare(u32),
-    /// A team above its share that has had far less of late than another one: this many tokens.
-    Overdue(u64),
-    /// Another team above its share.
+    /// An underserved team above its fair share, by its short-term usage in tokens.
+    Underserved(u64),
+    /// Any other team above its fair share.
     AboveShare,
 }
 
-/// Part of what another team had of late below which a team above its share goes before the others above theirs.
+/// Fraction of the highest short-term usage below which a team above its fair share goes before other teams above
+/// theirs.
 ///
-/// The load pattern: a team has a fleet to itself, and then others ask for more than their shares as well. If it paid all of its
-/// lead back before its next turn, it would get nothing for seconds, and in six of them less than half of what the others get:
-/// with four such teams a lead takes as many seconds to fade. So a lead costs a quarter of an even share, and no more.
-const LEAST_PART_OF_LATE: f64 = 0.75;
+/// When one team has had all engines to itself and others then exceed their shares as well, paying back its whole
+/// lead at once would leave it without service for seconds, and with less than half of what the others get over six
+/// seconds. With four such teams a lead takes as many seconds to decay. The limit caps the cost of a lead at a
+/// quarter of an even share.
+const UNDERSERVED_RATIO: f64 = 0.75;
 
-/// Returns whether a team's turn is overdue, by what it and the team with the most had here of late.
-pub(crate) fn is_overdue(had: f64, most: f64) -> bool {
-    had < most * LEAST_PART_OF_LATE
+/// Returns whether a team is underserved, given its own and the highest short-term usage at this engine.
+pub(crate) fn is_underserved(short_term: f64, max_short_term: f64) -> bool {
+    short_term < max_short_term * UNDERSERVED_RATIO
 }
 
-/// Returns the precedence of an ask, by its rank, its team's use and what the team has had of late where its turn
-/// is overdue.
+/// Returns the scheduling class of a request.
 ///
-/// The load pattern: a team of the first rank asks for several times its share. If its rank went before use at all times, a
-/// hot team of a later rank would get nothing beside it: 0 of 334 asks in the queue's model, 65 of 334 with this. So a rank
-/// speeds up what is within a team's share, and no more.
-pub(crate) fn precedence(rank: u32, used: f64, share: f64, overdue_at: Option<f64>) -> Precedence {
-    match (rank, overdue_at) {
-        (0, _) => Precedence::Begun,
-        _ if used <= share => Precedence::WithinShare(rank),
-        (_, Some(had)) => Precedence::Overdue(step_of(had, 1.0)),
-        (_, None) => Precedence::AboveShare,
+/// Rank counts only within a team's fair share. If it always went before usage, a team of the first rank that asks
+/// for several times its share would starve hot teams of later ranks: in the queue's model such a team got 0 of 334
+/// requests granted, and 65 of 334 with this rule.
+pub(crate) fn scheduling_class(
+    rank: u32,
+    used: f64,
+    fair_share: f64,
+    short_term_if_underserved: Option<f64>,
+) -> SchedulingClass {
+    match (rank, short_term_if_underserved) {
+        (0, _) => SchedulingClass::BegunStream,
+        _ if used <= fair_share => SchedulingClass::WithinShare(rank),
+        (_, Some(short_term)) => SchedulingClass::Underserved(usage_level(short_term, 1.0)),
+        (_, None) => SchedulingClass::AboveShare,
     }
 }
 
-/// Returns the size of a step of use, from that of the team with the most.
-pub(crate) fn step_tokens(most: f64) -> f64 {
-    (most / USE_STEPS).max(SMALLEST_STEP_TOKENS)
+/// Returns the width of a usage level, given the highest team usage.
+pub(crate) fn level_tokens(max_usage: f64) -> f64 {
+    (max_usage / USAGE_LEVELS).max(MIN_LEVEL_TOKENS)
 }
 
-/// Returns the use that a team's own is measured against: between the mean and a whole share.
+/// Returns the fair share of a team: the geometric mean of the mean usage and the max-min share.
 ///
-/// The mean alone lies far below every hot team where there are many small ones, and would not tell the hot ones apart;
-/// the whole share alone is what the hottest has, and would not hold it back.
-pub(crate) fn reference(used: Vec<f64>) -> f64 {
+/// With many small teams the mean lies far below every hot team and alone wouldn't tell them apart. The
+/// max-min share alone is what the hottest team gets and wouldn't hold it back.
+pub(crate) fn fair_share(usages: Vec<f64>) -> f64 {
     #[expect(clippy::cast_precision_loss, reason = "teams are far fewer than 2^52")]
-    let mean = used.iter().sum::<f64>() / used.len().max(1) as f64;
-    (mean.max(1.0) * full_share(used)).sqrt()
+    let mean = usages.iter().sum::<f64>() / usages.len().max(1) as f64;
+    (mean.max(1.0) * max_min_share(usages)).sqrt()
 }
 
-/// Returns the use of a team that gets its whole share, from the uses of all teams.
+/// Returns the max-min share of a team.
 ///
-/// Teams below an even share want no more, or do not get it; what they leave is shared by the others, and so on. What is
-/// left at the end is the level of those that are held back by nothing but their share.
-fn full_share(mut used: Vec<f64>) -> f64 {
-    used.sort_unstable_by(f64::total_cmp);
-    let mut rest: f64 = used.iter().sum();
-    let mut count = used.len();
+/// Teams below an even share want no more or don't get it; what they leave is divided among the others, and so on.
+/// The level that remains is that of the teams limited by nothing but their share.
+fn max_min_share(mut usages: Vec<f64>) -> f64 {
+    usages.sort_unstable_by(f64::total_cmp);
+    let mut remaining: f64 = usages.iter().sum();
+    let mut team_count = usages.len();
     let mut share = 1.0_f64;
-    for used in used {
+    for used in usages {
         #[expect(clippy::cast_precision_loss, reason = "teams are far fewer than 2^52")]
-        let even = rest / count as f64;
-        share = share.max(even);
-        if used >= even {
+        let even_share = remaining / team_count as f64;
+        share = share.max(even_share);
+        if used >= even_share {
             break;
         }
-        rest -= used;
-        count -= 1;
+        remaining -= used;
+        team_count -= 1;
     }
     share
 }
 
-/// Returns the step of a use.
+/// Returns the level that a usage falls into.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "a use is no less than nothing, and a cast from floating point saturates"
+    reason = "usage is not negative, and a cast from floating point saturates"
 )]
-pub(crate) fn step_of(used_tokens: f64, step_tokens: f64) -> u64 {
-    (used_tokens / step_tokens) as u64
+pub(crate) fn usage_level(used_tokens: f64, level_tokens: f64) -> u64 {
+    (used_tokens / level_tokens) as u64
 }
--- a/crates/admission/src/usage.rs
+++ b/crates/admission/src/usage.rs
@@ -1,41 +1,41 @@
-//! Counts what each team has used lately.
+//! Counts the recent usage of each team.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Time in which a use loses half of its weight; shares are owed over some four seconds.
+/// Half-life of usage; fair shares are to hold over about four seconds.
 const HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// The same where only the last few requests count: an engine reads about three in it.
-const SHORT_HALF_LIFE: Duration = Duration::from_millis(500);
+/// Half-life of short-term usage: an engine prefills about three requests in it.
+const SHORT_TERM_HALF_LIFE: Duration = Duration::from_millis(500);
 
-/// Use below which a team is forgotten, in tokens.
-const FORGET_BELOW: f64 = 1.0;
+/// Usage below which a team is dropped, in tokens.
+const MIN_TRACKED_TOKENS: f64 = 1.0;
 
-/// Teams that are remembered before the smallest ones are forgotten.
-const MANY_TEAMS: usize = 4096;
+/// Number of teams at which those with negligible usage are dropped.
+const PRUNE_TEAMS_FROM: usize = 4096;
 
 #[derive(Debug, Clone, Copy)]
-struct Used {
+struct DecayedCount {
     tokens: f64,
-    at: Duration,
+    recorded_at: Duration,
 }
 
-impl Used {
-    fn at(self, now: Duration, half_life: Duration) -> f64 {
-        let age = now.saturating_sub(self.at).as_secs_f64();
+impl DecayedCount {
+    fn tokens_at(self, now: Duration, half_life: Duration) -> f64 {
+        let age = now.saturating_sub(self.recorded_at).as_secs_f64();
         self.tokens * 0.5_f64.powf(age / half_life.as_secs_f64())
     }
 }
 
-/// Holds the use of the teams, of which older parts count less.
+/// An exponentially decayed count of tokens for each team.
 #[derive(Debug)]
-pub struct Usage {
-    teams: HashMap<Box<str>, Used>,
+pub struct TeamUsage {
+    teams: HashMap<Box<str>, DecayedCount>,
     half_life: Duration,
 }
 
-impl Default for Usage {
+impl Default for TeamUsage {
     fn default() -> Self {
         Self {
             teams: HashMap::new(),
@@ -44,79 +44,79 @@
     }
 }
 
-impl Usage {
-    /// Creates one in which only the last few requests count.
-    pub(crate) fn of_late() -> Self {
+impl TeamUsage {
+    /// Creates a counter that covers only the last few requests.
+    pub(crate) fn short_term() -> Self {
         Self {
-            half_life: SHORT_HALF_LIFE,
+            half_life: SHORT_TERM_HALF_LIFE,
             ..Self::default()
         }
     }
 
-    /// Returns what a team has used lately, in tokens.
+    /// Returns the recent usage of a team, in tokens.
     #[must_use]
-    pub fn of(&self, now: Duration, team: &str) -> f64 {
-        let used = self.teams.get(team);
-        used.map_or(0.0, |used| used.at(now, self.half_life))
+    pub fn tokens(&self, now: Duration, team: &str) -> f64 {
+        let count = self.teams.get(team);
+        count.map_or(0.0, |count| count.tokens_at(now, self.half_life))
     }
 
-    /// Adds to a team's use.
+    /// Adds tokens to a team's usage.
     pub fn add(&mut self, now: Duration, team: &str, tokens: u32) {
-        let before = self.of(now, team);
-        let used = Used {
+        let before = self.tokens(now, team);
+        let count = DecayedCount {
             tokens: before + f64::from(tokens),
-            at: now,
+            recorded_at: now,
         };
-        if let Some(known) = self.teams.get_mut(team) {
-            *known = used;
+        if let Some(entry) = self.teams.get_mut(team) {
+            *entry = count;
             return;
         }
-        if self.teams.len() >= MANY_TEAMS {
+        if self.teams.len() >= PRUNE_TEAMS_FROM {
             let half_life = self.half_life;
             self.teams
-                .retain(|_, used| used.at(now, half_life) >= FORGET_BELOW);
+                .retain(|_, count| count.tokens_at(now, half_life) >= MIN_TRACKED_TOKENS);
         }
-        self.teams.insert(team.into(), used);
+        self.teams.insert(team.into(), count);
     }
 
-    /// Takes tokens off a team's use again that were added at an earlier time.
-    pub(crate) fn take_back(&mut self, now: Duration, team: &str, tokens: u32, since: Duration) {
-        let left = Used {
+    /// Subtracts tokens that were added at an earlier time, decayed since then.
+    pub(crate) fn refund(&mut self, now: Duration, team: &str, tokens: u32, added_at: Duration) {
+        let refunded = DecayedCount {
             tokens: f64::from(tokens),
-            at: since,
+            recorded_at: added_at,
         }
-        .at(now, self.half_life);
-        let before = self.of(now, team);
-        if let Some(known) = self.teams.get_mut(team) {
-            *known = Used {
-                tokens: (before - left).max(0.0),
-                at: now,
+        .tokens_at(now, self.half_life);
+        let before = self.tokens(now, team);
+        if let Some(entry) = self.teams.get_mut(team) {
+            *entry = DecayedCount {
+                tokens: (before - refunded).max(0.0),
+                recorded_at: now,
             };
         }
     }
 
-    /// Puts a team's use in place of what was counted before.
+    /// Replaces a team's usage.
     pub fn set(&mut self, now: Duration, team: &str, tokens: u64) {
         #[expect(
             clippy::cast_precision_loss,
-            reason = "the use of a few seconds is far below 2^52"
+            reason = "the usage of a few seconds is far below 2^52"
         )]
-        let used = Used {
+        let count = DecayedCount {
             tokens: tokens as f64,
-            at: now,
+            recorded_at: now,
         };
-        if let Some(known) = self.teams.get_mut(team) {
-            *known = used;
+        if let Some(entry) = self.teams.get_mut(team) {
+            *entry = count;
         } else if tokens > 0 {
-            self.teams.insert(team.into(), used);
+            self.teams.insert(team.into(), count);
         }
     }
 
-    /// Returns the teams that have used anything lately, in no order.
+    /// Returns the teams with recent usage, in no particular order.
     pub fn teams(&self, now: Duration) -> impl Iterator<Item = (&str, f64)> {
         let teams = self.teams.iter();
         teams
-            .map(move |(team, used)| (&**team, used.at(now, self.half_life)))
-            .filter(|(_, tokens)| *tokens >= FORGET_BELOW)
+            .map(move |(team, count)| (&**team, count.tokens_at(now, self.half_life)))
+            .filter(|(_, tokens)| *tokens >= MIN_TRACKED_TOKENS)
     }
 }
--- /dev/null
+++ b/crates/admission/tests/server.rs
@@ -0,0 +1,183 @@
+//! Exercises a served admission queue over sockets, in the role of gateways.
+
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::time::Duration;
+
+use hinge_admission::{ASKS_PATH, Engine, EngineReport, QueueLimits, ReportOutcome, Server};
+use hinge_cases::async_cases;
+use hinge_link::{Client, ClusterKey, Exchange};
+use hinge_schema::routing::{AdmitAsk, AdmitVerdict, AskNumber, FromAdmission, ToAdmission};
+use hinge_telemetry::metrics::Registry;
+
+/// Timeout of each step; no step takes this long unless the test fails.
+const STEP_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// Slots of the engine; few, so that the next request waits.
+const MAX_RUNNING: u32 = 2;
+
+static PANICS: AtomicUsize = AtomicUsize::new(0);
+
+/// An engine that runs nothing, whatever it is sent.
+struct IdleEngine;
+
+impl Engine for IdleEngine {
+    async fn fetch_report(&self) -> ReportOutcome {
+        ReportOutcome::Report(EngineReport::default())
+    }
+}
+
+/// An engine that never replies, so that no request is ever missing from its reports.
+struct SilentEngine;
+
+impl Engine for SilentEngine {
+    async fn fetch_report(&self) -> ReportOutcome {
+        ReportOutcome::Silent
+    }
+}
+
+fn key() -> ClusterKey {
+    ClusterKey::derive(b"a key for tests")
+}
+
+async fn bind(engine: impl Engine) -> Server {
+    let limits = QueueLimits {
+        max_unread_tokens: 4_000,
+        max_running: MAX_RUNNING,
+        kv_tokens: 100_000,
+        max_wait_permille: 700,
+    };
+    let engine = Some((engine, Duration::from_millis(5)));
+    let bound = Server::bind("127.0.0.1:0", limits, &key(), &Registry::new(), engine).await;
+    bound.expect("a port is free")
+}
+
+/// A gateway with an open exchange.
+struct Gateway {
+    exchange: Exchange,
+}
+
+impl Gateway {
+    async fn open(server: &Server) -> Self {
+        let address = server.local_address().to_string();
+        let client = Client::new(key());
+        let opened = client.open(&address, ASKS_PATH, STEP_TIMEOUT).await;
+        let exchange = opened.expect("the admission answers");
+        Self { exchange }
+    }
+
+    async fn send(&self, frame: ToAdmission) {
+        let sent = self.exchange.sender.send(&frame).await;
+        sent.expect("the exchange is open");
+    }
+
+    async fn request_slot(&self, number: u64, budget_ms: u64) {
+        let request = AdmitAsk {
+            number,
+            request_id: format!("request-{number}").into(),
+            team: "team".into(),
+            rank: 1,
+            prompt_tokens: 900,
+            answer_tokens: 80,
+            shared_key: 0,
+            shared_tokens: 0,
+            budget_ms,
+            elsewhere_tokens: 0,
+        };
+        self.send(ToAdmission::Ask(request)).await;
+    }
+
+    async fn end(&self, number: u64) {
+        self.send(ToAdmission::Ended(AskNumber { number })).await;
+    }
+
+    async fn receive(&mut self) -> FromAdmission {
+        let received = self.exchange.reader.next::<FromAdmission>().await;
+        received
+            .expect("a readable frame")
+            .expect("an open exchange")
+    }
+
+    async fn expect_verdict(&mut self) -> AdmitVerdict {
+        match self.receive().await {
+            FromAdmission::Verdict(verdict) => verdict,
+            other => panic!("expected a verdict, got {other:?}"),
+        }
+    }
+
+    async fn expect_grant(&mut self, number: u64) {
+        self.request_slot(number, 500).await;
+        let verdict = self.expect_verdict().await;
+        assert_eq!((verdict.number, verdict.granted), (number, true));
+    }
+
+    async fn expect_queued(&mut self, number: u64, budget_ms: u64) {
+        self.request_slot(number, budget_ms).await;
+        let received = self.receive().await;
+        assert_eq!(received, FromAdmission::Queued(AskNumber { number }));
+    }
+}
+
+async_cases! { real
+    frames_about_a_lost_request_are_still_accepted => {
+        std::panic::set_hook(Box::new(|_info| {
+            PANICS.fetch_add(1, Ordering::SeqCst);
+        }));
+        let server = bind(IdleEngine).await;
+        let mut gateway = Gateway::open(&server).await;
+        gateway.expect_grant(7).await;
+        let FromAdmission::Lost(lost) = gateway.receive().await else {
+            panic!("expected the request to be reported lost");
+        };
+        assert_eq!(lost.number, 7);
+        // The first event arrives late and the gateway reports it, then requests another slot.
+        gateway.send(ToAdmission::Began(AskNumber { number: 7 })).await;
+        gateway.expect_grant(8).await;
+        drop(gateway);
+        assert!(server.stop(STEP_TIMEOUT).await);
+        assert_eq!(PANICS.load(Ordering::SeqCst), 0);
+    }
+    a_queued_request_gets_the_slot_of_one_that_ends => {
+        let server = bind(SilentEngine).await;
+        let mut gateway = Gateway::open(&server).await;
+        gateway.expect_grant(1).await;
+        gateway.expect_grant(2).await;
+        gateway.expect_queued(3, 60_000).await;
+        gateway.end(2).await;
+        let verdict = gateway.expect_verdict().await;
+        assert_eq!((verdict.number, verdict.granted), (3, true));
+    }
+    a_request_that_ends_while_queued_takes_no_slot => {
+        let server = bind(SilentEngine).await;
+        let mut gateway = Gateway::open(&server).await;
+        gateway.expect_grant(1).await;
+        gateway.expect_grant(2).await;
+        gateway.expect_queued(3, 60_000).await;
+        gateway.expect_queued(4, 60_000).await;
+        gateway.end(3).await;
+        gateway.end(1).await;
+        assert_eq!(gateway.expect_verdict().await.number, 4);
+    }
+    closing_an_exchange_releases_all_its_slots => {
+        let server = bind(SilentEngine).await;
+        let mut gone = Gateway::open(&server).await;
+        gone.expect_grant(1).await;
+        gone.expect_grant(2).await;
+        let mut other = Gateway::open(&server).await;
+        other.expect_queued(1, 60_000).await;
+        other.expect_queued(2, 60_000).await;
+        drop(gone);
+        assert!(other.expect_verdict().await.granted);
+        assert!(other.expect_verdict().await.granted);
+    }
+    stopping_waits_for_granted_requests_and_then_closes_the_exchange => {
+        let server = bind(SilentEngine).await;
+        let mut gateway = Gateway::open(&server).await;
+        gateway.expect_grant(1).await;
+        let stopped = tokio::spawn(server.stop(STEP_TIMEOUT));
+        gateway.send(ToAdmission::Began(AskNumber { number: 1 })).await;
+        gateway.end(1).await;
+        let ended = gateway.exchange.reader.next::<FromAdmission>().await;
+        assert!(matches!(ended, Ok(None)), "{ended:?}");
+        assert!(stopped.await.expect("the task does not panic"));
+    }
+}
