--- a/crates/control/src/caller.rs
+++ b/crates/control/src/caller.rs
@@ -46,7 +46,7 @@
         address: &str,
         path: &str,
         message: &Q,
-        wait: Duration,
+        timeout: Duration,
     ) -> Result<A, CallError>
     where
         Q: Serialize,
@@ -55,6 +55,6 @@
         let Some(address) = self.dial.resolve(address) else {
             return Err(CallError::NotSent("no route to the address".into()));
         };
-        self.client.call(&address, path, message, wait).await
+        self.client.call(&address, path, message, timeout).await
     }
 }
--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -16,14 +16,14 @@
 use viz::Router;
 
 use crate::caller::{Caller, Dial, Direct};
-use crate::core::{Core, wall_ms};
+use crate::core::{Core, unix_now_ms};
 use crate::driver::Driver;
 use crate::metrics::Metrics;
 use crate::open::{self, OpenError};
 use crate::operators::OperatorKeys;
-use crate::orders::{self, UnderWay};
-use crate::peers::{Peers, Sender};
-use crate::route::Slot;
+use crate::orders::{self, InFlightOrders};
+use crate::peers::{Peers, SenderInfo};
+use crate::route::StateCell;
 use crate::routing_calls::RoutingCalls;
 use crate::settings::ControlSettings;
 use crate::{follow, join, operator_calls, peer_calls, routing_calls, suspect_calls};
@@ -128,12 +128,12 @@
         dial: Arc<dyn Dial>,
         extend: impl FnOnce(Router, RoutingCalls) -> Router,
     ) -> Result<Self, OpenError> {
-        let slot: Slot<Core> = Arc::new(OnceLock::new());
-        let router = peer_calls::add(Router::new(), &key, &slot);
-        let router = operator_calls::add(router, &Arc::new(operators), &slot);
-        let router = routing_calls::add(router, &key, &slot);
-        let router = suspect_calls::add(router, &key, &slot);
-        let router = extend(router, RoutingCalls::new(&slot));
+        let state_cell: StateCell<Core> = Arc::new(OnceLock::new());
+        let router = peer_calls::add(Router::new(), &key, &state_cell);
+        let router = operator_calls::add(router, &Arc::new(operators), &state_cell);
+        let router = routing_calls::add(router, &key, &state_cell);
+        let router = suspect_calls::add(router, &key, &state_cell);
+        let router = extend(router, RoutingCalls::new(&state_cell));
         let server = Server::bind(&settings.listen, router, Limits::default())
             .await
             .map_err(OpenError::Bind)?;
@@ -142,12 +142,12 @@
         let caller = Caller::new(key, Arc::clone(&dial));
         // Opening reads and syncs the disk, which must not hold up the async threads.
         let for_disk = settings.clone();
-        let took_part = settings.bootstrap && join::took_part(&settings, &caller).await;
-        let opened = tokio::task::spawn_blocking(move || open::open(&for_disk, took_part))
+        let was_member = settings.bootstrap && join::was_member(&settings, &caller).await;
+        let opened = tokio::task::spawn_blocking(move || open::open(&for_disk, was_member))
             .await
             .expect("opening the log doesn't panic")?;
         let runtime = Handle::current();
-        let sender = Sender {
+        let sender = SenderInfo {
             node_id: opened.node_id,
             address: address.clone(),
             diskless: settings.is_diskless(),
@@ -159,10 +159,10 @@
         let core = Arc::new(Core::new(
             settings, address, caller, dial, driver, published,
         ));
-        let _first_and_only = slot.set(Arc::clone(&core));
+        let _first_and_only = state_cell.set(Arc::clone(&core));
         let metrics = Metrics::register(registry);
         let tasks = vec![
-            tokio::spawn(lead(Arc::clone(&core), metrics)),
+            tokio::spawn(run_as_leader(Arc::clone(&core), metrics)),
             tokio::spawn(follow::run(Arc::clone(&core))),
             tokio::spawn(join::run(Arc::clone(&core))),
         ];
@@ -182,19 +182,19 @@
     /// Returns the incarnation of this instance in the log.
     #[must_use]
     pub fn node_id(&self) -> u64 {
-        self.core.driver.standing.borrow().node_id
+        self.core.driver.node_status.borrow().node_id
     }
 
     /// Returns whether this instance leads and no other can lead now.
     #[must_use]
     pub fn is_leading(&self) -> bool {
-        matches!(self.core.place(), crate::core::Place::Here(_))
+        matches!(self.core.leadership(), crate::core::Leadership::Local(_))
     }
 
     /// Returns whether this instance leads or knows a leader; without one it answers nothing as current.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.core.place() != crate::core::Place::Nowhere
+        self.core.leadership() != crate::core::Leadership::Unknown
     }
 
     /// Returns the configuration version that is applied here.
@@ -205,11 +205,13 @@
 
     /// Waits until the log has failed, and returns why; the process must stop then, because nothing more is durable.
     pub async fn failed(&self) -> Box<str> {
-        let mut standing = self.core.driver.standing.clone();
-        let failed = standing
-            .wait_for(|standing| standing.failure.is_some())
+        let mut node_status = self.core.driver.node_status.clone();
+        let failed = node_status
+            .wait_for(|node_status| node_status.failure.is_some())
             .await;
-        let failure = failed.ok().and_then(|standing| standing.failure.clone());
+        let failure = failed
+            .ok()
+            .and_then(|node_status| node_status.failure.clone());
         match failure {
             Some(failure) => failure,
             // A log that was stopped in order never fails.
@@ -220,8 +222,8 @@
     /// Hands leadership over, then stops; open calls may end until the deadline.
     pub async fn stop(self, deadline: Duration) -> Stopped {
         self.core.driver.stop();
-        let mut standing = self.core.driver.standing.clone();
-        let ended = standing.wait_for(|standing| standing.has_stopped);
+        let mut node_status = self.core.driver.node_status.clone();
+        let ended = node_status.wait_for(|node_status| node_status.has_stopped);
         let log_ended = timeout(deadline, ended).await.is_ok();
         for task in &self.tasks {
             task.abort();
@@ -235,42 +237,42 @@
 }
 
 /// Leads when the log says so: opens the soft state of the term, and moves it on.
-async fn lead(core: Arc<Core>, metrics: Metrics) {
-    let mut standing = core.driver.standing.clone();
+async fn run_as_leader(core: Arc<Core>, metrics: Metrics) {
+    let mut node_status = core.driver.node_status.clone();
     let mut ticks = interval(TICK);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let under_way = UnderWay::default();
+    let in_flight = InFlightOrders::default();
     let mut count = 0_u64;
     let mut was_stalled = false;
     loop {
         tokio::select! {
             _ = ticks.tick() => count += 1,
-            changed = standing.changed() => {
+            changed = node_status.changed() => {
                 if changed.is_err() {
                     return;
                 }
             }
         }
-        let has_news = move_on(&core);
+        let has_changes = sync_soft_state(&core);
         let is_stalled = core.driver.is_stalled();
         if is_stalled != was_stalled {
             was_stalled = is_stalled;
-            tell_stall(&core, is_stalled);
+            log_stall(&core, is_stalled);
         }
-        if has_news || is_stalled {
+        if has_changes || is_stalled {
             core.publish();
         }
         if count.is_multiple_of(SUMS_TICKS) {
             metrics.update(&core);
         }
         if core.soft().members.is_some() {
-            work(&core, &under_way, count);
+            run_periodic_tasks(&core, &in_flight, count);
         }
     }
 }
 
 /// Writes that the log has stalled, after which watches are answered 503, or that it goes on.
-fn tell_stall(core: &Core, is_stalled: bool) {
+fn log_stall(core: &Core, is_stalled: bool) {
     if is_stalled {
         let age_ms = core.driver.age().as_millis();
         warn!(Part::Control, "The log has stalled.", age_ms = age_ms);
@@ -280,19 +282,23 @@
 }
 
 /// Brings the soft state in line with the standing, and ticks the members; returns whether watchers have news.
-fn move_on(core: &Core) -> bool {
+fn sync_soft_state(core: &Core) -> bool {
     let (term, is_leader, may_answer) = {
-        let standing = core.driver.standing.borrow();
-        (standing.term, standing.is_leader, standing.may_answer)
+        let node_status = core.driver.node_status.borrow();
+        (
+            node_status.term,
+            node_status.is_leader,
+            node_status.may_answer,
+        )
     };
     let now = core.now();
     let view = core.driver.view.load();
     let mut soft = core.soft();
     if !is_leader && soft.members.is_some() {
-        soft.give_up();
+        soft.end_term();
     }
     if may_answer && soft.term != term {
-        soft.lead(term, now, core.settings.member_rules);
+        soft.begin_term(term, now, core.settings.member_rules);
     }
     soft.set_drained(now, &view.drains);
     soft.members
@@ -300,12 +306,12 @@
         .is_some_and(|members| members.tick(now))
 }
 
-fn work(core: &Arc<Core>, under_way: &UnderWay, count: u64) {
+fn run_periodic_tasks(core: &Arc<Core>, in_flight: &InFlightOrders, count: u64) {
     if count.is_multiple_of(ORDER_TICKS) {
-        orders::give(core, under_way);
+        orders::dispatch(core, in_flight);
     }
     if count.is_multiple_of(UPGRADE_TICKS) {
-        core.planner.look(core);
+        core.planner.run(core);
     }
     if count.is_multiple_of(SUMS_TICKS) {
         routing_calls::drop_silent(core);
@@ -316,7 +322,7 @@
     }
     if count.is_multiple_of(SWEEP_TICKS) {
         let core = Arc::clone(core);
-        let now_ms = wall_ms();
+        let now_ms = unix_now_ms();
         tokio::spawn(async move { core.propose(Command::Sweep { now_ms }).await });
     }
 }
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -12,36 +12,36 @@
 use tokio::time::timeout;
 
 use crate::caller::{Caller, Dial};
-use crate::driver::{Driver, Refused};
+use crate::driver::{Driver, LogError};
 use crate::settings::ControlSettings;
-use crate::soft::Soft;
+use crate::soft_state::SoftState;
 use crate::upgrade::Planner;
 
 /// Wait for a call that is forwarded to the leader; longer than the wait for a commit there.
-const FORWARD_WAIT: Duration = Duration::from_secs(6);
+const FORWARD_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Wait for a commit or a read; it outlasts an election, and a caller asks again after it.
-const COMMIT_WAIT: Duration = Duration::from_secs(5);
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// When a caller that got no answer asks again; an election takes a second or two.
 const RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Starts the path of each call that was forwarded, and is not forwarded again.
-pub(crate) const FORWARDED: &str = "/v1/forwarded";
+pub(crate) const FORWARDED_PREFIX: &str = "/v1/forwarded";
 
 /// Says where the leader is.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Place {
+pub(crate) enum Leadership {
     /// This instance leads in this term, and no other can lead now.
-    Here(u64),
+    Local(u64),
     /// Another instance leads, as far as is known.
-    There(Box<str>),
+    Remote(Box<str>),
     /// No leader is known, this one can't be sure that it still leads, or the log has stalled.
-    Nowhere,
+    Unknown,
 }
 
 /// Returns the time of this instance's clock, in milliseconds since 1970.
-pub(crate) fn wall_ms() -> u64 {
+pub(crate) fn unix_now_ms() -> u64 {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
@@ -58,8 +58,8 @@
     pub(crate) driver: Driver,
     pub(crate) published: watch::Sender<u64>,
     pub(crate) planner: Planner,
-    soft: Mutex<Soft>,
-    began: Instant,
+    soft: Mutex<SoftState>,
+    started_at: Instant,
 }
 
 impl Core {
@@ -79,16 +79,16 @@
             driver,
             published,
             planner: Planner::default(),
-            soft: Mutex::new(Soft::new()),
-            began: Instant::now(),
+            soft: Mutex::new(SoftState::new()),
+            started_at: Instant::now(),
         }
     }
 
     pub(crate) fn now(&self) -> Duration {
-        self.began.elapsed()
+        self.started_at.elapsed()
     }
 
-    pub(crate) fn soft(&self) -> MutexGuard<'_, Soft> {
+    pub(crate) fn soft(&self) -> MutexGuard<'_, SoftState> {
         self.soft.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -97,21 +97,21 @@
         self.published.send_modify(|count| *count += 1);
     }
 
-    pub(crate) fn place(&self) -> Place {
+    pub(crate) fn leadership(&self) -> Leadership {
         if self.driver.is_stalled() {
-            return Place::Nowhere;
+            return Leadership::Unknown;
         }
-        let standing = self.driver.standing.borrow();
-        if standing.is_leader {
-            return if standing.may_answer && self.driver.holds_lease() {
-                Place::Here(standing.term)
+        let node_status = self.driver.node_status.borrow();
+        if node_status.is_leader {
+            return if node_status.may_answer && self.driver.holds_lease() {
+                Leadership::Local(node_status.term)
             } else {
-                Place::Nowhere
+                Leadership::Unknown
             };
         }
-        match &standing.leader {
-            Some(leader) => Place::There(leader.address.clone()),
-            None => Place::Nowhere,
+        match &node_status.leader {
+            Some(leader) => Leadership::Remote(leader.address.clone()),
+            None => Leadership::Unknown,
         }
     }
 
@@ -127,36 +127,39 @@
         Q: Serialize,
         A: DeserializeOwned,
     {
-        let path = format!("{FORWARDED}{path}");
-        let answer = caller.call(address, &path, message, FORWARD_WAIT).await;
+        let path = format!("{FORWARDED_PREFIX}{path}");
+        let answer = caller.call(address, &path, message, FORWARD_TIMEOUT).await;
         answer.map_err(|_no_answer| StatusCode::SERVICE_UNAVAILABLE)
     }
 
-    pub(crate) async fn propose(&self, command: Command) -> Result<Reply, Refused> {
-        timeout(COMMIT_WAIT, self.driver.propose(command))
+    pub(crate) async fn propose(&self, command: Command) -> Result<Reply, LogError> {
+        timeout(COMMIT_TIMEOUT, self.driver.propose(command))
             .await
-            .map_err(|_elapsed| Refused::Unsettled)?
+            .map_err(|_elapsed| LogError::OutcomeUnknown)?
     }
 
-    pub(crate) async fn ask<T: Send + 'static>(
+    pub(crate) async fn read<T: Send + 'static>(
         &self,
-        question: impl FnOnce(&hinge_state::State, &hinge_raft::Status) -> T + Send + 'static,
-    ) -> Result<T, Refused> {
-        timeout(COMMIT_WAIT, self.driver.ask(question))
+        query: impl FnOnce(&hinge_state::State, &hinge_raft::Status) -> T + Send + 'static,
+    ) -> Result<T, LogError> {
+        timeout(COMMIT_TIMEOUT, self.driver.read(query))
             .await
-            .map_err(|_elapsed| Refused::NotLeader)?
+            .map_err(|_elapsed| LogError::NotLeader)?
     }
 
-    pub(crate) async fn join(&self, join: JoinControl) -> Result<JoinedControl, Refused> {
-        timeout(COMMIT_WAIT, self.driver.join(join))
+    pub(crate) async fn join(&self, join: JoinControl) -> Result<JoinedControl, LogError> {
+        timeout(COMMIT_TIMEOUT, self.driver.join(join))
             .await
-            .map_err(|_elapsed| Refused::Unsettled)?
+            .map_err(|_elapsed| LogError::OutcomeUnknown)?
     }
 
     /// Returns what an operator is told when there is no current answer.
     pub(crate) fn unavailable(&self, detail: &str) -> Unavailable {
-        let standing = self.driver.standing.borrow();
-        let leader = standing.leader.as_ref().filter(|_| !standing.is_leader);
+        let node_status = self.driver.node_status.borrow();
+        let leader = node_status
+            .leader
+            .as_ref()
+            .filter(|_| !node_status.is_leader);
         Unavailable {
             leader: leader
                 .map(|leader| leader.instance.clone())
--- a/crates/control/src/directory.rs
+++ b/crates/control/src/directory.rs
@@ -13,48 +13,51 @@
 #[derive(Debug)]
 struct Gateway {
     address: Box<str>,
-    heard_at: Duration,
+    last_seen: Duration,
 }
 
 /// Holds gateways by name.
 #[derive(Debug)]
-pub(crate) struct Directory {
-    known: BTreeMap<Box<str>, Gateway>,
+pub(crate) struct GatewayDirectory {
+    gateways: BTreeMap<Box<str>, Gateway>,
     /// Time after its last word for which a gateway is named.
-    remember: Duration,
+    ttl: Duration,
     /// Gateways that are named to one at most.
-    most_named: usize,
+    max_returned: usize,
 }
 
-impl Directory {
+impl GatewayDirectory {
     /// Creates an empty one that names so many, for so long after their last word.
-    pub(crate) fn new(remember: Duration, most_named: usize) -> Self {
+    pub(crate) fn new(ttl: Duration, max_returned: usize) -> Self {
         Self {
-            known: BTreeMap::new(),
-            remember,
-            most_named,
+            gateways: BTreeMap::new(),
+            ttl,
+            max_returned,
         }
     }
 
     /// Notes word of a gateway that can be reached at an address.
     pub(crate) fn note(&mut self, now: Duration, instance: &str, address: &str) {
-        let remember = self.remember;
-        self.known
-            .retain(|_, gateway| now < gateway.heard_at + remember);
+        let ttl = self.ttl;
+        self.gateways
+            .retain(|_, gateway| now < gateway.last_seen + ttl);
         let gateway = Gateway {
             address: address.into(),
-            heard_at: now,
+            last_seen: now,
         };
-        self.known.insert(instance.into(), gateway);
+        self.gateways.insert(instance.into(), gateway);
     }
 
     /// Returns the addresses of some gateways other than the one that asks, by a number that the caller draws.
     pub(crate) fn others(&self, instance: &str, draw: usize) -> Vec<Box<str>> {
-        let others = self.known.iter().filter(|(name, _)| ***name != *instance);
+        let others = self
+            .gateways
+            .iter()
+            .filter(|(name, _)| ***name != *instance);
         let others: Vec<&Gateway> = others.map(|(_, gateway)| gateway).collect();
         let from = draw % others.len().max(1);
-        let turned = others.iter().cycle().skip(from);
-        let named = turned.take(self.most_named.min(others.len()));
+        let rotated = others.iter().cycle().skip(from);
+        let named = rotated.take(self.max_returned.min(others.len()));
         named.map(|gateway| gateway.address.clone()).collect()
     }
 }
--- a/crates/control/src/directory/tests.rs
+++ b/crates/control/src/directory/tests.rs
@@ -4,14 +4,14 @@
 
 use hinge_cases::cases;
 
-use super::Directory;
+use super::GatewayDirectory;
 
-const REMEMBER: Duration = Duration::from_secs(10);
+const TTL: Duration = Duration::from_secs(10);
 
-const MOST_NAMED: usize = 3;
+const MAX_RETURNED: usize = 3;
 
-fn five() -> Directory {
-    let mut directory = Directory::new(REMEMBER, MOST_NAMED);
+fn five_gateways() -> GatewayDirectory {
+    let mut directory = GatewayDirectory::new(TTL, MAX_RETURNED);
     for number in 1..=5 {
         let (name, address) = (format!("gateway-{number}"), format!("10.0.0.{number}:1"));
         directory.note(Duration::ZERO, &name, &address);
@@ -22,25 +22,25 @@
 cases! {
     a_gateway_is_named_others_and_never_itself => {
         for draw in 0..10 {
-            let named = five().others("gateway-2", draw);
-            assert_eq!(named.len(), MOST_NAMED);
+            let named = five_gateways().others("gateway-2", draw);
+            assert_eq!(named.len(), MAX_RETURNED);
             assert!(!named.contains(&"10.0.0.2:1".into()), "{named:?}");
         }
     }
     every_other_one_is_named_by_some_draw => {
-        let mut named: Vec<_> = (0..4).flat_map(|draw| five().others("gateway-2", draw)).collect();
+        let mut named: Vec<_> = (0..4).flat_map(|draw| five_gateways().others("gateway-2", draw)).collect();
         named.sort_unstable();
         named.dedup();
         assert_eq!(named.len(), 4);
     }
     the_only_gateway_is_named_nobody => {
-        let mut directory = Directory::new(REMEMBER, MOST_NAMED);
+        let mut directory = GatewayDirectory::new(TTL, MAX_RETURNED);
         directory.note(Duration::ZERO, "gateway-1", "10.0.0.1:1");
         assert!(directory.others("gateway-1", 7).is_empty());
     }
     one_that_has_long_been_silent_is_not_named => {
-        let mut directory = five();
-        directory.note(REMEMBER, "gateway-6", "10.0.0.6:1");
+        let mut directory = five_gateways();
+        directory.note(TTL, "gateway-6", "10.0.0.6:1");
         assert_eq!(directory.others("gateway-1", 0), ["10.0.0.6:1".into()]);
     }
 }
--- a/crates/control/src/below.rs
+++ b/crates/control/src/downstream.rs
@@ -11,16 +11,16 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::soft::MAX_POOLS;
+use crate::soft_state::MAX_POOLS;
 
 /// Whole announcements in one batch, which bounds its bytes to about 64 KB after a data centre came back.
-const BATCH_ANNOUNCED: usize = 256;
+const MAX_BATCH_ANNOUNCEMENTS: usize = 256;
 
 /// Renewals of control's lease that fit in it, so that two may be lost.
-const RENEWALS: u32 = 3;
+const RENEWALS_PER_LEASE: u32 = 3;
 
 /// Part of a lease by which an answer may be shorter, as one part of this many; see the members' leases at control.
-const JITTER_PART: u32 = 4;
+const JITTER_DIVISOR: u32 = 4;
 
 #[derive(Debug)]
 struct Process {
@@ -28,30 +28,30 @@
     /// When the lease that this relay gave ends.
     expires_at: Duration,
     /// When control took the announcement in or was last told that the process lives; none if it has to be told whole.
-    told_at: Option<Duration>,
+    confirmed_at: Option<Duration>,
 }
 
 /// Holds the processes, and the state that control gave for them.
 #[derive(Debug)]
-pub(crate) struct Below {
+pub(crate) struct Downstream {
     rules: MemberRules,
     processes: BTreeMap<InstanceName, Process>,
     pub(crate) roster: Roster,
     pub(crate) fence: u64,
     /// Epoch of control's list that the processes were told to.
-    told_epoch: u64,
+    confirmed_epoch: u64,
     pub(crate) totals: BTreeMap<Box<str>, Totals>,
     rng: StdRng,
 }
 
-impl Below {
+impl Downstream {
     pub(crate) fn new(rules: MemberRules) -> Self {
         Self {
             rules,
             processes: BTreeMap::new(),
             roster: Roster::default(),
             fence: 0,
-            told_epoch: 0,
+            confirmed_epoch: 0,
             totals: BTreeMap::new(),
             rng: StdRng::seed_from_u64(rand::random()),
         }
@@ -60,26 +60,26 @@
     /// Takes in an announcement; returns the lease, and whether control must be told at once.
     pub(crate) fn announce(&mut self, now: Duration, announce: Announce) -> (Duration, bool) {
         let asked = Duration::from_millis(announce.lease_ms);
-        let whole = asked.clamp(self.rules.shortest_lease, self.rules.longest_lease);
+        let granted = asked.clamp(self.rules.shortest_lease, self.rules.longest_lease);
         let lease = self
             .rng
-            .random_range(whole.saturating_sub(whole / JITTER_PART)..=whole);
+            .random_range(granted.saturating_sub(granted / JITTER_DIVISOR)..=granted);
         let name = announce.instance.clone();
         let known = self.processes.get(&name);
         if known.is_some_and(|known| known.announce.incarnation > announce.incarnation) {
             return (lease, false);
         }
         // Control learns the versions with the renewals; everything else it must see whole.
-        let told_at = known
-            .filter(|known| is_same(&known.announce, &announce))
-            .and_then(|known| known.told_at);
+        let confirmed_at = known
+            .filter(|known| is_same_announcement(&known.announce, &announce))
+            .and_then(|known| known.confirmed_at);
         let process = Process {
             announce,
             expires_at: now + lease,
-            told_at,
+            confirmed_at,
         };
         self.processes.insert(name, process);
-        (lease, told_at.is_none())
+        (lease, confirmed_at.is_none())
     }
 
     pub(crate) fn note_version(&mut self, instance: &str, config_version: u64) {
@@ -92,17 +92,17 @@
     /// Returns what control must be told now, within bounds.
     pub(crate) fn batch(&mut self, now: Duration, relay: &str) -> AnnounceBatch {
         self.processes.retain(|_, process| process.expires_at > now);
-        let renew_after = self.rules.longest_lease / RENEWALS;
+        let renew_after = self.rules.longest_lease / RENEWALS_PER_LEASE;
         let longest_ms = u64::try_from(self.rules.longest_lease.as_millis()).unwrap_or(u64::MAX);
         let mut announced = Vec::new();
         let mut renewed = Vec::new();
         for process in self.processes.values() {
-            match process.told_at {
-                None if announced.len() < BATCH_ANNOUNCED => announced.push(Announce {
+            match process.confirmed_at {
+                None if announced.len() < MAX_BATCH_ANNOUNCEMENTS => announced.push(Announce {
                     lease_ms: longest_ms,
                     ..process.announce.clone()
                 }),
-                Some(told_at) if now >= told_at + renew_after => renewed.push(Renewal {
+                Some(confirmed_at) if now >= confirmed_at + renew_after => renewed.push(Renewal {
                     instance: process.announce.instance.clone(),
                     incarnation: process.announce.incarnation,
                     config_version: process.announce.config_version,
@@ -121,46 +121,46 @@
     }
 
     /// Takes in control's answer to a batch that was made at `told_at`; returns whether more is to be told at once.
-    pub(crate) fn answered(
+    pub(crate) fn apply_reply(
         &mut self,
-        told_at: Duration,
+        confirmed_at: Duration,
         batch: &AnnounceBatch,
         reply: &AnnouncedBatch,
     ) -> bool {
-        if reply.members_epoch < self.told_epoch {
+        if reply.members_epoch < self.confirmed_epoch {
             return false;
         }
-        if reply.members_epoch > self.told_epoch {
+        if reply.members_epoch > self.confirmed_epoch {
             // A new leader may not have seen what an earlier one took in.
-            self.told_epoch = reply.members_epoch;
+            self.confirmed_epoch = reply.members_epoch;
             for process in self.processes.values_mut() {
-                process.told_at = None;
+                process.confirmed_at = None;
             }
         }
         for sent in &batch.announced {
             let process = self.processes.get_mut(&sent.instance);
             // A process that announced something else in the meantime must be told again.
             if let Some(process) = process
-                && is_same(&process.announce, sent)
+                && is_same_announcement(&process.announce, sent)
             {
-                process.told_at = Some(told_at);
+                process.confirmed_at = Some(confirmed_at);
             }
         }
         for sent in &batch.renewed {
             if let Some(process) = self.processes.get_mut(&sent.instance)
-                && process.told_at.is_some()
+                && process.confirmed_at.is_some()
             {
-                process.told_at = Some(told_at);
+                process.confirmed_at = Some(confirmed_at);
             }
         }
         for name in &reply.unknown {
             if let Some(process) = self.processes.get_mut(name) {
-                process.told_at = None;
+                process.confirmed_at = None;
             }
         }
         self.fence = self.fence.max(reply.announced.fence);
         let mut processes = self.processes.values();
-        processes.any(|process| process.told_at.is_none())
+        processes.any(|process| process.confirmed_at.is_none())
     }
 
     /// Returns the number of processes with a lease.
@@ -205,7 +205,7 @@
 }
 
 /// Returns whether two announcements say the same, but for what renewals carry.
-fn is_same(left: &Announce, right: &Announce) -> bool {
+fn is_same_announcement(left: &Announce, right: &Announce) -> bool {
     let with_versions = Announce {
         config_version: right.config_version,
         highest_fence: right.highest_fence,
--- a/crates/control/src/driver.rs
+++ b/crates/control/src/driver.rs
@@ -25,16 +25,16 @@
 use hinge_state::{Command, ControlName, Fence, Folder, Reply, Routing, State};
 use tokio::sync::{oneshot, watch};
 
-use self::thread::Thread;
+use self::thread::LogThread;
 use crate::open::Opened;
 use crate::peers::{Batch, Peers};
 use crate::settings::ControlSettings;
 
 /// Inputs that wait for the thread; a caller beyond them is refused at once.
-const WAITING_INPUTS: usize = 8192;
+const MAX_QUEUED_INPUTS: usize = 8192;
 
 /// Inputs that are taken in before a sync.
-const BATCH_INPUTS: usize = 1024;
+const MAX_BATCH_INPUTS: usize = 1024;
 
 /// Longest proposal, in bytes; the store takes records up to 4 MiB, and an entry has a head.
 pub(crate) const MAX_PROPOSAL_BYTES: usize = (4 << 20) - 1024;
@@ -46,7 +46,7 @@
 const MAX_INFLIGHT_BATCHES: usize = 4;
 
 /// Entries kept in memory behind a snapshot; a follower that was away for a minute of changes needs no snapshot.
-const KEEP_ENTRIES: u64 = 128;
+const KEPT_ENTRIES: u64 = 128;
 
 /// Parts of a heartbeat interval between two looks at the clock.
 const TICKS_PER_HEARTBEAT: u32 = 4;
@@ -57,7 +57,7 @@
 
 /// Says why the log gave no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Refused {
+pub(crate) enum LogError {
     /// This instance doesn't lead.
     NotLeader,
     /// Too much waits already.
@@ -65,46 +65,51 @@
     /// The proposal is too long.
     TooLarge,
     /// Leadership was lost on the way; whether the proposal takes effect is open.
-    Unsettled,
+    OutcomeUnknown,
     /// Voters without a disk have not yet given their votes to those with one.
-    BeingFounded,
+    FoundingIncomplete,
     /// The log has stopped.
     Stopped,
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for LogError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::NotLeader => "this instance doesn't lead",
             Self::Busy => "too many requests wait",
             Self::TooLarge => "the change is too long; split it",
-            Self::Unsettled => {
+            Self::OutcomeUnknown => {
                 "leadership changed before the answer; ask again with the same number"
             }
-            Self::BeingFounded => "no quorum of instances with a disk is formed yet; ask again",
+            Self::FoundingIncomplete => {
+                "no quorum of instances with a disk is formed yet; ask again"
+            }
             Self::Stopped => "this instance is stopping",
         })
     }
 }
 
 /// Answers a proposal.
-type ReplySender = oneshot::Sender<Result<Reply, Refused>>;
+type ReplySender = oneshot::Sender<Result<Reply, LogError>>;
 
 /// Answers a question to the state machine; it is called without a state when the question can't be answered.
-type Question = Box<dyn FnOnce(Option<(&State, &Status)>) + Send>;
+type ReadCallback = Box<dyn FnOnce(Option<(&State, &Status)>) + Send>;
 
 pub(crate) enum Input {
     Batch(Batch),
     Propose(Command, ReplySender),
-    Ask(Question),
-    Join(JoinControl, oneshot::Sender<Result<JoinedControl, Refused>>),
-    Remove(Box<str>, oneshot::Sender<Result<RemovedControl, Refused>>),
+    Read(ReadCallback),
+    Join(
+        JoinControl,
+        oneshot::Sender<Result<JoinedControl, LogError>>,
+    ),
+    Remove(Box<str>, oneshot::Sender<Result<RemovedControl, LogError>>),
     Stop,
 }
 
 /// Tells what the instance is in the log at the moment.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub(crate) struct Standing {
+pub(crate) struct NodeStatus {
     pub(crate) node_id: NodeId,
     pub(crate) term: Term,
     pub(crate) is_leader: bool,
@@ -129,25 +134,25 @@
     pub(crate) lowest_fence: Fence,
     pub(crate) open_orders: Vec<OrderRecord>,
     /// Incarnations of control instances that have taken part.
-    pub(crate) named: BTreeSet<NodeId>,
+    pub(crate) known_incarnations: BTreeSet<NodeId>,
     pub(crate) routing: Routing,
     /// Addresses of the control instances that the log names.
-    pub(crate) control: Vec<Box<str>>,
+    pub(crate) control_addresses: Vec<Box<str>>,
     /// Addresses of the instances that sent anything since this process started.
-    pub(crate) met: Vec<Box<str>>,
+    pub(crate) peer_addresses: Vec<Box<str>>,
 }
 
 /// Reaches the thread.
 #[derive(Debug, Clone)]
 pub(crate) struct Driver {
     inputs: SyncSender<Input>,
-    pub(crate) standing: watch::Receiver<Standing>,
+    pub(crate) node_status: watch::Receiver<NodeStatus>,
     pub(crate) view: Arc<ArcSwap<View>>,
     lease_until_us: Arc<AtomicU64>,
     /// When the thread last came round, in microseconds since `began`.
-    round_at_us: Arc<AtomicU64>,
+    last_round_us: Arc<AtomicU64>,
     stalled_after: Duration,
-    began: Instant,
+    started_at: Instant,
     pub(crate) commits: Arc<AtomicU64>,
 }
 
@@ -159,7 +164,7 @@
         mut peers: Peers,
         published: watch::Sender<u64>,
     ) -> Result<Self, hinge_raft::OpenError> {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let cluster = hinge_state::keys::fnv1a(settings.cluster_id.as_bytes());
         let mut config = Config::new(opened.node_id, cluster);
         config.election_timeout = settings.election_timeout;
@@ -169,7 +174,7 @@
         config.max_batch_bytes = MAX_PROPOSAL_BYTES;
         config.max_pending_bytes = MAX_PENDING_BYTES;
         config.max_inflight_batches = MAX_INFLIGHT_BATCHES;
-        config.keep_entries = KEEP_ENTRIES;
+        config.keep_entries = KEPT_ENTRIES;
         for (node_id, name) in opened.founding.iter().chain(opened.state.control()) {
             peers.learn(*node_id, &name.address);
         }
@@ -178,25 +183,25 @@
             .snapshot
             .as_ref()
             .map_or(0, |snapshot| snapshot.last_index);
-        let node = Node::open(config, opened.durable, began.elapsed(), rand::random())?;
-        let standing = Standing {
+        let node = Node::open(config, opened.durable, started_at.elapsed(), rand::random())?;
+        let node_status = NodeStatus {
             node_id: opened.node_id,
-            ..Standing::default()
+            ..NodeStatus::default()
         };
-        let (standing_sender, standing) = watch::channel(standing);
-        let (inputs, receiver) = sync_channel(WAITING_INPUTS);
+        let (node_status_sender, node_status) = watch::channel(node_status);
+        let (inputs, receiver) = sync_channel(MAX_QUEUED_INPUTS);
         let view = Arc::new(ArcSwap::from_pointee(view_of(
             &opened.state,
             &BTreeSet::new(),
             Vec::new(),
         )));
         let lease_until_us = Arc::new(AtomicU64::new(0));
-        let round_at_us = Arc::new(AtomicU64::new(0));
+        let last_round_us = Arc::new(AtomicU64::new(0));
         let commits = Arc::new(AtomicU64::new(0));
-        let thread = Thread {
+        let thread = LogThread {
             own_id: opened.node_id,
             own_name: settings.instance.clone(),
-            began,
+            started_at,
             tick: settings.heartbeat / TICKS_PER_HEARTBEAT,
             next_tick: Duration::ZERO,
             node,
@@ -206,25 +211,25 @@
             state: opened.state,
             founding: opened.founding,
             peers,
-            heard: BTreeSet::new(),
-            heard_diskless: BTreeSet::new(),
-            waiting: BTreeMap::new(),
-            questions: BTreeMap::new(),
-            next_question: 0,
+            seen_peers: BTreeSet::new(),
+            diskless_peers: BTreeSet::new(),
+            pending_proposals: BTreeMap::new(),
+            pending_reads: BTreeMap::new(),
+            next_read_id: 0,
             log_bytes: 0,
             snapshot_every_entries: settings.snapshot_every_entries,
             max_log_bytes: settings.max_log_bytes,
             tolerated_losses: settings.tolerated_losses,
             election_timeout: settings.election_timeout,
             opened_term: 0,
-            told_members: Membership::default(),
+            logged_membership: Membership::default(),
             stop_until: None,
-            is_view_old: false,
-            standing: standing_sender,
+            is_view_stale: false,
+            node_status: node_status_sender,
             published,
             view: Arc::clone(&view),
             lease_until_us: Arc::clone(&lease_until_us),
-            round_at_us: Arc::clone(&round_at_us),
+            last_round_us: Arc::clone(&last_round_us),
             commits: Arc::clone(&commits),
         };
         std::thread::Builder::new()
@@ -233,12 +238,12 @@
             .expect("the system gives a thread at the start");
         Ok(Self {
             inputs,
-            standing,
+            node_status,
             view,
             lease_until_us,
-            round_at_us,
+            last_round_us,
             stalled_after: settings.election_timeout * STALLED_AFTER_TIMEOUTS,
-            began,
+            started_at,
             commits,
         })
     }
@@ -246,13 +251,13 @@
     /// Returns whether this instance leads and no other can lead now.
     pub(crate) fn holds_lease(&self) -> bool {
         let until = self.lease_until_us.load(Ordering::Acquire);
-        self.began.elapsed().as_micros() < u128::from(until)
+        self.started_at.elapsed().as_micros() < u128::from(until)
     }
 
     /// Returns the time since the thread last took in what had arrived and told what it knows.
     pub(crate) fn age(&self) -> Duration {
-        let round_at = Duration::from_micros(self.round_at_us.load(Ordering::Acquire));
-        self.began.elapsed().saturating_sub(round_at)
+        let last_round = Duration::from_micros(self.last_round_us.load(Ordering::Acquire));
+        self.started_at.elapsed().saturating_sub(last_round)
     }
 
     /// Returns whether what the thread has told is too old to be believed.
@@ -264,43 +269,43 @@
     }
 
     /// Hands messages of another instance to the log; returns false when the thread is too far behind.
-    pub(crate) fn take(&self, batch: Batch) -> bool {
+    pub(crate) fn receive(&self, batch: Batch) -> bool {
         self.inputs.try_send(Input::Batch(batch)).is_ok()
     }
 
     /// Proposes a command, and returns its reply once it is durable on a majority and applied.
-    pub(crate) async fn propose(&self, command: Command) -> Result<Reply, Refused> {
+    pub(crate) async fn propose(&self, command: Command) -> Result<Reply, LogError> {
         let (sender, receiver) = oneshot::channel();
-        self.put(Input::Propose(command, sender))?;
-        receiver.await.map_err(|_gone| Refused::Stopped)?
+        self.send_input(Input::Propose(command, sender))?;
+        receiver.await.map_err(|_gone| LogError::Stopped)?
     }
 
     /// Asks the state machine a question that is answered as of now, checked with a quorum.
-    pub(crate) async fn ask<T: Send + 'static>(
+    pub(crate) async fn read<T: Send + 'static>(
         &self,
-        question: impl FnOnce(&State, &Status) -> T + Send + 'static,
-    ) -> Result<T, Refused> {
+        query: impl FnOnce(&State, &Status) -> T + Send + 'static,
+    ) -> Result<T, LogError> {
         let (sender, receiver) = oneshot::channel();
-        let ask: Question = Box::new(move |answer| {
-            let answer = answer.map(|(state, status)| question(state, status));
-            let _asker_is_gone = sender.send(answer.ok_or(Refused::NotLeader));
+        let callback: ReadCallback = Box::new(move |answer| {
+            let answer = answer.map(|(state, status)| query(state, status));
+            let _asker_is_gone = sender.send(answer.ok_or(LogError::NotLeader));
         });
-        self.put(Input::Ask(ask))?;
-        receiver.await.map_err(|_gone| Refused::Stopped)?
+        self.send_input(Input::Read(callback))?;
+        receiver.await.map_err(|_gone| LogError::Stopped)?
     }
 
     /// Moves a control instance one step towards its place in the log.
-    pub(crate) async fn join(&self, join: JoinControl) -> Result<JoinedControl, Refused> {
+    pub(crate) async fn join(&self, join: JoinControl) -> Result<JoinedControl, LogError> {
         let (sender, receiver) = oneshot::channel();
-        self.put(Input::Join(join, sender))?;
-        receiver.await.map_err(|_gone| Refused::Stopped)?
+        self.send_input(Input::Join(join, sender))?;
+        receiver.await.map_err(|_gone| LogError::Stopped)?
     }
 
     /// Removes a control instance that is gone for good.
-    pub(crate) async fn remove(&self, instance: Box<str>) -> Result<RemovedControl, Refused> {
+    pub(crate) async fn remove(&self, instance: Box<str>) -> Result<RemovedControl, LogError> {
         let (sender, receiver) = oneshot::channel();
-        self.put(Input::Remove(instance, sender))?;
-        receiver.await.map_err(|_gone| Refused::Stopped)?
+        self.send_input(Input::Remove(instance, sender))?;
+        receiver.await.map_err(|_gone| LogError::Stopped)?
     }
 
     /// Asks the thread to hand leadership over and to end.
@@ -308,27 +313,27 @@
         let _ended_already = self.inputs.send(Input::Stop);
     }
 
-    fn put(&self, input: Input) -> Result<(), Refused> {
+    fn send_input(&self, input: Input) -> Result<(), LogError> {
         self.inputs.try_send(input).map_err(|error| match error {
-            std::sync::mpsc::TrySendError::Full(_) => Refused::Busy,
-            std::sync::mpsc::TrySendError::Disconnected(_) => Refused::Stopped,
+            std::sync::mpsc::TrySendError::Full(_) => LogError::Busy,
+            std::sync::mpsc::TrySendError::Disconnected(_) => LogError::Stopped,
         })
     }
 }
 
-fn view_of(state: &State, heard: &BTreeSet<NodeId>, met: Vec<Box<str>>) -> View {
+fn view_of(state: &State, seen_peers: &BTreeSet<NodeId>, peer_addresses: Vec<Box<str>>) -> View {
     View {
         folder: state.changes().folder().clone(),
         drains: state.drains(),
         lowest_fence: state.orders().lowest_valid(),
         open_orders: state.orders().open().cloned().collect(),
-        named: state.control().keys().chain(heard).copied().collect(),
+        known_incarnations: state.control().keys().chain(seen_peers).copied().collect(),
         routing: state.routing().clone(),
-        control: state
+        control_addresses: state
             .control()
             .values()
             .map(|name| name.address.clone())
             .collect(),
-        met,
+        peer_addresses,
     }
 }
--- a/crates/control/src/driver/diskless.rs
+++ b/crates/control/src/driver/diskless.rs
@@ -10,18 +10,18 @@
 use hinge_telemetry::info;
 use hinge_telemetry::log::Part;
 
-use super::thread::Thread;
-use super::votes::{VoterDisks, hands_votes_on, may_acknowledge};
+use super::thread::LogThread;
+use super::votes::{VoterDisks, may_acknowledge, should_remove_diskless_voters};
 use crate::open::Log;
 
 /// Time from the start in which instances with a disk are expected to join. A fleet in which none has joined by then has none,
 /// and goes on without.
-const FOUNDING: Duration = Duration::from_secs(5);
+const FOUNDING_PERIOD: Duration = Duration::from_secs(5);
 
 /// Silence after which a follower without a disk is forgotten; one that was only cut off joins again.
-const FORGET_AFTER: Duration = Duration::from_secs(10);
+const FORGET_SILENT_AFTER: Duration = Duration::from_secs(10);
 
-impl Thread {
+impl LogThread {
     /// Returns whether an instance is known to keep the log in memory only.
     pub(super) fn is_diskless(&self, node_id: NodeId) -> bool {
         if node_id == self.own_id {
@@ -29,7 +29,7 @@
         }
         let named = self.state.control().get(&node_id);
         named.map_or_else(
-            || self.heard_diskless.contains(&node_id),
+            || self.diskless_peers.contains(&node_id),
             |name| name.diskless,
         )
     }
@@ -38,7 +38,9 @@
     pub(super) fn voter_disks(&self) -> VoterDisks {
         let voters = &self.node.membership().voters;
         let is_known = |id: NodeId| {
-            id == self.own_id || self.heard.contains(&id) || self.state.control().contains_key(&id)
+            id == self.own_id
+                || self.seen_peers.contains(&id)
+                || self.state.control().contains_key(&id)
         };
         let without = voters.iter().filter(|id| self.is_diskless(**id)).count();
         let with = voters
@@ -51,20 +53,20 @@
     }
 
     /// Returns whether a commit is as durable as this fleet can make it.
-    pub(super) fn keeps_commits(&self) -> bool {
+    pub(super) fn can_acknowledge(&self) -> bool {
         let is_alone = self.founding.len() == 1;
         is_alone || may_acknowledge(self.voter_disks(), is_being_founded(self.now()))
     }
 
     /// Hands the votes of instances without a disk to those with one, as the leader, one at a time.
-    pub(super) fn retire_diskless(&mut self, now: Duration) {
+    pub(super) fn remove_diskless_voters(&mut self, now: Duration) {
         if self.node.role() != Role::Leader {
             return;
         }
-        self.forget_silent(now);
+        self.forget_silent_learners(now);
         let disks = self.voter_disks();
-        let least_voters = self.least_voters();
-        if !hands_votes_on(disks, least_voters, is_being_founded(now)) {
+        let min_voters = self.min_voters();
+        if !should_remove_diskless_voters(disks, min_voters, is_being_founded(now)) {
             return;
         }
         let voters = self.node.membership().voters.clone();
@@ -73,7 +75,10 @@
             .find(|id| **id != self.own_id && self.is_diskless(**id));
         if let Some(other) = other {
             // A change that is under way goes first, and this one is tried again at the next tick.
-            if self.change(now, MembershipChange::Remove(*other)).is_ok() {
+            if self
+                .propose_membership_change(now, MembershipChange::Remove(*other))
+                .is_ok()
+            {
                 info!(
                     Part::Control,
                     "An instance without a disk gives up its vote.",
@@ -97,15 +102,20 @@
     }
 
     /// Removes followers without a disk that have ended for good; each start of one is another follower.
-    fn forget_silent(&mut self, now: Duration) {
+    fn forget_silent_learners(&mut self, now: Duration) {
         let learners = &self.node.membership().learners;
         let silent = learners.iter().copied().find(|id| {
-            *id != self.own_id && self.is_diskless(*id) && self.node.is_silent(*id, FORGET_AFTER)
+            *id != self.own_id
+                && self.is_diskless(*id)
+                && self.node.is_silent(*id, FORGET_SILENT_AFTER)
         });
         let Some(silent) = silent else {
             return;
         };
-        if self.change(now, MembershipChange::Remove(silent)).is_ok() {
+        if self
+            .propose_membership_change(now, MembershipChange::Remove(silent))
+            .is_ok()
+        {
             let command = Command::ForgetControl { node_id: silent };
             let _stays_named_if_lost = self.node.propose(now, command.encode());
         }
@@ -114,5 +124,5 @@
 
 /// Returns whether instances with a disk may still be on their way to a fleet that has none yet.
 pub(super) fn is_being_founded(since_start: Duration) -> bool {
-    since_start < FOUNDING
+    since_start < FOUNDING_PERIOD
 }
--- a/crates/control/src/driver/tests.rs
+++ b/crates/control/src/driver/tests.rs
@@ -8,7 +8,7 @@
 use hinge_cases::cases;
 use hinge_raft::{AppendResult, Body, Config, Membership, Message, Node, PersistentState};
 
-use super::thread::{lease_until_us, take_and_send};
+use super::thread::{lease_until_us, take_output_and_send};
 
 /// After the wait for the votes of an earlier life and the longest election timeout.
 const LATER: Duration = Duration::from_secs(5);
@@ -65,7 +65,7 @@
         assert!(published_until_us.load(Ordering::Acquire) > 0, "it holds a lease");
         node.transfer_leadership(LATER, 2).expect("node 2 is in touch");
         let mut seen = Vec::new();
-        take_and_send(&mut node, &published_until_us, |message| {
+        take_output_and_send(&mut node, &published_until_us, |message| {
             seen.push((message.body, published_until_us.load(Ordering::Acquire)));
         });
         assert!(seen.contains(&(Body::TimeoutNow, 0)), "{seen:?}");
@@ -75,7 +75,7 @@
     a_longer_lease_waits_for_the_state => {
         let mut node = leader();
         let published_until_us = AtomicU64::new(1);
-        take_and_send(&mut node, &published_until_us, |_| {});
+        take_output_and_send(&mut node, &published_until_us, |_| {});
         assert_eq!(published_until_us.load(Ordering::Acquire), 1);
     }
 }
--- a/crates/control/src/driver/tests/stalled.rs
+++ b/crates/control/src/driver/tests/stalled.rs
@@ -15,13 +15,13 @@
 
 use super::super::{Driver, Input};
 use crate::caller::{Caller, Direct};
-use crate::core::{Core, Place};
+use crate::core::{Core, Leadership};
 use crate::open;
-use crate::peers::{Batch, Peers, Sender};
+use crate::peers::{Batch, Peers, SenderInfo};
 use crate::settings::{ControlSettings, Peer};
 
 /// Looks at an instance, with a pause of 5 ms between two; an election timeout is 60 of them.
-const LOOKS: usize = 2_000;
+const MAX_POLLS: usize = 2_000;
 
 const LEADER: &str = "control-b";
 
@@ -39,7 +39,7 @@
         .into();
     let caller = Caller::new(ClusterKey::derive(b"a key"), Arc::new(Direct));
     let opened = open::open(&settings, false).expect("the settings are right");
-    let sender = Sender {
+    let sender = SenderInfo {
         node_id: opened.node_id,
         address: "control-a".into(),
         diskless: settings.is_diskless(),
@@ -61,7 +61,7 @@
 }
 
 /// Lets the follower hear of the leader of a term so late that no earlier one counts.
-fn hear_leader(core: &Core) {
+fn deliver_heartbeat(core: &Core) {
     let from = open::founder_id("test", LEADER);
     let heartbeat = Message {
         cluster_id: hinge_state::keys::fnv1a(b"test"),
@@ -82,13 +82,13 @@
         diskless: false,
         messages: vec![heartbeat],
     };
-    assert!(core.driver.take(batch), "the log takes messages");
+    assert!(core.driver.receive(batch), "the log takes messages");
 }
 
 /// Returns whether the instance comes to stand as asked.
-async fn comes_to(core: &Core, place: &Place) -> bool {
-    for _ in 0..LOOKS {
-        if core.place() == *place {
+async fn reaches(core: &Core, place: &Leadership) -> bool {
+    for _ in 0..MAX_POLLS {
+        if core.leadership() == *place {
             return true;
         }
         tokio::time::sleep(std::time::Duration::from_millis(5)).await;
@@ -99,16 +99,16 @@
 async_cases! { real
     a_stalled_follower_answers_nothing_as_current => {
         let core = follower();
-        let follows = Place::There(LEADER.into());
-        hear_leader(&core);
-        assert!(comes_to(&core, &follows).await, "it has heard the leader");
-        let (hang_up, hangs) = sync_channel::<()>(0);
-        let hang: super::super::Question = Box::new(move |_| _ = hangs.recv());
-        core.driver.put(Input::Ask(hang)).expect("the log runs");
-        hear_leader(&core);
-        assert!(comes_to(&core, &Place::Nowhere).await, "nothing has told it of the leader for an election timeout");
-        drop(hang_up);
-        assert!(comes_to(&core, &follows).await, "it goes on with what has arrived meanwhile");
+        let follows = Leadership::Remote(LEADER.into());
+        deliver_heartbeat(&core);
+        assert!(reaches(&core, &follows).await, "it has heard the leader");
+        let (release, blocked) = sync_channel::<()>(0);
+        let block: super::super::ReadCallback = Box::new(move |_| _ = blocked.recv());
+        core.driver.send_input(Input::Read(block)).expect("the log runs");
+        deliver_heartbeat(&core);
+        assert!(reaches(&core, &Leadership::Unknown).await, "nothing has told it of the leader for an election timeout");
+        drop(release);
+        assert!(reaches(&core, &follows).await, "it goes on with what has arrived meanwhile");
         core.driver.stop();
     }
 }
--- a/crates/control/src/driver/thread.rs
+++ b/crates/control/src/driver/thread.rs
@@ -15,14 +15,16 @@
 use hinge_telemetry::{error, info};
 use tokio::sync::watch;
 
-use super::{BATCH_INPUTS, Input, Question, Refused, ReplySender, Standing, View, view_of};
+use super::{
+    Input, LogError, MAX_BATCH_INPUTS, NodeStatus, ReadCallback, ReplySender, View, view_of,
+};
 use crate::open::Log;
 use crate::peers::{Batch, Peers};
 
-pub(super) struct Thread {
+pub(super) struct LogThread {
     pub(super) own_id: NodeId,
     pub(super) own_name: Box<str>,
-    pub(super) began: Instant,
+    pub(super) started_at: Instant,
     pub(super) tick: Duration,
     pub(super) next_tick: Duration,
     pub(super) node: Node,
@@ -31,12 +33,12 @@
     pub(super) founding: BTreeMap<NodeId, ControlName>,
     pub(super) peers: Peers,
     /// Incarnations that sent anything since this process started.
-    pub(super) heard: BTreeSet<NodeId>,
+    pub(super) seen_peers: BTreeSet<NodeId>,
     /// Those of them that have said that they keep the log in memory only.
-    pub(super) heard_diskless: BTreeSet<NodeId>,
-    pub(super) waiting: BTreeMap<(Term, Index), ReplySender>,
-    pub(super) questions: BTreeMap<ReadId, Question>,
-    pub(super) next_question: ReadId,
+    pub(super) diskless_peers: BTreeSet<NodeId>,
+    pub(super) pending_proposals: BTreeMap<(Term, Index), ReplySender>,
+    pub(super) pending_reads: BTreeMap<ReadId, ReadCallback>,
+    pub(super) next_read_id: ReadId,
     pub(super) applied_index: Index,
     pub(super) snapshot_index: Index,
     pub(super) log_bytes: usize,
@@ -47,18 +49,18 @@
     /// Term that this instance opened in the state as its leader.
     pub(super) opened_term: Term,
     /// Members that the last line about them told.
-    pub(super) told_members: Membership,
+    pub(super) logged_membership: Membership,
     pub(super) stop_until: Option<Duration>,
-    pub(super) is_view_old: bool,
-    pub(super) standing: watch::Sender<Standing>,
+    pub(super) is_view_stale: bool,
+    pub(super) node_status: watch::Sender<NodeStatus>,
     pub(super) published: watch::Sender<u64>,
     pub(super) view: Arc<ArcSwap<View>>,
     pub(super) lease_until_us: Arc<AtomicU64>,
-    pub(super) round_at_us: Arc<AtomicU64>,
+    pub(super) last_round_us: Arc<AtomicU64>,
     pub(super) commits: Arc<AtomicU64>,
 }
 
-impl Thread {
+impl LogThread {
     pub(super) fn run(mut self, inputs: &Receiver<Input>) {
         let ended = self.run_until_stop(inputs);
         self.lease_until_us.store(0, Ordering::Release);
@@ -72,36 +74,36 @@
                 cause = failure
             );
         }
-        self.standing.send_modify(|standing| {
-            standing.is_leader = false;
-            standing.may_answer = false;
-            standing.leader = None;
-            standing.has_stopped = true;
-            standing.failure = failure;
+        self.node_status.send_modify(|node_status| {
+            node_status.is_leader = false;
+            node_status.may_answer = false;
+            node_status.leader = None;
+            node_status.has_stopped = true;
+            node_status.failure = failure;
         });
         self.published.send_modify(|count| *count += 1);
     }
 
     fn run_until_stop(&mut self, inputs: &Receiver<Input>) -> Result<(), Box<str>> {
-        self.settle()?;
+        self.process_output()?;
         loop {
             let wait = self.next_tick.saturating_sub(self.now());
             match inputs.recv_timeout(wait) {
-                Ok(input) => self.take_in(input),
+                Ok(input) => self.handle_input(input),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return Ok(()),
             }
-            for input in inputs.try_iter().take(BATCH_INPUTS) {
-                self.take_in(input);
+            for input in inputs.try_iter().take(MAX_BATCH_INPUTS) {
+                self.handle_input(input);
             }
             let now = self.now();
             if now >= self.next_tick {
                 self.next_tick = now + self.tick;
                 self.node.tick(now);
-                self.name_founders(now);
-                self.retire_diskless(now);
+                self.record_founders(now);
+                self.remove_diskless_voters(now);
             }
-            self.settle()?;
+            self.process_output()?;
             if self.may_stop() {
                 return Ok(());
             }
@@ -109,20 +111,20 @@
     }
 
     pub(super) fn now(&self) -> Duration {
-        self.began.elapsed()
+        self.started_at.elapsed()
     }
 
-    fn take_in(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         let now = self.now();
         match input {
             Input::Batch(batch) => self.step(now, batch),
             Input::Propose(command, reply) => self.propose(now, &command, reply),
-            Input::Ask(question) => {
-                let read_id = self.next_question;
-                self.next_question += 1;
+            Input::Read(callback) => {
+                let read_id = self.next_read_id;
+                self.next_read_id += 1;
                 match self.node.read(now, read_id) {
-                    Ok(()) => _ = self.questions.insert(read_id, question),
-                    Err(_not_leader) => question(None),
+                    Ok(()) => _ = self.pending_reads.insert(read_id, callback),
+                    Err(_not_leader) => callback(None),
                 }
             }
             Input::Join(join, reply) => {
@@ -137,11 +139,11 @@
 
     fn step(&mut self, now: Duration, batch: Batch) {
         self.peers.learn(batch.from, &batch.address);
-        if self.heard.insert(batch.from) {
-            self.is_view_old = true;
+        if self.seen_peers.insert(batch.from) {
+            self.is_view_stale = true;
         }
         if batch.diskless {
-            self.heard_diskless.insert(batch.from);
+            self.diskless_peers.insert(batch.from);
         }
         for message in batch.messages {
             self.node.step(now, message);
@@ -149,43 +151,43 @@
     }
 
     fn propose(&mut self, now: Duration, command: &Command, reply: ReplySender) {
-        if self.node.role() == Role::Leader && !self.keeps_commits() {
-            let _asker_is_gone = reply.send(Err(Refused::BeingFounded));
+        if self.node.role() == Role::Leader && !self.can_acknowledge() {
+            let _asker_is_gone = reply.send(Err(LogError::FoundingIncomplete));
             return;
         }
         match self.node.propose(now, command.encode()) {
-            Ok(place) => _ = self.waiting.insert(place, reply),
+            Ok(position) => _ = self.pending_proposals.insert(position, reply),
             Err(cause) => {
-                let _asker_is_gone = reply.send(Err(refused(cause)));
+                let _asker_is_gone = reply.send(Err(log_error_from(cause)));
             }
         }
     }
 
     /// Does everything that the node asks for, until it asks for nothing.
-    fn settle(&mut self) -> Result<(), Box<str>> {
+    fn process_output(&mut self) -> Result<(), Box<str>> {
         loop {
             let peers = &self.peers;
-            let output = take_and_send(&mut self.node, &self.lease_until_us, |message| {
+            let output = take_output_and_send(&mut self.node, &self.lease_until_us, |message| {
                 peers.send(message);
             });
-            let (writes, token) = self.carry_out(output)?;
-            let asks_nothing = writes.is_empty();
-            if !asks_nothing {
+            let (writes, token) = self.apply_output(output)?;
+            let is_idle = writes.is_empty();
+            if !is_idle {
                 self.log
                     .write(writes)
                     .map_err(|error| error.to_string().into_boxed_str())?;
                 self.node.persisted(self.now(), token);
             }
             self.take_snapshot();
-            if asks_nothing {
+            if is_idle {
                 break;
             }
         }
-        self.tell();
+        self.publish();
         Ok(())
     }
 
-    fn carry_out(
+    fn apply_output(
         &mut self,
         output: Output,
     ) -> Result<(Vec<hinge_raft::Write>, hinge_raft::WriteToken), Box<str>> {
@@ -195,28 +197,32 @@
             self.applied_index = snapshot.last_index;
             self.snapshot_index = snapshot.last_index;
             self.log_bytes = 0;
-            self.is_view_old = true;
+            self.is_view_stale = true;
         }
         for entry in output.committed {
             self.apply(&entry)?;
         }
         for read in output.reads {
-            if let Some(question) = self.questions.remove(&read.read_id) {
-                question(Some((&self.state, &self.node.status())));
+            if let Some(callback) = self.pending_reads.remove(&read.read_id) {
+                callback(Some((&self.state, &self.node.status())));
             }
         }
         for read_id in output.dropped_reads {
-            if let Some(question) = self.questions.remove(&read_id) {
-                question(None);
+            if let Some(callback) = self.pending_reads.remove(&read_id) {
+                callback(None);
             }
         }
         for dropped in output.dropped_proposals {
-            let waiting = self.waiting.remove(&(dropped.term, dropped.index));
-            let refused = match dropped.reason {
-                DropReason::Overwritten => Refused::NotLeader,
-                DropReason::LeadershipLost | DropReason::CoveredBySnapshot => Refused::Unsettled,
+            let waiting = self
+                .pending_proposals
+                .remove(&(dropped.term, dropped.index));
+            let error = match dropped.reason {
+                DropReason::Overwritten => LogError::NotLeader,
+                DropReason::LeadershipLost | DropReason::CoveredBySnapshot => {
+                    LogError::OutcomeUnknown
+                }
             };
-            waiting.map(|waiting| waiting.send(Err(refused)));
+            waiting.map(|waiting| waiting.send(Err(error)));
         }
         Ok((output.writes, output.token))
     }
@@ -239,7 +245,7 @@
             command,
             Command::ClaimKeys { .. } | Command::HolderLost { .. } | Command::Sweep { .. }
         ) {
-            self.is_view_old = true;
+            self.is_view_stale = true;
         }
         if let Command::NameControl {
             node_id, address, ..
@@ -252,12 +258,12 @@
         }
         self.commits.fetch_add(1, Ordering::Relaxed);
         let reply = self.state.apply(entry.index, entry.term, command);
-        if let Some(waiting) = self.waiting.remove(&(entry.term, entry.index)) {
+        if let Some(waiting) = self.pending_proposals.remove(&(entry.term, entry.index)) {
             // A founder that was first heard on the way may have confirmed it without a disk.
-            let reply = if self.keeps_commits() {
+            let reply = if self.can_acknowledge() {
                 Ok(reply)
             } else {
-                Err(Refused::Unsettled)
+                Err(LogError::OutcomeUnknown)
             };
             let _asker_is_gone = waiting.send(reply);
         }
@@ -278,13 +284,13 @@
     }
 
     /// Writes a line when the members of the log are others than before; a quorum is counted among the voters.
-    fn tell_members(&mut self) {
+    fn log_membership(&mut self) {
         let members = self.node.membership();
-        if *members == self.told_members {
+        if *members == self.logged_membership {
             return;
         }
-        self.told_members = members.clone();
-        let members = &self.told_members;
+        self.logged_membership = members.clone();
+        let members = &self.logged_membership;
         info!(
             Part::Control,
             "The members of the log have changed.",
@@ -306,40 +312,43 @@
     }
 
     /// Tells the async tasks what has changed.
-    fn tell(&mut self) {
-        self.tell_members();
+    fn publish(&mut self) {
+        self.log_membership();
         let lease_until_us = lease_until_us(&self.node);
         self.lease_until_us.store(lease_until_us, Ordering::Release);
-        let mut has_news = false;
-        if std::mem::take(&mut self.is_view_old) {
-            let met = self.heard.iter().filter_map(|id| self.peers.address(*id));
-            let met = met.map(Box::from).collect();
-            let view = view_of(&self.state, &self.heard, met);
+        let mut has_changes = false;
+        if std::mem::take(&mut self.is_view_stale) {
+            let peer_addresses = self
+                .seen_peers
+                .iter()
+                .filter_map(|id| self.peers.address(*id));
+            let peer_addresses = peer_addresses.map(Box::from).collect();
+            let view = view_of(&self.state, &self.seen_peers, peer_addresses);
             self.view.store(Arc::new(view));
-            has_news = true;
+            has_changes = true;
         }
-        let standing = self.current_standing();
-        has_news |= self.standing.send_if_modified(|known| {
-            let is_new = *known != standing;
-            *known = standing.clone();
+        let node_status = self.current_node_status();
+        has_changes |= self.node_status.send_if_modified(|known| {
+            let is_new = *known != node_status;
+            *known = node_status.clone();
             is_new
         });
-        let round_at_us = u64::try_from(self.now().as_micros()).unwrap_or(u64::MAX);
-        self.round_at_us.store(round_at_us, Ordering::Release);
-        if has_news {
+        let last_round_us = u64::try_from(self.now().as_micros()).unwrap_or(u64::MAX);
+        self.last_round_us.store(last_round_us, Ordering::Release);
+        if has_changes {
             self.published.send_modify(|count| *count += 1);
         }
     }
 
-    fn current_standing(&mut self) -> Standing {
+    fn current_node_status(&mut self) -> NodeStatus {
         let status = self.node.status();
         let is_leader = status.role == Role::Leader;
-        let was = self.standing.borrow().clone();
-        if is_leader && !(was.is_leader && was.term == status.term) {
+        let previous = self.node_status.borrow().clone();
+        if is_leader && !(previous.is_leader && previous.term == status.term) {
             info!(Part::Control, "Leading.", term = status.term);
             self.open_term();
         }
-        Standing {
+        NodeStatus {
             node_id: status.id,
             term: status.term,
             is_leader,
@@ -347,8 +356,8 @@
                 && self.opened_term == status.term
                 && self.node.holds_lease(self.now()),
             leader: status.leader.and_then(|leader| self.name_of(leader)),
-            voters: self.told_members.voters.len(),
-            learners: self.told_members.learners.len(),
+            voters: self.logged_membership.voters.len(),
+            learners: self.logged_membership.learners.len(),
             has_stopped: false,
             failure: None,
         }
@@ -357,7 +366,7 @@
     /// Opens the term in the state; nothing that depends on the term is answered before.
     fn open_term(&mut self) {
         let command = Command::OpenTerm {
-            now_ms: crate::core::wall_ms(),
+            now_ms: crate::core::unix_now_ms(),
         };
         let _lost_if_not_leader = self.node.propose(self.now(), command.encode());
         self.next_tick = Duration::ZERO;
@@ -411,7 +420,7 @@
 /// A message may let another node lead from the moment at which it leaves (a request to campaign, a vote), while the rest of
 /// the output may take as long as a write. So whoever trusts the published lease must lose it first. The lease is only
 /// lowered here: a longer one is published by `tell`, once the rest of the output is carried out.
-pub(super) fn take_and_send(
+pub(super) fn take_output_and_send(
     node: &mut Node,
     published_until_us: &AtomicU64,
     mut send: impl FnMut(Message),
@@ -430,11 +439,11 @@
     u64::try_from(lease_until.as_micros()).unwrap_or(u64::MAX)
 }
 
-fn refused(cause: hinge_raft::ProposeError) -> Refused {
+fn log_error_from(cause: hinge_raft::ProposeError) -> LogError {
     match cause {
         hinge_raft::ProposeError::NotLeader { .. }
-        | hinge_raft::ProposeError::TransferInProgress { .. } => Refused::NotLeader,
-        hinge_raft::ProposeError::Full => Refused::Busy,
-        hinge_raft::ProposeError::TooLarge { .. } => Refused::TooLarge,
+        | hinge_raft::ProposeError::TransferInProgress { .. } => LogError::NotLeader,
+        hinge_raft::ProposeError::Full => LogError::Busy,
+        hinge_raft::ProposeError::TooLarge { .. } => LogError::TooLarge,
     }
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -6,11 +6,11 @@
 //!
 //! A relay has no disk. It follows control on behalf of its data centre, and keeps serving what it has when control is gone.
 
-mod below;
 mod caller;
 mod control;
 mod core;
 mod directory;
+mod downstream;
 mod driver;
 mod follow;
 mod join;
@@ -21,13 +21,13 @@
 mod orders;
 mod peer_calls;
 mod peers;
-mod refused;
+mod refused_reports;
 mod relay;
 mod relay_calls;
 mod route;
 mod routing_calls;
 mod settings;
-mod soft;
+mod soft_state;
 mod suspect_calls;
 mod upgrade;
 
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -54,14 +54,14 @@
     }
 
     pub(crate) fn update(&self, core: &Core) {
-        let standing = core.driver.standing.borrow().clone();
-        self.term.set(to_gauge(standing.term));
-        self.leading.set(i64::from(standing.may_answer));
+        let node_status = core.driver.node_status.borrow().clone();
+        self.term.set(to_gauge(node_status.term));
+        self.leading.set(i64::from(node_status.may_answer));
         let age_ms = core.driver.age().as_millis();
         self.log_age_ms
             .set(i64::try_from(age_ms).unwrap_or(i64::MAX));
-        self.voters.set(to_gauge(standing.voters as u64));
-        self.learners.set(to_gauge(standing.learners as u64));
+        self.voters.set(to_gauge(node_status.voters as u64));
+        self.learners.set(to_gauge(node_status.learners as u64));
         let commits = core.driver.commits.load(Ordering::Relaxed);
         self.commits.set(to_gauge(commits));
         let view = core.driver.view.load();
--- a/crates/control/src/open.rs
+++ b/crates/control/src/open.rs
@@ -16,10 +16,10 @@
 use crate::settings::{ControlSettings, Peer};
 
 /// File that names the founding instances, so that a later change of the settings can't change the first quorum.
-const FOUNDING_NAME: &str = "founding.toml";
+const FOUNDING_FILE: &str = "founding.toml";
 
 /// Sub-folder of the log.
-const LOG_NAME: &str = "log";
+const LOG_FOLDER: &str = "log";
 
 /// Says why a control instance can't be opened.
 #[derive(Debug)]
@@ -56,7 +56,7 @@
             Self::Store(cause) => cause.fmt(f),
             Self::Founding => write!(
                 f,
-                "{FOUNDING_NAME} in the data folder is damaged: empty the folder and start without bootstrap, so that the instance rejoins"
+                "{FOUNDING_FILE} in the data folder is damaged: empty the folder and start without bootstrap, so that the instance rejoins"
             ),
             Self::NoPeers => f.write_str(
                 "a first start needs the list of control instances, with this instance in it",
@@ -125,20 +125,20 @@
 }
 
 /// Opens the log and the state of an instance; one that took part before and has an empty folder joins anew.
-pub(crate) fn open(settings: &ControlSettings, took_part: bool) -> Result<Opened, OpenError> {
+pub(crate) fn open(settings: &ControlSettings, was_member: bool) -> Result<Opened, OpenError> {
     let Some(folder) = &settings.data_folder else {
-        return open_in_memory(settings, took_part);
+        return open_in_memory(settings, was_member);
     };
     fs::create_dir_all(folder).map_err(OpenError::Folder)?;
     let identity = Identity {
         cluster_id: settings.cluster_id.clone(),
         instance: settings.instance.clone(),
     };
-    let disk = || FolderDisk::open(&folder.join(LOG_NAME)).map_err(OpenError::Folder);
-    let founding_path = folder.join(FOUNDING_NAME);
+    let disk = || FolderDisk::open(&folder.join(LOG_FOLDER)).map_err(OpenError::Folder);
+    let founding_path = folder.join(FOUNDING_FILE);
     let (store, recovered) = match Store::open(disk()?, &identity, Options::default()) {
         Ok(opened) => opened,
-        Err(hinge_store::OpenError::Empty) if settings.bootstrap && !took_part => {
+        Err(hinge_store::OpenError::Empty) if settings.bootstrap && !was_member => {
             let node_id = founder_id(&settings.cluster_id, &settings.instance);
             write_founding(folder, &founding_path, settings)?;
             Store::create(
@@ -194,8 +194,8 @@
 }
 
 /// Opens an instance without a disk; each start is a new incarnation, but for that of a founder.
-fn open_in_memory(settings: &ControlSettings, took_part: bool) -> Result<Opened, OpenError> {
-    if !settings.bootstrap || took_part {
+fn open_in_memory(settings: &ControlSettings, was_member: bool) -> Result<Opened, OpenError> {
+    if !settings.bootstrap || was_member {
         return Ok(Opened {
             log: Log::Memory,
             node_id: joiner_id(),
@@ -204,7 +204,7 @@
             founding: BTreeMap::new(),
         });
     }
-    let founding = named(&settings.cluster_id, peers_of(settings)?);
+    let founding = founders_by_id(&settings.cluster_id, peers_of(settings)?);
     let node_id = founder_id(&settings.cluster_id, &settings.instance);
     let durable = PersistentState {
         snapshot: Some(founding_snapshot(&founding)),
@@ -243,11 +243,11 @@
     Ok(settings.peers.iter().map(pair))
 }
 
-fn named(
+fn founders_by_id(
     cluster_id: &str,
     peers: impl Iterator<Item = (Box<str>, Box<str>)>,
 ) -> BTreeMap<NodeId, ControlName> {
-    let named = peers.map(|(instance, address)| {
+    let founders_by_id = peers.map(|(instance, address)| {
         let node_id = founder_id(cluster_id, &instance);
         let name = ControlName {
             instance,
@@ -257,7 +257,7 @@
         };
         (node_id, name)
     });
-    named.collect()
+    founders_by_id.collect()
 }
 
 fn write_founding(folder: &Path, path: &Path, settings: &ControlSettings) -> Result<(), OpenError> {
@@ -286,5 +286,5 @@
         Err(error) => return Err(OpenError::Folder(error)),
     };
     let file: FoundingFile = toml::from_str(&text).map_err(|_cause| OpenError::Founding)?;
-    Ok(named(cluster_id, file.peers.into_iter()))
+    Ok(founders_by_id(cluster_id, file.peers.into_iter()))
 }
--- a/crates/control/src/operator_calls.rs
+++ b/crates/control/src/operator_calls.rs
@@ -18,10 +18,10 @@
 use viz::Router;
 
 use crate::caller::Caller;
-use crate::core::{Core, FORWARDED, Place, wall_ms};
-use crate::driver::Refused;
+use crate::core::{Core, FORWARDED_PREFIX, Leadership, unix_now_ms};
+use crate::driver::LogError;
 use crate::operators::{Operator, OperatorKeys};
-use crate::route::{self, Slot};
+use crate::route::{self, StateCell};
 use crate::suspect_calls::answer_operator;
 
 /// Longest number, name or note of an operator, in bytes; they are kept in the log and in memory.
@@ -34,38 +34,40 @@
 const MAX_WAIT: Duration = Duration::from_mins(1);
 
 /// Time between two looks at who lacks a version.
-const LOOK_AGAIN: Duration = Duration::from_millis(100);
+const LACKING_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 macro_rules! operator_call {
-    ($router:ident, $keys:ident, $core:ident, $path:literal, $unavailable:path, $here:ident) => {{
+    ($router:ident, $keys:ident, $core:ident, $path:literal, $unavailable:path, $handler:ident) => {{
         let router = route::operator(
             $router,
             concat!("/v1/operator/", $path),
             $keys,
             $core,
             |core, operator, message| {
-                at_leader(
+                answer_or_forward(
                     core,
                     operator,
                     concat!("/operator/", $path),
                     message,
                     $unavailable,
-                    $here,
+                    $handler,
                 )
             },
         );
         route::operator(
             router,
-            &format!("{FORWARDED}/operator/{}", $path),
+            &format!("{FORWARDED_PREFIX}/operator/{}", $path),
             $keys,
             $core,
-            |core, operator, message| answer_here(core, operator, message, $unavailable, $here),
+            |core, operator, message| {
+                answer_as_leader(core, operator, message, $unavailable, $handler)
+            },
         )
     }};
 }
 
 /// Adds the calls of operators.
-pub(crate) fn add(router: Router, keys: &Arc<OperatorKeys>, core: &Slot<Core>) -> Router {
+pub(crate) fn add(router: Router, keys: &Arc<OperatorKeys>, core: &StateCell<Core>) -> Router {
     let router = operator_call!(router, keys, core, "apply", ApplyReply::Unavailable, apply);
     let router = operator_call!(
         router,
@@ -128,22 +130,22 @@
 }
 
 /// Answers an operator here, or forwards the call under the operator's own key in one hop.
-async fn at_leader<Q, A, F, R>(
+async fn answer_or_forward<Q, A, F, R>(
     core: Arc<Core>,
     operator: Operator,
     path: &'static str,
     message: Q,
     unavailable: fn(Unavailable) -> A,
-    here: F,
+    handler: F,
 ) -> Result<A, StatusCode>
 where
     Q: Serialize,
     A: DeserializeOwned,
     F: FnOnce(Arc<Core>, Operator, Q) -> R,
-    R: Future<Output = Result<A, Refused>>,
+    R: Future<Output = Result<A, LogError>>,
 {
-    let Place::There(address) = core.place() else {
-        return answer_here(core, operator, message, unavailable, here).await;
+    let Leadership::Remote(address) = core.leadership() else {
+        return answer_as_leader(core, operator, message, unavailable, handler).await;
     };
     let caller = Caller::new(operator.key, Arc::clone(&core.dial));
     let answer = core.forward(&caller, &address, path, &message).await;
@@ -152,28 +154,28 @@
     }))
 }
 
-async fn answer_here<Q, A, F, R>(
+async fn answer_as_leader<Q, A, F, R>(
     core: Arc<Core>,
     operator: Operator,
     message: Q,
     unavailable: fn(Unavailable) -> A,
-    here: F,
+    handler: F,
 ) -> Result<A, StatusCode>
 where
     F: FnOnce(Arc<Core>, Operator, Q) -> R,
-    R: Future<Output = Result<A, Refused>>,
+    R: Future<Output = Result<A, LogError>>,
 {
-    if !matches!(core.place(), Place::Here(_)) {
+    if !matches!(core.leadership(), Leadership::Local(_)) {
         let detail =
             "this instance knows no leader that a quorum confirms, so nothing it holds is current";
         return Ok(unavailable(core.unavailable(detail)));
     }
-    let answer = here(Arc::clone(&core), operator, message).await;
+    let answer = handler(Arc::clone(&core), operator, message).await;
     Ok(answer.unwrap_or_else(|refused| unavailable(core.unavailable(&refused.to_string()))))
 }
 
-async fn apply(core: Arc<Core>, operator: Operator, apply: Apply) -> Result<ApplyReply, Refused> {
-    if let Some(invalid) = refuse_texts(&[("change_id", &apply.change_id), ("note", &apply.note)]) {
+async fn apply(core: Arc<Core>, operator: Operator, apply: Apply) -> Result<ApplyReply, LogError> {
+    if let Some(invalid) = check_texts(&[("change_id", &apply.change_id), ("note", &apply.note)]) {
         return Ok(ApplyReply::Invalid(invalid));
     }
     let checked = check(&core, &apply).await?;
@@ -184,13 +186,13 @@
         note: apply.note,
         put: apply.put,
         removed: apply.removed,
-        accepted_at_ms: wall_ms(),
+        accepted_at_ms: unix_now_ms(),
         checked,
     });
     match core.propose(command).await {
         Ok(Reply::Change(reply)) => Ok(reply),
-        Ok(_other) => Err(Refused::Unsettled),
-        Err(Refused::TooLarge) => Ok(ApplyReply::Invalid(problem(
+        Ok(_other) => Err(LogError::OutcomeUnknown),
+        Err(LogError::TooLarge) => Ok(ApplyReply::Invalid(problem(
             "",
             "the change is longer than 4 MiB; split it",
         ))),
@@ -201,9 +203,9 @@
 /// Checks the folder that would result, off the log's thread and the async threads.
 ///
 /// A change that isn't based on the version in force has lost, so nothing is checked for it.
-async fn check(core: &Core, apply: &Apply) -> Result<Option<Checked>, Refused> {
+async fn check(core: &Core, apply: &Apply) -> Result<Option<Checked>, LogError> {
     let folder = core
-        .ask(|state, _| state.changes().folder().clone())
+        .read(|state, _| state.changes().folder().clone())
         .await?;
     if folder.version() != apply.base_version {
         return Ok(None);
@@ -213,7 +215,7 @@
     Ok(checked.ok())
 }
 
-fn refuse_texts(texts: &[(&str, &str)]) -> Option<Invalid> {
+fn check_texts(texts: &[(&str, &str)]) -> Option<Invalid> {
     let (key, _) = texts.iter().find(|(key, text)| {
         text.len() > MAX_TEXT_BYTES || (*key == "change_id" && text.is_empty())
     })?;
@@ -232,13 +234,13 @@
     }
 }
 
-async fn status(core: Arc<Core>, _: Operator, ask: AskStatus) -> Result<StatusReply, Refused> {
+async fn status(core: Arc<Core>, _: Operator, ask: AskStatus) -> Result<StatusReply, LogError> {
     let wait = Duration::from_millis(ask.wait_ms).min(MAX_WAIT);
     let deadline = Instant::now() + wait;
     while is_lacking(&core, ask.wait_version) && Instant::now() < deadline {
-        sleep(LOOK_AGAIN).await;
+        sleep(LACKING_POLL_INTERVAL).await;
     }
-    let mut status = core.ask(log_status).await?;
+    let mut status = core.read(log_status).await?;
     add_members(&core, &mut status)?;
     let own = &core.settings.instance;
     for instance in status.control.iter_mut().filter(|instance| instance.leader) {
@@ -247,9 +249,9 @@
     Ok(StatusReply::Status(status))
 }
 
-fn add_members(core: &Core, status: &mut Status) -> Result<(), Refused> {
+fn add_members(core: &Core, status: &mut Status) -> Result<(), LogError> {
     let soft = core.soft();
-    let members = soft.members.as_ref().ok_or(Refused::NotLeader)?;
+    let members = soft.members.as_ref().ok_or(LogError::NotLeader)?;
     status.members = members.live().cloned().collect();
     status.lacking = members.lacking(status.config_version).cloned().collect();
     Ok(())
@@ -294,17 +296,17 @@
     }
 }
 
-async fn history(core: Arc<Core>, _: Operator, ask: AskHistory) -> Result<HistoryReply, Refused> {
+async fn history(core: Arc<Core>, _: Operator, ask: AskHistory) -> Result<HistoryReply, LogError> {
     let limit = limit(ask.limit);
     let entries = core
-        .ask(move |state, _| state.changes().history(ask.before_version, limit))
+        .read(move |state, _| state.changes().history(ask.before_version, limit))
         .await?;
     Ok(HistoryReply::History(History { entries }))
 }
 
-async fn folder(core: Arc<Core>, _: Operator, ask: AskFolder) -> Result<FolderReply, Refused> {
+async fn folder(core: Arc<Core>, _: Operator, ask: AskFolder) -> Result<FolderReply, LogError> {
     let folder = core
-        .ask(move |state, _| {
+        .read(move |state, _| {
             let folder = state.changes().folder();
             Folder {
                 config_version: folder.version(),
@@ -315,10 +317,10 @@
     Ok(FolderReply::Folder(folder))
 }
 
-async fn drain(core: Arc<Core>, operator: Operator, drain: Drain) -> Result<DrainReply, Refused> {
+async fn drain(core: Arc<Core>, operator: Operator, drain: Drain) -> Result<DrainReply, LogError> {
     let texts = [("instance", &*drain.instance), ("note", &*drain.note)];
-    if refuse_texts(&texts).is_some() {
-        return Err(Refused::TooLarge);
+    if check_texts(&texts).is_some() {
+        return Err(LogError::TooLarge);
     }
     let command = Command::Drain(DrainCommand {
         instance: drain.instance,
@@ -326,11 +328,11 @@
         operator: operator.name,
         note: drain.note,
         deadline_ms: drain.deadline_ms,
-        now_ms: wall_ms(),
+        now_ms: unix_now_ms(),
     });
     match core.propose(command).await? {
         Reply::Drains(drains) => Ok(DrainReply::Drains(Drains { drains })),
-        _other => Err(Refused::Unsettled),
+        _other => Err(LogError::OutcomeUnknown),
     }
 }
 
@@ -338,15 +340,15 @@
     core: Arc<Core>,
     operator: Operator,
     order: PlaceOrder,
-) -> Result<OrdersReply, Refused> {
+) -> Result<OrdersReply, LogError> {
     let texts = [
         ("change_id", &*order.change_id),
         ("instance", &*order.instance),
         ("subject", &*order.subject),
         ("version", &*order.version),
     ];
-    if refuse_texts(&texts).is_some() {
-        return Err(Refused::TooLarge);
+    if check_texts(&texts).is_some() {
+        return Err(LogError::TooLarge);
     }
     let command = Command::PlaceOrder(OrderCommand {
         change_id: order.change_id,
@@ -355,20 +357,20 @@
         kind: order.kind,
         subject: order.subject,
         version: order.version,
-        now_ms: wall_ms(),
+        now_ms: unix_now_ms(),
     });
     match core.propose(command).await? {
         Reply::Order(order) => Ok(OrdersReply::Orders(Orders {
             orders: vec![order],
         })),
-        _other => Err(Refused::Unsettled),
+        _other => Err(LogError::OutcomeUnknown),
     }
 }
 
-async fn orders(core: Arc<Core>, _: Operator, ask: AskOrders) -> Result<OrdersReply, Refused> {
+async fn orders(core: Arc<Core>, _: Operator, ask: AskOrders) -> Result<OrdersReply, LogError> {
     let limit = limit(ask.limit);
     let orders = core
-        .ask(move |state, _| state.orders().list(&ask.instance, limit))
+        .read(move |state, _| state.orders().list(&ask.instance, limit))
         .await?;
     Ok(OrdersReply::Orders(Orders { orders }))
 }
@@ -377,7 +379,7 @@
     core: Arc<Core>,
     _: Operator,
     ask: AskUpgrades,
-) -> Result<UpgradesReply, Refused> {
+) -> Result<UpgradesReply, LogError> {
     let upgrades = core.planner.report(&core, &ask).await?;
     Ok(UpgradesReply::Upgrades(upgrades))
 }
@@ -386,7 +388,7 @@
     core: Arc<Core>,
     _: Operator,
     remove: RemoveControl,
-) -> Result<RemoveControlReply, Refused> {
+) -> Result<RemoveControlReply, LogError> {
     let removed = core.driver.remove(remove.instance).await?;
     Ok(RemoveControlReply::Removed(removed))
 }
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -10,25 +10,25 @@
 use hinge_schema::messages::{Order, OrderRecord, OrderReply, OrderVerdict};
 use hinge_state::{Command, InstanceName, OrderResult};
 
-use crate::core::{Core, Place};
+use crate::core::{Core, Leadership};
 
 /// Path at the sidecar.
 const ORDER_PATH: &str = "/v1/order";
 
 /// Wait for a sidecar's answer; an endpoint that takes longer answers `running`.
-const WAIT: Duration = Duration::from_secs(10);
+const ORDER_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Orders on the way at once.
-const MAX_UNDER_WAY: usize = 64;
+const MAX_IN_FLIGHT_ORDERS: usize = 64;
 
 /// Holds which endpoints have an order on the way.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct UnderWay(Arc<Mutex<BTreeSet<InstanceName>>>);
+pub(crate) struct InFlightOrders(Arc<Mutex<BTreeSet<InstanceName>>>);
 
-impl UnderWay {
+impl InFlightOrders {
     fn begin(&self, instance: &str) -> bool {
         let mut names = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        names.len() < MAX_UNDER_WAY && names.insert(instance.into())
+        names.len() < MAX_IN_FLIGHT_ORDERS && names.insert(instance.into())
     }
 
     fn end(&self, instance: &str) {
@@ -38,7 +38,7 @@
 }
 
 /// Sends each endpoint's oldest open order, unless one is on the way.
-pub(crate) fn give(core: &Arc<Core>, under_way: &UnderWay) {
+pub(crate) fn dispatch(core: &Arc<Core>, in_flight: &InFlightOrders) {
     let view = core.driver.view.load_full();
     let mut seen = BTreeSet::new();
     for order in &view.open_orders {
@@ -48,12 +48,12 @@
         }
         let address = address_of(core, &order.instance);
         if let Some(address) = address
-            && under_way.begin(&order.instance)
+            && in_flight.begin(&order.instance)
         {
-            let (core, order, under_way) = (Arc::clone(core), order.clone(), under_way.clone());
+            let (core, order, in_flight) = (Arc::clone(core), order.clone(), in_flight.clone());
             tokio::spawn(async move {
-                give_one(&core, &order, &address).await;
-                under_way.end(&order.instance);
+                dispatch_one(&core, &order, &address).await;
+                in_flight.end(&order.instance);
             });
         }
     }
@@ -68,7 +68,7 @@
     Some(member.peer_address.clone())
 }
 
-async fn give_one(core: &Core, record: &OrderRecord, address: &str) {
+async fn dispatch_one(core: &Core, record: &OrderRecord, address: &str) {
     let order = Order {
         order_id: record.order_id,
         fence: record.fence,
@@ -76,12 +76,12 @@
         subject: record.subject.clone(),
         version: record.version.clone(),
     };
-    if !matches!(core.place(), Place::Here(_)) {
+    if !matches!(core.leadership(), Leadership::Local(_)) {
         return;
     }
     let reply = core
         .caller
-        .call::<_, OrderReply>(address, ORDER_PATH, &order, WAIT)
+        .call::<_, OrderReply>(address, ORDER_PATH, &order, ORDER_TIMEOUT)
         .await;
     let Ok(reply) = reply else {
         return;
--- a/crates/control/src/peer_calls.rs
+++ b/crates/control/src/peer_calls.rs
@@ -15,9 +15,9 @@
 use tokio::time::{Instant, timeout_at};
 use viz::Router;
 
-use crate::core::{Core, FORWARDED, Place, wall_ms};
-use crate::peers::{Batch, RAFT_PATH, Taken};
-use crate::route::{self, Slot};
+use crate::core::{Core, FORWARDED_PREFIX, Leadership, unix_now_ms};
+use crate::peers::{Batch, BatchAccepted, RAFT_PATH};
+use crate::route::{self, StateCell};
 
 const UNAVAILABLE: StatusCode = StatusCode::SERVICE_UNAVAILABLE;
 
@@ -46,23 +46,23 @@
 pub(crate) const FOUNDED_PATH: &str = "/v1/founded";
 
 /// Adds the calls of peers.
-pub(crate) fn add(router: Router, key: &ClusterKey, core: &Slot<Core>) -> Router {
+pub(crate) fn add(router: Router, key: &ClusterKey, core: &StateCell<Core>) -> Router {
     let router = route::peer(router, RAFT_PATH, key, core, raft);
     let router = route::peer(router, WATCH_PATH, key, core, watch);
     let router = route::peer(router, FOUNDED_PATH, key, core, founded);
-    let router = both(router, ANNOUNCE, key, core, announce, announce_here);
-    let router = both(router, ANNOUNCES, key, core, announces, announces_here);
-    let router = both(router, CLAIMS, key, core, claims, claims_here);
-    let router = both(router, SUMS, key, core, sums, sums_here);
-    both(router, JOIN, key, core, join, join_here)
+    let router = add_leader_call(router, ANNOUNCE, key, core, announce, announce_as_leader);
+    let router = add_leader_call(router, ANNOUNCES, key, core, announces, announces_as_leader);
+    let router = add_leader_call(router, CLAIMS, key, core, claims, claims_as_leader);
+    let router = add_leader_call(router, SUMS, key, core, sums, sums_as_leader);
+    add_leader_call(router, JOIN, key, core, join, join_as_leader)
 }
 
 /// Adds a call under its path, and under the path of forwarded calls, which are answered by the leader alone.
-pub(crate) fn both<Q, A, F, R, G, T>(
+pub(crate) fn add_leader_call<Q, A, F, R, G, T>(
     router: Router,
     path: &str,
     key: &ClusterKey,
-    core: &Slot<Core>,
+    core: &StateCell<Core>,
     first: F,
     forwarded: G,
 ) -> Router
@@ -75,45 +75,51 @@
     T: Future<Output = Result<A, StatusCode>> + Send + 'static,
 {
     let router = route::peer(router, &format!("/v1{path}"), key, core, first);
-    route::peer(router, &format!("{FORWARDED}{path}"), key, core, forwarded)
+    route::peer(
+        router,
+        &format!("{FORWARDED_PREFIX}{path}"),
+        key,
+        core,
+        forwarded,
+    )
 }
 
 /// Answers a call here, or forwards it to the leader in one hop.
-pub(crate) async fn at_leader<Q, A, R>(
+pub(crate) async fn answer_or_forward<Q, A, R>(
     core: Arc<Core>,
     path: &str,
     message: Q,
-    here: impl FnOnce(Arc<Core>, Q) -> R,
+    handler: impl FnOnce(Arc<Core>, Q) -> R,
 ) -> Result<A, StatusCode>
 where
     Q: Serialize,
     A: DeserializeOwned,
     R: Future<Output = Result<A, StatusCode>>,
 {
-    match core.place() {
-        Place::Here(_) => here(core, message).await,
-        Place::There(address) => core.forward(&core.caller, &address, path, &message).await,
-        Place::Nowhere => Err(UNAVAILABLE),
+    match core.leadership() {
+        Leadership::Local(_) => handler(core, message).await,
+        Leadership::Remote(address) => core.forward(&core.caller, &address, path, &message).await,
+        Leadership::Unknown => Err(UNAVAILABLE),
     }
 }
 
-async fn raft(core: Arc<Core>, batch: Batch) -> Result<Taken, StatusCode> {
-    if core.driver.take(batch) {
-        Ok(Taken {})
+async fn raft(core: Arc<Core>, batch: Batch) -> Result<BatchAccepted, StatusCode> {
+    if core.driver.receive(batch) {
+        Ok(BatchAccepted {})
     } else {
         Err(UNAVAILABLE)
     }
 }
 
 async fn announce(core: Arc<Core>, message: Announce) -> Result<Announced, StatusCode> {
-    at_leader(core, ANNOUNCE, message, announce_here).await
+    answer_or_forward(core, ANNOUNCE, message, announce_as_leader).await
 }
 
-async fn announce_here(core: Arc<Core>, message: Announce) -> Result<Announced, StatusCode> {
-    let Place::Here(term) = core.place() else {
+async fn announce_as_leader(core: Arc<Core>, message: Announce) -> Result<Announced, StatusCode> {
+    let Leadership::Local(term) = core.leadership() else {
         return Err(UNAVAILABLE);
     };
-    let lease = take_announcement(&core, term, &message)?;
+    let lease = accept_announcement(&core, term, &message)?;
     let is_drained = |members: &Members| members.is_drained(&message.instance);
     let drained = core.soft().members.as_ref().map(is_drained);
     Ok(Announced {
@@ -122,7 +128,7 @@
     })
 }
 
-fn take_announcement(
+fn accept_announcement(
     core: &Arc<Core>,
     term: u64,
     message: &Announce,
@@ -138,7 +144,7 @@
         let command = Command::HolderLost {
             sidecar: message.instance.clone(),
             incarnation: message.incarnation,
-            now_ms: wall_ms(),
+            now_ms: unix_now_ms(),
         };
         // If it is lost, the claims stay as running, which refuses more and never runs anything twice.
         let core = Arc::clone(core);
@@ -159,19 +165,19 @@
 }
 
 async fn announces(core: Arc<Core>, message: AnnounceBatch) -> Result<AnnouncedBatch, StatusCode> {
-    at_leader(core, ANNOUNCES, message, announces_here).await
+    answer_or_forward(core, ANNOUNCES, message, announces_as_leader).await
 }
 
-async fn announces_here(
+async fn announces_as_leader(
     core: Arc<Core>,
     message: AnnounceBatch,
 ) -> Result<AnnouncedBatch, StatusCode> {
-    let Place::Here(term) = core.place() else {
+    let Leadership::Local(term) = core.leadership() else {
         return Err(UNAVAILABLE);
     };
     let mut lease = core.settings.member_rules.longest_lease;
     for announce in &message.announced {
-        lease = lease.min(take_announcement(&core, term, announce)?);
+        lease = lease.min(accept_announcement(&core, term, announce)?);
     }
     let now = core.now();
     let unknown = {
@@ -192,14 +198,17 @@
 }
 
 async fn claims(core: Arc<Core>, message: ClaimBatch) -> Result<ClaimBatchReply, StatusCode> {
-    at_leader(core, CLAIMS, message, claims_here).await
+    answer_or_forward(core, CLAIMS, message, claims_as_leader).await
 }
 
-async fn claims_here(core: Arc<Core>, message: ClaimBatch) -> Result<ClaimBatchReply, StatusCode> {
+async fn claims_as_leader(
+    core: Arc<Core>,
+    message: ClaimBatch,
+) -> Result<ClaimBatchReply, StatusCode> {
     let command = Command::ClaimKeys {
         claims: message.claims,
         finished: message.finished,
-        now_ms: wall_ms(),
+        now_ms: unix_now_ms(),
     };
     match core.propose(command).await {
         Ok(Reply::Claims(replies)) => Ok(replies),
@@ -209,11 +218,14 @@
 }
 
 async fn sums(core: Arc<Core>, message: ServiceReport) -> Result<ServiceTotals, StatusCode> {
-    at_leader(core, SUMS, message, sums_here).await
+    answer_or_forward(core, SUMS, message, sums_as_leader).await
 }
 
-async fn sums_here(core: Arc<Core>, message: ServiceReport) -> Result<ServiceTotals, StatusCode> {
-    let Place::Here(term) = core.place() else {
+async fn sums_as_leader(
+    core: Arc<Core>,
+    message: ServiceReport,
+) -> Result<ServiceTotals, StatusCode> {
+    let Leadership::Local(term) = core.leadership() else {
         return Err(UNAVAILABLE);
     };
     let now = core.now();
@@ -225,16 +237,24 @@
 }
 
 async fn join(core: Arc<Core>, message: JoinControl) -> Result<JoinedControl, StatusCode> {
-    at_leader(core, JOIN, message, join_here).await
+    answer_or_forward(core, JOIN, message, join_as_leader).await
 }
 
-async fn join_here(core: Arc<Core>, message: JoinControl) -> Result<JoinedControl, StatusCode> {
+async fn join_as_leader(
+    core: Arc<Core>,
+    message: JoinControl,
+) -> Result<JoinedControl, StatusCode> {
     core.join(message).await.map_err(|_refused| UNAVAILABLE)
 }
 
 /// Answers from what is applied here; an old answer is on the safe side only if it says that the incarnation is known.
 async fn founded(core: Arc<Core>, message: AskFounded) -> Result<Founded, StatusCode> {
-    let is_known = core.driver.view.load().named.contains(&message.node_id);
+    let is_known = core
+        .driver
+        .view
+        .load()
+        .known_incarnations
+        .contains(&message.node_id);
     Ok(Founded { is_known })
 }
 
@@ -248,7 +268,7 @@
     note_version(&core, &message);
     loop {
         published.borrow_and_update();
-        if core.place() == Place::Nowhere {
+        if core.leadership() == Leadership::Unknown {
             return Err(UNAVAILABLE);
         }
         let update = update(&core, &message);
@@ -258,7 +278,7 @@
         match timeout_at(deadline, published.changed()).await {
             Ok(Ok(())) => {}
             Ok(Err(_stopped)) => return Err(UNAVAILABLE),
-            Err(_elapsed) if core.place() == Place::Nowhere => return Err(UNAVAILABLE),
+            Err(_elapsed) if core.leadership() == Leadership::Unknown => return Err(UNAVAILABLE),
             Err(_elapsed) => return Ok(update),
         }
     }
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -14,13 +14,13 @@
 pub(crate) const RAFT_PATH: &str = "/v1/raft";
 
 /// Messages that wait for one instance; the log sends again what is lost beyond.
-const WAITING_MESSAGES: usize = 256;
+const MAX_QUEUED_MESSAGES: usize = 256;
 
 /// Messages in one call; together they stay far below the longest message of a link.
-const BATCH_MESSAGES: usize = 64;
+const MAX_BATCH_MESSAGES: usize = 64;
 
 /// Wait for one call; a message that is older is of no use, because the log has sent it again.
-const WAIT: Duration = Duration::from_secs(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Holds messages from one instance to another, with the address to answer to.
 #[derive(Debug, Serialize, Deserialize)]
@@ -38,7 +38,7 @@
 
 /// Describes this instance to those that get its messages.
 #[derive(Debug, Clone)]
-pub(crate) struct Sender {
+pub(crate) struct SenderInfo {
     /// Incarnation in the log.
     pub(crate) node_id: NodeId,
     /// Address for other control instances.
@@ -49,7 +49,7 @@
 
 /// Says that a batch was taken in.
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) struct Taken {}
+pub(crate) struct BatchAccepted {}
 
 #[derive(Debug)]
 struct PeerLink {
@@ -62,12 +62,12 @@
 pub(crate) struct Peers {
     caller: Caller,
     runtime: Handle,
-    sender: Sender,
+    sender: SenderInfo,
     links: BTreeMap<NodeId, PeerLink>,
 }
 
 impl Peers {
-    pub(crate) fn new(caller: Caller, runtime: Handle, sender: Sender) -> Self {
+    pub(crate) fn new(caller: Caller, runtime: Handle, sender: SenderInfo) -> Self {
         Self {
             caller,
             runtime,
@@ -85,7 +85,7 @@
         if known.is_some_and(|link| *link.address == *address) {
             return;
         }
-        let (sender, receiver) = mpsc::channel(WAITING_MESSAGES);
+        let (sender, receiver) = mpsc::channel(MAX_QUEUED_MESSAGES);
         let link = PeerLink {
             address: address.into(),
             messages: sender,
@@ -116,11 +116,11 @@
 async fn send_all(
     caller: Caller,
     address: Box<str>,
-    sender: Sender,
+    sender: SenderInfo,
     mut receiver: mpsc::Receiver<Message>,
 ) {
     let mut messages = Vec::new();
-    while receiver.recv_many(&mut messages, BATCH_MESSAGES).await > 0 {
+    while receiver.recv_many(&mut messages, MAX_BATCH_MESSAGES).await > 0 {
         let batch = Batch {
             from: sender.node_id,
             address: sender.address.clone(),
@@ -128,7 +128,7 @@
             messages: std::mem::take(&mut messages),
         };
         let sent = caller
-            .call::<_, Taken>(&address, RAFT_PATH, &batch, WAIT)
+            .call::<_, BatchAccepted>(&address, RAFT_PATH, &batch, CALL_TIMEOUT)
             .await;
         if sent.is_err() {
             // What queued up behind a lost call is as old, and the log has newer words for a peer that comes back.
--- a/crates/control/src/relay.rs
+++ b/crates/control/src/relay.rs
@@ -23,25 +23,25 @@
 use tokio::time::{MissedTickBehavior, interval, sleep};
 use viz::Router;
 
-use crate::below::Below;
 use crate::caller::{Caller, Dial, Direct};
+use crate::downstream::Downstream;
 use crate::open::OpenError;
 use crate::peer_calls::{ANNOUNCES_PATH, SUMS_PATH, WATCH_PATH};
 use crate::relay_calls;
-use crate::route::Slot;
+use crate::route::StateCell;
 use crate::settings::RelaySettings;
 
 /// Wait for control's answer; an instance that is slower is left for the next one.
-const WAIT: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Longest wait of one watch at control.
-const WATCH: Duration = Duration::from_secs(20);
+const WATCH_WAIT: Duration = Duration::from_secs(20);
 
 /// Wait before control is asked again after a failure.
-const RETRY: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Wait after which news from below go to control together.
-const GATHER: Duration = Duration::from_millis(20);
+const BATCH_DELAY: Duration = Duration::from_millis(20);
 
 /// Holds what the calls and tasks of a relay share.
 #[derive(Debug)]
@@ -51,21 +51,23 @@
     pub(crate) published: watch::Sender<u64>,
     pub(crate) incarnation: u64,
     /// Wakes the task that tells control about processes.
-    pub(crate) has_news: Notify,
+    pub(crate) has_changes: Notify,
     caller: Caller,
     /// Place of the control instance that answered last.
     upstream: AtomicUsize,
-    below: Mutex<Below>,
-    began: Instant,
+    downstream: Mutex<Downstream>,
+    started_at: Instant,
 }
 
 impl RelayCore {
     pub(crate) fn now(&self) -> Duration {
-        self.began.elapsed()
+        self.started_at.elapsed()
     }
 
-    pub(crate) fn below(&self) -> MutexGuard<'_, Below> {
-        self.below.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn downstream(&self) -> MutexGuard<'_, Downstream> {
+        self.downstream
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     pub(crate) fn publish(&self) {
@@ -73,24 +75,27 @@
     }
 
     /// Calls the control instance that answered last, and turns to the next one if it fails.
-    pub(crate) async fn ask<Q: Serialize, A: DeserializeOwned>(
+    pub(crate) async fn call_control<Q: Serialize, A: DeserializeOwned>(
         &self,
         path: &str,
         message: &Q,
         wait: Duration,
     ) -> Result<A, StatusCode> {
         let control = &self.settings.control;
-        let place = self.upstream.load(Ordering::Relaxed);
-        let Some(address) = control.get(place % control.len().max(1)) else {
+        let position = self.upstream.load(Ordering::Relaxed);
+        let Some(address) = control.get(position % control.len().max(1)) else {
             return Err(StatusCode::SERVICE_UNAVAILABLE);
         };
         let asked = self.caller.call(address, path, message, wait).await;
         asked.map_err(|_no_answer| {
             // Only the first of several calls that failed together turns to the next instance.
-            let next = place.wrapping_add(1);
-            let _turned_already =
-                self.upstream
-                    .compare_exchange(place, next, Ordering::Relaxed, Ordering::Relaxed);
+            let next = position.wrapping_add(1);
+            let _turned_already = self.upstream.compare_exchange(
+                position,
+                next,
+                Ordering::Relaxed,
+                Ordering::Relaxed,
+            );
             StatusCode::SERVICE_UNAVAILABLE
         })
     }
@@ -124,30 +129,30 @@
         key: ClusterKey,
         dial: Arc<dyn Dial>,
     ) -> Result<Self, OpenError> {
-        let slot: Slot<RelayCore> = Arc::new(OnceLock::new());
-        let router = relay_calls::add(Router::new(), &key, &slot);
+        let state_cell: StateCell<RelayCore> = Arc::new(OnceLock::new());
+        let router = relay_calls::add(Router::new(), &key, &state_cell);
         let server = Server::bind(&settings.listen, router, Limits::default())
             .await
             .map_err(OpenError::Bind)?;
         let (published, _) = watch::channel(0);
         let core = Arc::new(RelayCore {
-            below: Mutex::new(Below::new(settings.member_rules)),
+            downstream: Mutex::new(Downstream::new(settings.member_rules)),
             settings,
             held: Held::empty(),
             published,
-            incarnation: crate::core::wall_ms(),
-            has_news: Notify::new(),
+            incarnation: crate::core::unix_now_ms(),
+            has_changes: Notify::new(),
             caller: Caller::new(key, dial),
             upstream: AtomicUsize::new(0),
-            began: Instant::now(),
+            started_at: Instant::now(),
         });
-        let _first_and_only = slot.set(Arc::clone(&core));
+        let _first_and_only = state_cell.set(Arc::clone(&core));
         let bound = || server.local_address().to_string().into_boxed_str();
         let address = core.settings.advertise.clone().unwrap_or_else(bound);
         let tasks = vec![
             tokio::spawn(follow(Arc::clone(&core))),
-            tokio::spawn(tell(Arc::clone(&core), address)),
-            tokio::spawn(report(Arc::clone(&core))),
+            tokio::spawn(announce_members(Arc::clone(&core), address)),
+            tokio::spawn(report_sums(Arc::clone(&core))),
         ];
         Ok(Self {
             core,
@@ -177,7 +182,7 @@
     /// Returns the number of processes that hold a lease of this relay.
     #[must_use]
     pub fn member_count(&self) -> usize {
-        self.core.below().len()
+        self.core.downstream().len()
     }
 
     /// Stops; open calls may end until the deadline. Returns whether all did.
@@ -192,38 +197,38 @@
 /// Follows control's configuration and members.
 async fn follow(core: Arc<RelayCore>) {
     let mut config_version = 0;
-    let mut members_are_whole = true;
+    let mut has_all_members = true;
     loop {
-        let question = question(&core, config_version, members_are_whole);
+        let watch_request = watch_request(&core, config_version, has_all_members);
         let asked = core
-            .ask::<_, Update>(WATCH_PATH, &question, WATCH + WAIT)
+            .call_control::<_, Update>(WATCH_PATH, &watch_request, WATCH_WAIT + CALL_TIMEOUT)
             .await;
         let Ok(update) = asked else {
-            sleep(RETRY).await;
+            sleep(RETRY_DELAY).await;
             continue;
         };
         if let Some(delta) = &update.config {
             config_version = learn_config(&core, delta);
         }
         if let Some(delta) = &update.members {
-            members_are_whole = core.below().roster.adopt(delta) != Adopted::NeedsFull;
+            has_all_members = core.downstream().roster.adopt(delta) != Adopted::NeedsFull;
         }
         core.publish();
     }
 }
 
-fn question(core: &RelayCore, config_version: u64, members_are_whole: bool) -> Watch {
-    let below = core.below();
+fn watch_request(core: &RelayCore, config_version: u64, has_all_members: bool) -> Watch {
+    let downstream = core.downstream();
     Watch {
         instance: core.settings.instance.clone(),
         config_version,
-        members_epoch: below.roster.epoch(),
-        members_version: if members_are_whole {
-            below.roster.version()
+        members_epoch: downstream.roster.epoch(),
+        members_version: if has_all_members {
+            downstream.roster.version()
         } else {
             0
         },
-        wait_ms: u64::try_from(WATCH.as_millis()).unwrap_or(u64::MAX),
+        wait_ms: u64::try_from(WATCH_WAIT.as_millis()).unwrap_or(u64::MAX),
         pools: Vec::new(),
     }
 }
@@ -249,38 +254,38 @@
 }
 
 /// Tells control about the processes below: news soon, and renewals at each interval.
-async fn tell(core: Arc<RelayCore>, address: Box<str>) {
+async fn announce_members(core: Arc<RelayCore>, address: Box<str>) {
     let mut ticks = interval(core.settings.report_interval);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut is_reached = true;
+    let mut is_control_reachable = true;
     loop {
         tokio::select! {
             _ = ticks.tick() => {}
-            () = core.has_news.notified() => sleep(GATHER).await,
+            () = core.has_changes.notified() => sleep(BATCH_DELAY).await,
         }
         let now = core.now();
         let batch = {
-            let mut below = core.below();
-            below.announce(now, own_announcement(&core, &address));
-            below.batch(now, &core.settings.instance)
+            let mut downstream = core.downstream();
+            downstream.announce(now, own_announcement(&core, &address));
+            downstream.batch(now, &core.settings.instance)
         };
         // A batch without news still learns whether another instance leads now.
         let asked = core
-            .ask::<_, AnnouncedBatch>(ANNOUNCES_PATH, &batch, WAIT)
+            .call_control::<_, AnnouncedBatch>(ANNOUNCES_PATH, &batch, CALL_TIMEOUT)
             .await;
         if let Ok(reply) = &asked
-            && core.below().answered(now, &batch, reply)
+            && core.downstream().apply_reply(now, &batch, reply)
         {
-            core.has_news.notify_one();
+            core.has_changes.notify_one();
         }
-        if is_reached && asked.is_err() {
+        if is_control_reachable && asked.is_err() {
             warn!(
                 Part::Relay,
                 "Control can't be reached; serving what is held.",
                 version = core.held.version()
             );
         }
-        is_reached = asked.is_ok();
+        is_control_reachable = asked.is_ok();
     }
 }
 
@@ -305,19 +310,21 @@
 }
 
 /// Reports the sums of each pool, added up for the data centre, and learns the totals.
-async fn report(core: Arc<RelayCore>) {
+async fn report_sums(core: Arc<RelayCore>) {
     let mut ticks = interval(core.settings.report_interval);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        let reports = core.below().reports();
+        let reports = core.downstream().reports();
         for report in reports {
-            let asked = core.ask::<_, ServiceTotals>(SUMS_PATH, &report, WAIT).await;
+            let asked = core
+                .call_control::<_, ServiceTotals>(SUMS_PATH, &report, CALL_TIMEOUT)
+                .await;
             // The next report carries what a lost one held.
             if let Ok(reply) = asked
                 && reply.incarnation == core.incarnation
             {
-                core.below().learn_totals(core.now(), &reply);
+                core.downstream().learn_totals(core.now(), &reply);
             }
         }
     }
--- a/crates/control/src/relay_calls.rs
+++ b/crates/control/src/relay_calls.rs
@@ -14,16 +14,16 @@
 
 use crate::peer_calls::{CLAIMS_PATH, SUMS_PATH, WATCH_PATH};
 use crate::relay::RelayCore;
-use crate::route::{self, Slot};
+use crate::route::{self, StateCell};
 
 /// Wait for control's answer to claims.
-const CLAIM_WAIT: Duration = Duration::from_secs(6);
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// When an operator asks again, elsewhere.
 const RETRY_AFTER_MS: u64 = 500;
 
 /// Adds the calls of a relay.
-pub(crate) fn add(router: Router, key: &ClusterKey, core: &Slot<RelayCore>) -> Router {
+pub(crate) fn add(router: Router, key: &ClusterKey, core: &StateCell<RelayCore>) -> Router {
     let router = route::peer(router, WATCH_PATH, key, core, watch);
     let router = route::peer(router, "/v1/announce", key, core, announce);
     let router = route::peer(router, CLAIMS_PATH, key, core, claims);
@@ -33,28 +33,29 @@
 
 async fn announce(core: Arc<RelayCore>, message: Announce) -> Result<Announced, StatusCode> {
     let now = core.now();
-    let mut below = core.below();
-    let (lease, has_news) = below.announce(now, message);
-    if has_news {
-        core.has_news.notify_one();
+    let mut downstream = core.downstream();
+    let (lease, has_changes) = downstream.announce(now, message);
+    if has_changes {
+        core.has_changes.notify_one();
     }
     Ok(Announced {
         lease_ms: u64::try_from(lease.as_millis()).unwrap_or(u64::MAX),
         config_version: core.held.version(),
-        members_version: below.roster.version(),
-        fence: below.fence,
+        members_version: downstream.roster.version(),
+        fence: downstream.fence,
         drained: None,
     })
 }
 
 async fn claims(core: Arc<RelayCore>, message: ClaimBatch) -> Result<ClaimBatchReply, StatusCode> {
-    core.ask(CLAIMS_PATH, &message, CLAIM_WAIT).await
+    core.call_control(CLAIMS_PATH, &message, CLAIM_TIMEOUT)
+        .await
 }
 
 async fn sums(core: Arc<RelayCore>, message: ServiceReport) -> Result<ServiceTotals, StatusCode> {
     let now = core.now();
     let totals = core
-        .below()
+        .downstream()
         .merge(now, &core.settings.instance, core.incarnation, &message);
     totals.ok_or(StatusCode::SERVICE_UNAVAILABLE)
 }
@@ -64,7 +65,7 @@
     let wait = Duration::from_millis(message.wait_ms).min(core.settings.watch_timeout);
     let deadline = Instant::now() + wait;
     let mut published = core.published.subscribe();
-    core.below()
+    core.downstream()
         .note_version(&message.instance, message.config_version);
     loop {
         published.borrow_and_update();
@@ -79,7 +80,7 @@
 }
 
 fn update(core: &RelayCore, message: &Watch) -> Update {
-    let members = core.below().roster.delta_since(
+    let members = core.downstream().roster.delta_since(
         message.members_epoch,
         message.members_version,
         &message.pools,
--- a/crates/control/src/route.rs
+++ b/crates/control/src/route.rs
@@ -11,14 +11,14 @@
 use crate::operators::{Operator, OperatorKeys};
 
 /// Holds the shared state once it is there; a call that comes before gets 503.
-pub(crate) type Slot<S> = Arc<OnceLock<Arc<S>>>;
+pub(crate) type StateCell<S> = Arc<OnceLock<Arc<S>>>;
 
 /// Adds a call of a peer, answered from shared state.
 pub(crate) fn peer<S, Q, A, F, R>(
     router: Router,
     path: &str,
     key: &ClusterKey,
-    state: &Slot<S>,
+    state: &StateCell<S>,
     answer: F,
 ) -> Router
 where
@@ -45,7 +45,7 @@
     router: Router,
     path: &str,
     keys: &Arc<OperatorKeys>,
-    state: &Slot<S>,
+    state: &StateCell<S>,
     answer: F,
 ) -> Router
 where
--- a/crates/control/src/routing_calls.rs
+++ b/crates/control/src/routing_calls.rs
@@ -19,9 +19,9 @@
 use tokio::time::{Instant, timeout_at};
 use viz::Router;
 
-use crate::core::{Core, Place};
-use crate::peer_calls::{at_leader, both};
-use crate::route::{self, Slot};
+use crate::core::{Core, Leadership};
+use crate::peer_calls::{add_leader_call, answer_or_forward};
+use crate::route::{self, StateCell};
 
 const UNAVAILABLE: StatusCode = StatusCode::SERVICE_UNAVAILABLE;
 
@@ -31,7 +31,8 @@
 const RETIRE: &str = "/endpoints/retire";
 
 /// Why a report is refused that names another address, service or data centre than the same incarnation did before.
-const CONTRADICTS: &str = "it contradicts what the same start of the endpoint has said of itself";
+const CONTRADICTORY_REPORT: &str =
+    "it contradicts what the same start of the endpoint has said of itself";
 
 /// Path on which a gateway learns of the others of its data centre.
 pub const MEET_GATEWAYS_PATH: &str = "/v1/gateways/meet";
@@ -57,7 +58,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reported {
     /// It is taken in, or tells nothing new; the leader listens at this address.
-    Taken(Box<str>),
+    BatchAccepted(Box<str>),
     /// It can't be true and changes nothing, for this cause.
     Refused(Box<str>),
 }
@@ -65,11 +66,11 @@
 /// Gives an adapter the calls on routes and endpoints.
 #[derive(Debug, Clone)]
 pub struct RoutingCalls {
-    core: Slot<Core>,
+    core: StateCell<Core>,
 }
 
 impl RoutingCalls {
-    pub(crate) fn new(core: &Slot<Core>) -> Self {
+    pub(crate) fn new(core: &StateCell<Core>) -> Self {
         Self {
             core: Arc::clone(core),
         }
@@ -82,7 +83,7 @@
     /// Returns an error when it is open whether the table was taken.
     pub async fn put_table(&self, table: RouteTable) -> Result<u64, RoutingUnavailable> {
         let message = PutTable { table };
-        let answered = at_leader(self.core()?, PUT_TABLE, message, put_here).await;
+        let answered = answer_or_forward(self.core()?, PUT_TABLE, message, put_as_leader).await;
         let held: TableHeld = answered.map_err(unavailable)?;
         Ok(held.number)
     }
@@ -93,7 +94,7 @@
     ///
     /// Returns an error when no instance can be sure.
     pub async fn table(&self) -> Result<Option<RouteTable>, RoutingUnavailable> {
-        let answered = at_leader(self.core()?, ASK_TABLE, AskTable {}, ask_here).await;
+        let answered = answer_or_forward(self.core()?, ASK_TABLE, AskTable {}, ask_as_leader).await;
         let current: CurrentTable = answered.map_err(unavailable)?;
         Ok(current.table)
     }
@@ -105,11 +106,11 @@
     /// Returns an error when the report was not taken in for certain.
     pub async fn report(&self, endpoint: Endpoint) -> Result<Reported, RoutingUnavailable> {
         let message = ReportEndpoint { endpoint };
-        let answered = at_leader(self.core()?, REPORT, message, report_here).await;
+        let answered = answer_or_forward(self.core()?, REPORT, message, report_as_leader).await;
         let noted: EndpointNoted = answered.map_err(unavailable)?;
         Ok(match noted.refused {
             Some(cause) => Reported::Refused(cause),
-            None => Reported::Taken(noted.leader),
+            None => Reported::BatchAccepted(noted.leader),
         })
     }
 
@@ -141,7 +142,7 @@
             id: incarnation.id,
             born_unix_ms: incarnation.born_unix_ms,
         };
-        let answered = at_leader(self.core()?, RETIRE, message, retire_here).await;
+        let answered = answer_or_forward(self.core()?, RETIRE, message, retire_as_leader).await;
         let _noted: EndpointNoted = answered.map_err(unavailable)?;
         Ok(())
     }
@@ -156,20 +157,20 @@
 }
 
 /// Adds the calls of peers.
-pub(crate) fn add(router: Router, key: &ClusterKey, core: &Slot<Core>) -> Router {
+pub(crate) fn add(router: Router, key: &ClusterKey, core: &StateCell<Core>) -> Router {
     let router = route::peer(router, WATCH_ROUTES_PATH, key, core, watch);
     let router = route::peer(router, MEET_GATEWAYS_PATH, key, core, meet);
-    let router = both(router, PUT_TABLE, key, core, put, put_here);
-    let router = both(router, ASK_TABLE, key, core, ask, ask_here);
-    let router = both(router, REPORT, key, core, report, report_here);
-    both(router, RETIRE, key, core, retire, retire_here)
+    let router = add_leader_call(router, PUT_TABLE, key, core, put, put_as_leader);
+    let router = add_leader_call(router, ASK_TABLE, key, core, current_table, ask_as_leader);
+    let router = add_leader_call(router, REPORT, key, core, report, report_as_leader);
+    add_leader_call(router, RETIRE, key, core, retire, retire_as_leader)
 }
 
 async fn put(core: Arc<Core>, message: PutTable) -> Result<TableHeld, StatusCode> {
-    at_leader(core, PUT_TABLE, message, put_here).await
+    answer_or_forward(core, PUT_TABLE, message, put_as_leader).await
 }
 
-async fn put_here(core: Arc<Core>, message: PutTable) -> Result<TableHeld, StatusCode> {
+async fn put_as_leader(core: Arc<Core>, message: PutTable) -> Result<TableHeld, StatusCode> {
     let asked = message.table.number;
     let command = Command::PutTable(Box::new(message.table));
     match core.propose(command).await {
@@ -195,12 +196,12 @@
     }
 }
 
-async fn ask(core: Arc<Core>, message: AskTable) -> Result<CurrentTable, StatusCode> {
-    at_leader(core, ASK_TABLE, message, ask_here).await
+async fn current_table(core: Arc<Core>, message: AskTable) -> Result<CurrentTable, StatusCode> {
+    answer_or_forward(core, ASK_TABLE, message, ask_as_leader).await
 }
 
-async fn ask_here(core: Arc<Core>, _message: AskTable) -> Result<CurrentTable, StatusCode> {
-    let asked = core.ask(|state, _status| state.routing().table().cloned());
+async fn ask_as_leader(core: Arc<Core>, _message: AskTable) -> Result<CurrentTable, StatusCode> {
+    let asked = core.read(|state, _status| state.routing().table().cloned());
     let table = asked.await.map_err(|_refused| UNAVAILABLE)?;
     Ok(CurrentTable {
         table: table.map(Arc::unwrap_or_clone),
@@ -208,14 +209,14 @@
 }
 
 async fn report(core: Arc<Core>, message: ReportEndpoint) -> Result<EndpointNoted, StatusCode> {
-    at_leader(core, REPORT, message, report_here).await
+    answer_or_forward(core, REPORT, message, report_as_leader).await
 }
 
-async fn report_here(
+async fn report_as_leader(
     core: Arc<Core>,
     message: ReportEndpoint,
 ) -> Result<EndpointNoted, StatusCode> {
-    if !matches!(core.place(), Place::Here(_)) {
+    if !matches!(core.leadership(), Leadership::Local(_)) {
         return Err(UNAVAILABLE);
     }
     let endpoint = message.endpoint;
@@ -223,7 +224,7 @@
     let routing = &view.routing;
     if routing.contradicts(&endpoint) {
         return Ok(EndpointNoted {
-            refused: Some(CONTRADICTS.into()),
+            refused: Some(CONTRADICTORY_REPORT.into()),
             ..noted(&core)
         });
     }
@@ -248,10 +249,10 @@
 }
 
 async fn retire(core: Arc<Core>, message: RetireEndpoint) -> Result<EndpointNoted, StatusCode> {
-    at_leader(core, RETIRE, message, retire_here).await
+    answer_or_forward(core, RETIRE, message, retire_as_leader).await
 }
 
-async fn retire_here(
+async fn retire_as_leader(
     core: Arc<Core>,
     message: RetireEndpoint,
 ) -> Result<EndpointNoted, StatusCode> {
@@ -315,7 +316,7 @@
     let mut published = core.published.subscribe();
     loop {
         published.borrow_and_update();
-        if core.place() == Place::Nowhere {
+        if core.leadership() == Leadership::Unknown {
             return Err(UNAVAILABLE);
         }
         let update = update(&core, &message);
@@ -325,7 +326,7 @@
         match timeout_at(deadline, published.changed()).await {
             Ok(Ok(())) => {}
             Ok(Err(_stopped)) => return Err(UNAVAILABLE),
-            Err(_elapsed) if core.place() == Place::Nowhere => return Err(UNAVAILABLE),
+            Err(_elapsed) if core.leadership() == Leadership::Unknown => return Err(UNAVAILABLE),
             Err(_elapsed) => return Ok(update),
         }
     }
@@ -348,13 +349,13 @@
 /// What is applied here may be older right after a restart, and a gateway must not begin with a table that a newer one
 /// has replaced.
 async fn first_table(core: Arc<Core>, message: &WatchRoutes) -> Result<RoutesUpdate, StatusCode> {
-    let current = ask(Arc::clone(&core), AskTable {}).await?;
+    let current = current_table(Arc::clone(&core), AskTable {}).await?;
     let view = core.driver.view.load();
     Ok(RoutesUpdate {
         table: current.table.map(|table| without_document(&table)),
         endpoints: Some(view.routing.list()),
         suspects: newer_suspects(&view.routing, message),
-        control: view.control.clone(),
+        control: view.control_addresses.clone(),
         gateways: other_gateways(&core, message),
     })
 }
@@ -370,14 +371,14 @@
 fn update(core: &Core, message: &WatchRoutes) -> RoutesUpdate {
     let view = core.driver.view.load();
     let routing = &view.routing;
-    let has_table = routing.table_number() > message.table_number;
-    let table = routing.table().filter(|_| has_table);
-    let has_endpoints = routing.endpoints_version() > message.endpoints_version;
+    let is_table_newer = routing.table_number() > message.table_number;
+    let table = routing.table().filter(|_| is_table_newer);
+    let are_endpoints_newer = routing.endpoints_version() > message.endpoints_version;
     RoutesUpdate {
         table: table.map(|table| without_document(table)),
-        endpoints: has_endpoints.then(|| routing.list()),
+        endpoints: are_endpoints_newer.then(|| routing.list()),
         suspects: newer_suspects(routing, message),
-        control: view.control.clone(),
+        control: view.control_addresses.clone(),
         gateways: other_gateways(core, message),
     }
 }
--- a/crates/control/src/soft.rs
+++ b/crates/control/src/soft_state.rs
@@ -10,29 +10,29 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-use crate::directory::Directory;
-use crate::refused::RefusedReports;
+use crate::directory::GatewayDirectory;
+use crate::refused_reports::RefusedReports;
 
 /// Pools whose sums are kept; a report on further ones is refused, so that wrong names can't fill the memory.
 pub(crate) const MAX_POOLS: usize = 256;
 
 /// Gateways that are named to one which loses control. Where a quarter of the gateways are beside control instances, and so may be cut
 /// off as well, three of them are all such ones in one case of 64.
-const MOST_WATCHERS_NAMED: usize = 3;
+const MAX_WATCHERS_RETURNED: usize = 3;
 
 /// Time after its last watch for which a gateway is named: watches end within a second, and one that has lost this instance
 /// may be reached all the same.
-const REMEMBER_WATCHERS: Duration = Duration::from_secs(10);
+const WATCHER_TTL: Duration = Duration::from_secs(10);
 
 /// Gateways of a data centre that are named to another one there.
-const MOST_NEARBY_NAMED: usize = 32;
+const MAX_NEARBY_RETURNED: usize = 32;
 
 /// Time for which a gateway of a data centre is named: each one asks one control instance after the other, so that minutes may lie between.
-const REMEMBER_NEARBY: Duration = Duration::from_mins(3);
+const NEARBY_TTL: Duration = Duration::from_mins(3);
 
 /// Holds the leader's own members, or the list that a follower has of them.
 #[derive(Debug)]
-pub(crate) struct Soft {
+pub(crate) struct SoftState {
     /// Term of the members and sums; 0 when this instance doesn't lead.
     pub(crate) term: u64,
     pub(crate) members: Option<Members>,
@@ -43,13 +43,13 @@
     /// Reports of endpoints that this instance refused.
     pub(crate) refused_reports: RefusedReports,
     /// Gateways that follow this instance.
-    pub(crate) watchers: Directory,
+    pub(crate) watchers: GatewayDirectory,
     /// Gateways that take requests of each other, by data centre.
-    pub(crate) nearby: BTreeMap<Box<str>, Directory>,
+    pub(crate) nearby: BTreeMap<Box<str>, GatewayDirectory>,
     pub(crate) rng: StdRng,
 }
 
-impl Soft {
+impl SoftState {
     pub(crate) fn new() -> Self {
         Self {
             term: 0,
@@ -58,30 +58,30 @@
             totals: BTreeMap::new(),
             heard: Heard::default(),
             refused_reports: RefusedReports::default(),
-            watchers: Directory::new(REMEMBER_WATCHERS, MOST_WATCHERS_NAMED),
+            watchers: GatewayDirectory::new(WATCHER_TTL, MAX_WATCHERS_RETURNED),
             nearby: BTreeMap::new(),
             rng: StdRng::seed_from_u64(rand::random()),
         }
     }
 
     /// Returns the gateways of a data centre that take requests of each other.
-    pub(crate) fn nearby(&mut self, data_center: &str) -> &mut Directory {
-        let directory = || Directory::new(REMEMBER_NEARBY, MOST_NEARBY_NAMED);
+    pub(crate) fn nearby(&mut self, data_center: &str) -> &mut GatewayDirectory {
+        let directory = || GatewayDirectory::new(NEARBY_TTL, MAX_NEARBY_RETURNED);
         self.nearby
             .entry(data_center.into())
             .or_insert_with(directory)
     }
 
     /// Begins a term as leader, with the members that this instance followed.
-    pub(crate) fn lead(&mut self, term: u64, now: Duration, rules: MemberRules) {
-        self.give_up();
+    pub(crate) fn begin_term(&mut self, term: u64, now: Duration, rules: MemberRules) {
+        self.end_term();
         self.term = term;
         self.members = Some(Members::open(term, now, rules, &self.followed));
         self.totals.clear();
     }
 
     /// Ends a term as leader; the members of it are what is followed from now on.
-    pub(crate) fn give_up(&mut self) {
+    pub(crate) fn end_term(&mut self) {
         if let Some(members) = self.members.take() {
             self.followed = members.roster().clone();
         }
--- a/crates/control/src/suspect_calls.rs
+++ b/crates/control/src/suspect_calls.rs
@@ -13,10 +13,10 @@
 use viz::Router;
 
 use crate::core::Core;
-use crate::driver::Refused;
+use crate::driver::LogError;
 use crate::operators::Operator;
-use crate::peer_calls::{at_leader, both};
-use crate::route::Slot;
+use crate::peer_calls::{add_leader_call, answer_or_forward};
+use crate::route::StateCell;
 
 const SUSPECTS: &str = "/suspects";
 
@@ -27,18 +27,21 @@
 pub const NOTE_SUSPECTS_PATH: &str = "/v1/suspects";
 
 /// Adds the calls of peers.
-pub(crate) fn add(router: Router, key: &ClusterKey, core: &Slot<Core>) -> Router {
-    both(router, SUSPECTS, key, core, note, note_here)
+pub(crate) fn add(router: Router, key: &ClusterKey, core: &StateCell<Core>) -> Router {
+    add_leader_call(router, SUSPECTS, key, core, note, note_as_leader)
 }
 
 async fn note(core: Arc<Core>, message: NoteSuspects) -> Result<SuspectsNoted, StatusCode> {
-    at_leader(core, SUSPECTS, message, note_here).await
+    answer_or_forward(core, SUSPECTS, message, note_as_leader).await
 }
 
-async fn note_here(core: Arc<Core>, message: NoteSuspects) -> Result<SuspectsNoted, StatusCode> {
+async fn note_as_leader(
+    core: Arc<Core>,
+    message: NoteSuspects,
+) -> Result<SuspectsNoted, StatusCode> {
     let command = {
         let view = core.driver.view.load();
-        news(&message, view.routing.suspects())?
+        new_records(&message, view.routing.suspects())?
     };
     if command.ends.is_empty() && command.completed.is_empty() {
         return Ok(SuspectsNoted {});
@@ -63,7 +66,7 @@
     core: Arc<Core>,
     operator: Operator,
     ask: AskSuspects,
-) -> Result<SuspectsReply, Refused> {
+) -> Result<SuspectsReply, LogError> {
     let release = ask.release.and_then(|key| key.parse().ok());
     if let Some(request) = release {
         let command = SuspectsCommand {
@@ -78,7 +81,7 @@
             operator = operator.name
         );
     }
-    let records = core.ask(|state, _| state.routing().suspects().records(MAX_LISTED));
+    let records = core.read(|state, _| state.routing().suspects().records(MAX_LISTED));
     let suspects = records.await?;
     Ok(SuspectsReply::Suspects(SuspectRecords { suspects }))
 }
@@ -88,7 +91,7 @@
 /// # Errors
 ///
 /// Returns a status when a key can't be read.
-fn news(message: &NoteSuspects, known: &Suspects) -> Result<SuspectsCommand, StatusCode> {
+fn new_records(message: &NoteSuspects, known: &Suspects) -> Result<SuspectsCommand, StatusCode> {
     let bad = |_not_a_key| StatusCode::BAD_REQUEST;
     let ends: Result<Vec<_>, _> = message.ends.iter().map(read_end).collect();
     let completed: Result<Vec<RequestKey>, _> =
--- a/crates/control/src/upgrade.rs
+++ b/crates/control/src/upgrade.rs
@@ -14,26 +14,26 @@
 use hinge_telemetry::{info, warn};
 use hinge_upgrade::{Decision, Endpoint, Fleet, decide};
 
-use crate::core::{Core, Place, wall_ms};
-use crate::driver::Refused;
+use crate::core::{Core, Leadership, unix_now_ms};
+use crate::driver::LogError;
 
 #[cfg(test)]
 mod tests;
 
 /// Holds the merged folder, and whether a look is under way.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Planner(Arc<Kept>);
+pub(crate) struct Planner(Arc<PlannerState>);
 
 #[derive(Debug, Default)]
-struct Kept {
-    is_looking: AtomicBool,
+struct PlannerState {
+    is_running: AtomicBool,
     merged: Mutex<Option<(u64, Arc<Effective>)>>,
     /// Instances whose deadline has passed, so that each is logged once.
     late: Mutex<BTreeSet<InstanceName>>,
 }
 
 /// Holds what the log says.
-struct FromLog {
+struct LogState {
     folder: Folder,
     upgrades: hinge_state::Upgrades,
     orders: BTreeMap<OrderId, OrderRecord>,
@@ -41,7 +41,7 @@
     now_ms: WallMs,
 }
 
-impl FromLog {
+impl LogState {
     fn read(state: &State) -> Self {
         Self {
             folder: state.changes().folder().clone(),
@@ -54,7 +54,7 @@
 }
 
 /// Describes a live member beside what it announces.
-struct Seen {
+struct LiveMember {
     member: Member,
     /// Whether it is kept out of the list, because it flaps or isn't published yet.
     is_held_back: bool,
@@ -64,19 +64,19 @@
 
 impl Planner {
     /// Looks once, unless the last look is still under way.
-    pub(crate) fn look(&self, core: &Arc<Core>) {
-        if self.0.is_looking.swap(true, Ordering::AcqRel) {
+    pub(crate) fn run(&self, core: &Arc<Core>) {
+        if self.0.is_running.swap(true, Ordering::AcqRel) {
             return;
         }
         let (planner, core) = (self.clone(), Arc::clone(core));
         tokio::spawn(async move {
             // Whatever is lost on the way is decided again at the next look.
-            let _may_be_lost = planner.move_on(&core).await;
-            planner.0.is_looking.store(false, Ordering::Release);
+            let _may_be_lost = planner.step(&core).await;
+            planner.0.is_running.store(false, Ordering::Release);
         });
     }
 
-    async fn move_on(&self, core: &Arc<Core>) -> Result<(), Refused> {
+    async fn step(&self, core: &Arc<Core>) -> Result<(), LogError> {
         let decision = self.decide(core).await?;
         self.log_late(&decision);
         if let Some(command) = decision.command {
@@ -91,7 +91,7 @@
         &self,
         core: &Arc<Core>,
         ask: &AskUpgrades,
-    ) -> Result<Upgrades, Refused> {
+    ) -> Result<Upgrades, LogError> {
         let decision = self.decide(core).await?;
         let is_asked = |name: &str| ask.name.is_empty() || *ask.name == *name;
         let plans = decision.plans.iter().filter(|plan| is_asked(&plan.plan));
@@ -102,25 +102,25 @@
         })
     }
 
-    async fn decide(&self, core: &Arc<Core>) -> Result<Decision, Refused> {
-        let Place::Here(term) = core.place() else {
-            return Err(Refused::NotLeader);
+    async fn decide(&self, core: &Arc<Core>) -> Result<Decision, LogError> {
+        let Leadership::Local(term) = core.leadership() else {
+            return Err(LogError::NotLeader);
         };
-        let seen = live(core, term).ok_or(Refused::NotLeader)?;
-        let log = core.ask(|state, _| FromLog::read(state)).await?;
+        let seen = live_members(core, term).ok_or(LogError::NotLeader)?;
+        let log = core.read(|state, _| LogState::read(state)).await?;
         let planner = self.clone();
         // Merging a large folder takes milliseconds, which the async threads don't have.
         let decided = tokio::task::spawn_blocking(move || planner.decide_on(&seen, &log)).await;
-        decided.map_err(|_stopped| Refused::Stopped)?
+        decided.map_err(|_stopped| LogError::Stopped)?
     }
 
-    fn decide_on(&self, seen: &[Seen], log: &FromLog) -> Result<Decision, Refused> {
-        let effective = self.merged(&log.folder).ok_or(Refused::Stopped)?;
+    fn decide_on(&self, seen: &[LiveMember], log: &LogState) -> Result<Decision, LogError> {
+        let effective = self.merged(&log.folder).ok_or(LogError::Stopped)?;
         let endpoints = seen
             .iter()
             .map(|seen| (&*seen.member.instance, seen.into()));
         Ok(decide(&Fleet {
-            now_ms: wall_ms().max(log.now_ms),
+            now_ms: unix_now_ms().max(log.now_ms),
             config_version: log.folder.version(),
             effective: &effective,
             endpoints: endpoints.collect(),
@@ -164,7 +164,7 @@
 }
 
 /// Returns the live members, once every live process had the time to announce itself to this leader.
-fn live(core: &Core, term: u64) -> Option<Vec<Seen>> {
+fn live_members(core: &Core, term: u64) -> Option<Vec<LiveMember>> {
     let soft = core.soft();
     let members = soft.members.as_ref().filter(|_| soft.term == term)?;
     if !members.is_complete() {
@@ -173,7 +173,7 @@
     let roster = members.roster();
     let seen = members.live().map(|member| {
         let listed = roster.get(&member.instance);
-        Seen {
+        LiveMember {
             member: member.clone(),
             is_held_back: listed.is_none_or(|listed| listed.leaving && !member.leaving),
             running: members.running(&member.instance),
@@ -182,8 +182,8 @@
     Some(seen.collect())
 }
 
-impl<'a> From<&'a Seen> for Endpoint<'a> {
-    fn from(seen: &'a Seen) -> Self {
+impl<'a> From<&'a LiveMember> for Endpoint<'a> {
+    fn from(seen: &'a LiveMember) -> Self {
         let member = &seen.member;
         Self {
             instance: &member.instance,
--- a/crates/control/src/upgrade/tests.rs
+++ b/crates/control/src/upgrade/tests.rs
@@ -4,9 +4,9 @@
 use hinge_schema::messages::{Member, Role};
 use hinge_upgrade::Endpoint;
 
-use super::Seen;
+use super::LiveMember;
 
-fn tells((ejected, is_held_back, is_ejected): (Option<bool>, bool, bool)) {
+fn check((ejected, is_held_back, is_ejected): (Option<bool>, bool, bool)) {
     let member = Member {
         instance: "llm-1".into(),
         incarnation: 1,
@@ -22,7 +22,7 @@
         running: Some(0),
         ejected,
     };
-    let seen = Seen {
+    let seen = LiveMember {
         member,
         is_held_back,
         running: Some(1),
@@ -34,7 +34,7 @@
     );
 }
 
-cases! { tells:
+cases! { check:
     an_ejected_endpoint => (Some(true), false, true),
     an_endpoint_that_is_held_back => (Some(false), true, true),
     an_endpoint_that_is_well => (Some(false), false, false),
--- a/crates/control/tests/roles/control.rs
+++ b/crates/control/tests/roles/control.rs
@@ -44,7 +44,7 @@
 }
 
 /// Waits until an instance counts for the quorum.
-async fn until_voter(fleet: &Fleet, node_id: u64) {
+async fn wait_until_voter(fleet: &Fleet, node_id: u64) {
     let is_voter = |status: Status| {
         let mut control = status.control.into_iter();
         control.any(|instance| instance.node_id == node_id && instance.voter)
@@ -192,7 +192,7 @@
         fleet.stop(&gone).await;
         fleet.open("control-new", false).await;
         let new_id = fleet.running["control-new"].node_id();
-        until_voter(&fleet, new_id).await;
+        wait_until_voter(&fleet, new_id).await;
         // Three count again: one of the two others may be lost.
         let second = fleet.running.keys().find(|name| &***name != "control-new").expect("two others run").clone();
         fleet.stop(&second).await;
@@ -200,7 +200,7 @@
         // The one that was gone for good comes back all the same, and waits for a place.
         fleet.open(&gone, false).await;
         let back_id = fleet.running[&gone].node_id();
-        until_voter(&fleet, back_id).await;
+        wait_until_voter(&fleet, back_id).await;
     }
     more_voters_than_founders_bear_the_loss_of_two_disks => {
         // Three instances found the log, as their settings name no more; two losses at once need five voters.
--- a/crates/control/tests/roles/diskless.rs
+++ b/crates/control/tests/roles/diskless.rs
@@ -10,21 +10,21 @@
 use crate::fleet::{Fleet, pause};
 
 /// Puts a table at one instance until it is taken.
-async fn put(fleet: &Fleet, name: &str, number: u64) {
+async fn put_table_until_accepted(fleet: &Fleet, name: &str, number: u64) {
     while !fleet.try_put_table(name, number).await {
         pause().await;
     }
 }
 
 /// Waits until an instance tells a gateway of a table.
-async fn is_told(fleet: &Fleet, name: &str, number: u64) {
-    while !fleet.tells_of_table(name, number).await {
+async fn wait_until_served(fleet: &Fleet, name: &str, number: u64) {
+    while !fleet.serves_newer_table(name, number).await {
         pause().await;
     }
 }
 
 /// Waits until exactly these instances vote.
-async fn voters_are(fleet: &Fleet, names: &[&str]) {
+async fn wait_for_voters(fleet: &Fleet, names: &[&str]) {
     let wanted: BTreeSet<&str> = names.iter().copied().collect();
     loop {
         let control = fleet.status().await.control;
@@ -38,7 +38,7 @@
 }
 
 /// Waits until so many instances vote or follow.
-async fn members_are(fleet: &Fleet, count: usize) {
+async fn wait_for_member_count(fleet: &Fleet, count: usize) {
     while fleet.status().await.control.len() != count {
         pause().await;
     }
@@ -49,45 +49,45 @@
         let mut fleet = Fleet::start_tolerating(3, 1).await;
         fleet.open_diskless("control-3", false).await;
         fleet.open_diskless("control-4", false).await;
-        put(&fleet, "control-3", 1).await;
-        is_told(&fleet, "control-4", 1).await;
-        voters_are(&fleet, &["control-0", "control-1", "control-2"]).await;
+        put_table_until_accepted(&fleet, "control-3", 1).await;
+        wait_until_served(&fleet, "control-4", 1).await;
+        wait_for_voters(&fleet, &["control-0", "control-1", "control-2"]).await;
     }
     founders_without_a_disk_hand_their_votes_on => {
-        let mut fleet = Fleet::unstarted(3, 1);
+        let mut fleet = Fleet::new_unstarted(3, 1);
         for name in ["control-0", "control-1", "control-2"] {
             fleet.open_diskless(name, true).await;
         }
         for name in ["control-3", "control-4", "control-5"] {
             fleet.open(name, false).await;
         }
-        put(&fleet, "control-0", 1).await;
-        voters_are(&fleet, &["control-3", "control-4", "control-5"]).await;
-        is_told(&fleet, "control-2", 1).await;
+        put_table_until_accepted(&fleet, "control-0", 1).await;
+        wait_for_voters(&fleet, &["control-3", "control-4", "control-5"]).await;
+        wait_until_served(&fleet, "control-2", 1).await;
     }
     what_was_acknowledged_outlives_all_instances_without_a_disk => {
-        let mut fleet = Fleet::unstarted(3, 1);
+        let mut fleet = Fleet::new_unstarted(3, 1);
         fleet.open("control-0", true).await;
         fleet.open_diskless("control-1", true).await;
         fleet.open_diskless("control-2", true).await;
         fleet.open("control-3", false).await;
         fleet.open("control-4", false).await;
-        put(&fleet, "control-1", 1).await;
+        put_table_until_accepted(&fleet, "control-1", 1).await;
         fleet.stop("control-1").await;
         fleet.stop("control-2").await;
-        is_told(&fleet, "control-3", 1).await;
-        put(&fleet, "control-4", 2).await;
+        wait_until_served(&fleet, "control-3", 1).await;
+        put_table_until_accepted(&fleet, "control-4", 2).await;
     }
     instances_that_know_only_each_other_are_found_after_all_were_lost => {
-        let mut fleet = Fleet::unstarted(2, 1);
+        let mut fleet = Fleet::new_unstarted(2, 1);
         fleet.open_diskless("control-0", true).await;
         fleet.open_diskless("control-1", true).await;
         for name in ["control-2", "control-3", "control-4"] {
             fleet.open(name, false).await;
         }
-        put(&fleet, "control-0", 1).await;
-        voters_are(&fleet, &["control-2", "control-3", "control-4"]).await;
-        members_are(&fleet, 5).await;
+        put_table_until_accepted(&fleet, "control-0", 1).await;
+        wait_for_voters(&fleet, &["control-2", "control-3", "control-4"]).await;
+        wait_for_member_count(&fleet, 5).await;
         let names: Vec<Box<str>> = fleet.running.keys().cloned().collect();
         for name in &names {
             fleet.stop(name).await;
@@ -98,9 +98,9 @@
         for name in ["control-2", "control-3", "control-4"] {
             fleet.open(name, false).await;
         }
-        is_told(&fleet, "control-0", 1).await;
-        put(&fleet, "control-1", 2).await;
-        voters_are(&fleet, &["control-2", "control-3", "control-4"]).await;
+        wait_until_served(&fleet, "control-0", 1).await;
+        put_table_until_accepted(&fleet, "control-1", 2).await;
+        wait_for_voters(&fleet, &["control-2", "control-3", "control-4"]).await;
     }
     many_without_a_disk_that_come_back_with_nothing_all_follow_again => {
         // All of them lost power, and come back with nothing at the same moment.
@@ -109,28 +109,28 @@
         for name in &diskless {
             fleet.open_diskless(name, false).await;
         }
-        put(&fleet, "control-0", 1).await;
-        members_are(&fleet, 9).await;
+        put_table_until_accepted(&fleet, "control-0", 1).await;
+        wait_for_member_count(&fleet, 9).await;
         for name in &diskless {
             fleet.stop(name).await;
         }
         for name in &diskless {
             fleet.open_diskless(name, false).await;
         }
-        put(&fleet, "control-0", 2).await;
+        put_table_until_accepted(&fleet, "control-0", 2).await;
         for name in &diskless {
-            is_told(&fleet, name, 2).await;
+            wait_until_served(&fleet, name, 2).await;
         }
     }
     a_fleet_without_any_disk_goes_on_without => {
-        let mut fleet = Fleet::unstarted(3, 1);
+        let mut fleet = Fleet::new_unstarted(3, 1);
         for name in ["control-0", "control-1", "control-2"] {
             fleet.open_diskless(name, true).await;
         }
-        put(&fleet, "control-0", 1).await;
+        put_table_until_accepted(&fleet, "control-0", 1).await;
         fleet.stop("control-0").await;
-        put(&fleet, "control-1", 2).await;
+        put_table_until_accepted(&fleet, "control-1", 2).await;
         fleet.open_diskless("control-0", false).await;
-        is_told(&fleet, "control-0", 2).await;
+        wait_until_served(&fleet, "control-0", 2).await;
     }
 }
--- a/crates/control/tests/roles/fleet.rs
+++ b/crates/control/tests/roles/fleet.rs
@@ -27,20 +27,20 @@
     sockets: Mutex<BTreeMap<Box<str>, Box<str>>>,
     isolated: Mutex<BTreeSet<Box<str>>>,
     /// Instances that reach each other, and nobody else; empty while the net is whole.
-    apart: Mutex<BTreeSet<Box<str>>>,
+    partition: Mutex<BTreeSet<Box<str>>>,
 }
 
 #[derive(Debug)]
-struct From {
+struct PartitionedDial {
     name: Box<str>,
     net: Arc<Net>,
 }
 
-impl Dial for From {
+impl Dial for PartitionedDial {
     fn resolve(&self, address: &str) -> Option<Box<str>> {
         let isolated = self.net.isolated.lock().expect("no test panics in here");
-        let apart = self.net.apart.lock().expect("no test panics in here");
-        let is_between = apart.contains(&self.name) != apart.contains(address);
+        let partition = self.net.partition.lock().expect("no test panics in here");
+        let is_between = partition.contains(&self.name) != partition.contains(address);
         let is_cut = is_between || isolated.contains(&self.name) || isolated.contains(address);
         if is_cut && *self.name != *address {
             return None;
@@ -59,9 +59,9 @@
     }
 
     /// Cuts some instances off from all others, and not from each other.
-    pub fn split(&self, apart: &BTreeSet<Box<str>>) {
-        let mut held = self.apart.lock().expect("no test panics in here");
-        held.clone_from(apart);
+    pub fn split(&self, partition: &BTreeSet<Box<str>>) {
+        let mut held = self.partition.lock().expect("no test panics in here");
+        held.clone_from(partition);
     }
 
     pub fn heal(&self, name: &str) {
@@ -72,7 +72,7 @@
     }
 
     pub fn dial(self: &Arc<Self>, name: &str) -> Arc<dyn Dial> {
-        Arc::new(From {
+        Arc::new(PartitionedDial {
             name: name.into(),
             net: Arc::clone(self),
         })
@@ -82,7 +82,7 @@
         self.sockets.lock().expect("no test panics in here")[name].clone()
     }
 
-    pub fn place(&self, name: &str, socket: &str) {
+    pub fn register(&self, name: &str, socket: &str) {
         self.sockets
             .lock()
             .expect("no test panics in here")
@@ -110,7 +110,7 @@
 
     /// Starts founders that are told how many losses they are to bear.
     pub async fn start_tolerating(count: usize, tolerated_losses: u32) -> Self {
-        let mut fleet = Self::unstarted(count, tolerated_losses);
+        let mut fleet = Self::new_unstarted(count, tolerated_losses);
         for name in fleet.names.clone() {
             fleet.open(&name, true).await;
         }
@@ -118,7 +118,7 @@
     }
 
     /// Names the founders, and starts none of them.
-    pub fn unstarted(founders: usize, tolerated_losses: u32) -> Self {
+    pub fn new_unstarted(founders: usize, tolerated_losses: u32) -> Self {
         let names = (0..founders).map(|n| format!("control-{n}").into());
         Self {
             net: Arc::default(),
@@ -157,7 +157,8 @@
         )
         .await;
         let control = opened.expect("the instance opens");
-        self.net.place(name, &control.local_address().to_string());
+        self.net
+            .register(name, &control.local_address().to_string());
         self.running.insert(name.into(), control);
     }
 
@@ -241,7 +242,7 @@
     }
 
     /// Asks an instance for a newer table as a gateway does, and returns whether it tells of it.
-    pub async fn tells_of_table(&self, name: &str, number: u64) -> bool {
+    pub async fn serves_newer_table(&self, name: &str, number: u64) -> bool {
         let watch = WatchRoutes {
             instance: "gateway-1".into(),
             peer_address: None,
--- a/crates/control/tests/roles/main.rs
+++ b/crates/control/tests/roles/main.rs
@@ -3,5 +3,5 @@
 mod control;
 mod diskless;
 mod fleet;
-mod halves;
+mod partition;
 mod relay;
--- a/crates/control/tests/roles/halves.rs
+++ b/crates/control/tests/roles/partition.rs
@@ -21,23 +21,23 @@
 use crate::fleet::{Fleet, pause};
 
 /// Tries after which a side has no leader: an election takes some 200 of them, each with a pause of 5 ms.
-const TRIES: usize = 3_000;
+const MAX_ATTEMPTS: usize = 3_000;
 
 /// Looks in a row in which nobody joins or is promoted, after which the members stay as they are.
-const SETTLED_LOOKS: usize = 300;
+const SETTLED_POLLS: usize = 300;
 
 /// Starts seven instances, of which two may be lost at once, and waits until no further one is promoted.
-async fn seven() -> Fleet {
+async fn start_seven() -> Fleet {
     let mut fleet = Fleet::start_tolerating(3, 2).await;
     for name in ["control-3", "control-4", "control-5", "control-6"] {
         fleet.open(name, false).await;
     }
-    let (mut voters, mut looks) = (0, 0);
-    while looks < SETTLED_LOOKS {
+    let (mut voters, mut polls) = (0, 0);
+    while polls < SETTLED_POLLS {
         let control = fleet.status().await.control;
         let counted = control.iter().filter(|instance| instance.voter).count();
-        let is_same = control.len() == 7 && counted == voters;
-        looks = if is_same { looks + 1 } else { 0 };
+        let is_unchanged = control.len() == 7 && counted == voters;
+        polls = if is_unchanged { polls + 1 } else { 0 };
         voters = counted;
         pause().await;
     }
@@ -56,8 +56,8 @@
 }
 
 /// Puts a table as an operator does who reaches both sides, and returns whether any instance took it.
-async fn put(fleet: &Fleet, number: u64) -> bool {
-    for _ in 0..TRIES {
+async fn is_table_accepted(fleet: &Fleet, number: u64) -> bool {
+    for _ in 0..MAX_ATTEMPTS {
         for name in fleet.running.keys() {
             if fleet.try_put_table(name, number).await {
                 return true;
@@ -69,10 +69,10 @@
 }
 
 /// Returns whether a gateway that reaches only some instances learns of a table.
-async fn is_told(fleet: &Fleet, reached: &[&str], number: u64) -> bool {
-    for _ in 0..TRIES {
+async fn is_table_served(fleet: &Fleet, reached: &[&str], number: u64) -> bool {
+    for _ in 0..MAX_ATTEMPTS {
         for name in reached {
-            if fleet.tells_of_table(name, number).await {
+            if fleet.serves_newer_table(name, number).await {
                 return true;
             }
         }
@@ -83,19 +83,19 @@
 
 async_cases! { real
     a_change_is_in_force_where_most_instances_are => {
-        let fleet = seven().await;
-        assert!(put(&fleet, 1).await, "a whole control takes a table");
+        let fleet = start_seven().await;
+        assert!(is_table_accepted(&fleet, 1).await, "a whole control takes a table");
         let smaller = leader_and_two_voters(&fleet).await;
         let all = || fleet.running.keys().map(|name| &**name);
         let larger: Vec<&str> = all().filter(|name| !smaller.contains(*name)).collect();
         assert_eq!((smaller.len(), larger.len()), (3, 4));
         fleet.net.split(&smaller);
-        assert!(put(&fleet, 2).await, "one side goes on");
-        assert!(is_told(&fleet, &larger, 2).await, "an accepted table is in force on the machines of the larger side");
+        assert!(is_table_accepted(&fleet, 2).await, "one side goes on");
+        assert!(is_table_served(&fleet, &larger, 2).await, "an accepted table is in force on the machines of the larger side");
         fleet.net.split(&BTreeSet::new());
-        assert!(put(&fleet, 3).await, "control goes on after the cut");
+        assert!(is_table_accepted(&fleet, 3).await, "control goes on after the cut");
         for name in all() {
-            assert!(is_told(&fleet, &[name], 3).await, "{name} is told");
+            assert!(is_table_served(&fleet, &[name], 3).await, "{name} is told");
         }
     }
 }
--- a/crates/control/tests/roles/relay.rs
+++ b/crates/control/tests/roles/relay.rs
@@ -23,7 +23,7 @@
         .expect("the relay opens");
     fleet
         .net
-        .place("relay-1", &relay.local_address().to_string());
+        .register("relay-1", &relay.local_address().to_string());
     relay
 }
 
@@ -38,7 +38,7 @@
     }
 }
 
-async fn live(fleet: &Fleet, name: &str) -> bool {
+async fn is_live(fleet: &Fleet, name: &str) -> bool {
     let leader = fleet.leader().await;
     let ask = AskStatus {
         wait_version: 0,
@@ -93,7 +93,7 @@
         }
         fleet.apply(&change("two", 1, vec![team("board", 3)])).await;
         wait_for(|| relay.config_version() == 2).await;
-        while !live(&fleet, "sidecar-1").await || !live(&fleet, "relay-1").await {
+        while !is_live(&fleet, "sidecar-1").await || !is_live(&fleet, "relay-1").await {
             pause().await;
         }
     }
@@ -149,10 +149,10 @@
             }
         });
         let sidecar = Server::bind("127.0.0.1:0", router, Limits::default()).await.expect("a free port exists");
-        fleet.net.place("sidecar-1", &sidecar.local_address().to_string());
-        let word = Announce { peer_address: "sidecar-1".into(), ..announce("sidecar-1", 1) };
+        fleet.net.register("sidecar-1", &sidecar.local_address().to_string());
+        let announcement = Announce { peer_address: "sidecar-1".into(), ..announce("sidecar-1", 1) };
         let leader = fleet.leader().await;
-        let announced: Announced = fleet.call(&leader, "/v1/announce", &word).await.expect("the leader answers");
+        let announced: Announced = fleet.call(&leader, "/v1/announce", &announcement).await.expect("the leader answers");
         let place = PlaceOrder {
             change_id: "load".into(), instance: "sidecar-1".into(), kind: OrderKind::LoadModel, subject: "m".into(), version: "v2".into(),
         };
--- a/crates/control/tests/walk.rs
+++ b/crates/control/tests/rolling_upgrade.rs
@@ -207,12 +207,12 @@
         while ask(&address).await != (200, true) {
             pause().await;
         }
-        let is_over = Arc::new(AtomicBool::new(false));
+        let is_done = Arc::new(AtomicBool::new(false));
         let answered = Arc::new(AtomicU64::new(0));
         let callers: Vec<_> = (0..6).map(|_| {
-            let (is_over, answered, address) = (Arc::clone(&is_over), Arc::clone(&answered), address.clone());
+            let (is_done, answered, address) = (Arc::clone(&is_done), Arc::clone(&answered), address.clone());
             tokio::spawn(async move {
-                while !is_over.load(Ordering::Acquire) {
+                while !is_done.load(Ordering::Acquire) {
                     assert_eq!(ask(&address).await, (200, true));
                     answered.fetch_add(1, Ordering::AcqRel);
                 }
@@ -229,7 +229,7 @@
             }
             pause().await;
         }
-        is_over.store(true, Ordering::Release);
+        is_done.store(true, Ordering::Release);
         for caller in callers {
             caller.await.expect("no answer was cut");
         }
