--- a/crates/control/examples/figures/fleet.rs
+++ b/crates/control/examples/figures/fleet.rs
@@ -1,4 +1,4 @@
-//! Runs control instances in this process, and holds what the figures share.
+//! Runs control instances in this process, and has the helpers that the measurements share.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 pub const SECRET: &str = "a secret of sixteen bytes or more";
 pub const WAIT: Duration = Duration::from_mins(1);
 
-/// Teams and files of a folder at the target size.
+/// Number of teams and files in a configuration folder of the target size.
 pub const TEAMS: usize = 1500;
 pub const FILES: usize = 30;
 
@@ -22,7 +22,7 @@
     ClusterKey::derive(b"the cluster's key")
 }
 
-/// Returns addresses that are free now.
+/// Returns free addresses on the loopback interface.
 pub async fn free_addresses(count: usize) -> Vec<Box<str>> {
     let mut listeners = Vec::new();
     for _ in 0..count {
@@ -37,29 +37,29 @@
         .map(|listener| {
             listener
                 .local_addr()
-                .expect("it is bound")
+                .expect("the listener is bound")
                 .to_string()
                 .into()
         })
         .collect()
 }
 
-pub fn settings(folder: &Path, addresses: &[Box<str>], place: usize) -> ControlSettings {
-    let name = |place: usize| format!("control-{place}");
-    let mut settings = ControlSettings::new(&name(place), "figures", &addresses[place]);
-    settings.data_folder = Some(folder.join(name(place)));
+pub fn settings(folder: &Path, addresses: &[Box<str>], index: usize) -> ControlSettings {
+    let name = |index: usize| format!("control-{index}");
+    let mut settings = ControlSettings::new(&name(index), "figures", &addresses[index]);
+    settings.data_folder = Some(folder.join(name(index)));
     settings.bootstrap = true;
     let peers = addresses.iter().enumerate();
     settings.peers = peers
-        .map(|(place, address)| Peer {
-            instance: name(place).into(),
+        .map(|(index, address)| Peer {
+            instance: name(index).into(),
             address: address.clone(),
         })
         .collect();
     settings
 }
 
-/// Connects nowhere once it is cut; the others can still reach the instance.
+/// A dialler that refuses every address once it is cut; other instances can still reach this one.
 #[derive(Debug, Default)]
 pub struct Cut(pub AtomicBool);
 
@@ -75,12 +75,13 @@
 }
 
 pub async fn open_with(settings: ControlSettings, dial: Arc<dyn Dial>) -> Control {
-    let operators = OperatorKeys::parse(&format!("ana = \"{SECRET}\"")).expect("the line is right");
+    let operators =
+        OperatorKeys::parse(&format!("ana = \"{SECRET}\"")).expect("the key line is valid");
     let opened = Control::open_with(settings, key(), operators, &Registry::new(), dial).await;
     opened.expect("the instance opens")
 }
 
-/// Holds running instances.
+/// The running control instances.
 pub struct Fleet {
     pub folder: tempfile::TempDir,
     pub addresses: Vec<Box<str>>,
@@ -89,11 +90,11 @@
 
 impl Fleet {
     pub async fn start(count: usize) -> Self {
-        let folder = tempfile::tempdir().expect("the system gives a folder");
+        let folder = tempfile::tempdir().expect("a temporary folder can be created");
         let addresses = free_addresses(count).await;
         let mut running = Vec::new();
-        for place in 0..count {
-            running.push(Some(open(settings(folder.path(), &addresses, place)).await));
+        for index in 0..count {
+            running.push(Some(open(settings(folder.path(), &addresses, index)).await));
         }
         let fleet = Self {
             folder,
@@ -114,8 +115,8 @@
         loop {
             let leads =
                 |control: &Option<Control>| control.as_ref().is_some_and(Control::is_leading);
-            if let Some(place) = self.running.iter().position(leads) {
-                return place;
+            if let Some(index) = self.running.iter().position(leads) {
+                return index;
             }
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
@@ -140,7 +141,7 @@
     }
 }
 
-/// Returns the folder of the target size, with one share that differs.
+/// Returns a folder of the target size; `share` is the share of its first team.
 pub fn folder(share: u64) -> Vec<ConfigFile> {
     let file = |file: usize| {
         let teams = (0..TEAMS / FILES).map(|team| {
--- a/crates/control/examples/figures/log.rs
+++ b/crates/control/examples/figures/log.rs
@@ -1,4 +1,4 @@
-//! Measures the replicated log: commits, elections, changes in force, and recovery.
+//! Measures the replicated log: commits, elections, propagation of changes, and recovery.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,7 +14,7 @@
     Cut, Fleet, TEAMS, WAIT, claims, folder, free_addresses, key, median, open, open_with, settings,
 };
 
-/// Commits per second by the number of callers, one claim in each call.
+/// Measures commits per second by the number of concurrent callers, with one claim per call.
 pub async fn commits() {
     println!("callers commits_per_second ms_per_commit");
     for callers in [1_u64, 8, 32, 128, 512] {
@@ -49,13 +49,13 @@
     }
 }
 
-/// Time until another instance leads, after a stop that hands over and after one that is dropped without a word.
+/// Measures the time until another instance leads, after a clean stop and after the leader falls silent.
 pub async fn election() {
     let mut planned = Vec::new();
     for _ in 0..10 {
         let mut fleet = Fleet::start(3).await;
         let leader = fleet.leader().await;
-        let control = fleet.running[leader].take().expect("it runs");
+        let control = fleet.running[leader].take().expect("the instance runs");
         let began = Instant::now();
         let stopping = tokio::spawn(control.stop(Duration::from_secs(10)));
         fleet.leader().await;
@@ -66,21 +66,21 @@
     println!("planned stop: median {middle:?}, longest {longest:?} of 10");
     let mut silent = Vec::new();
     for _ in 0..20 {
-        silent.push(silent_loss().await);
+        silent.push(measure_failover().await);
     }
     let (middle, longest) = median(silent);
     println!("leader that falls silent: median {middle:?}, longest {longest:?} of 20");
 }
 
 /// Returns the time from a leader's last message until another instance leads.
-async fn silent_loss() -> Duration {
-    let folder = tempfile::tempdir().expect("the system gives a folder");
+async fn measure_failover() -> Duration {
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
     let addresses = free_addresses(3).await;
     let cuts: [Arc<Cut>; 3] = Default::default();
     let mut running = Vec::new();
-    for (place, cut) in cuts.iter().enumerate() {
+    for (index, cut) in cuts.iter().enumerate() {
         let dial: Arc<dyn Dial> = Arc::<Cut>::clone(cut);
-        let settings = settings(folder.path(), &addresses, place);
+        let settings = settings(folder.path(), &addresses, index);
         running.push(Some(open_with(settings, dial).await));
     }
     let fleet = Fleet {
@@ -89,7 +89,7 @@
         running,
     };
     let leader = fleet.leader().await;
-    // The followers have to know of it, or there is nothing to lose.
+    // Wait until the followers know the leader; otherwise there is none to lose.
     while !fleet.running.iter().flatten().all(Control::is_ready) {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
@@ -101,9 +101,10 @@
     began.elapsed()
 }
 
-/// Time from an operator's call until the last of N watchers has the change in hand, and what one needs to bring it in force.
+/// Measures the time from an operator's call until the last of N watchers has received the change.
 ///
-/// The watchers share the machine's cores here and have their own in life, so the merge is measured apart.
+/// All watchers share this machine's cores here, unlike in production, so the cost of the merge at one watcher is
+/// measured separately.
 pub async fn in_force() {
     let files = folder(10);
     let began = Instant::now();
@@ -115,28 +116,28 @@
     for watchers in [50_usize, 100, 200, 400] {
         let fleet = Fleet::start(3).await;
         fleet.apply(0, folder(10)).await;
-        let mut helds = Vec::new();
+        let mut held_versions = Vec::new();
         let mut tasks = JoinSet::new();
         for watcher in 0..watchers {
             let held = Arc::new(AtomicU64::new(0));
-            helds.push(Arc::clone(&held));
+            held_versions.push(Arc::clone(&held));
             let address = fleet.addresses[watcher % 3].clone();
             tasks.spawn(follow(address, held, watcher));
         }
         let mut times = Vec::new();
         for version in 1..=21_u64 {
-            let all_hold = |version| {
-                helds
+            let all_have = |version| {
+                held_versions
                     .iter()
                     .all(|held| held.load(Ordering::Relaxed) >= version)
             };
-            while !all_hold(version) {
+            while !all_have(version) {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
             let began = Instant::now();
             let one_file = folder(10 + version).into_iter().take(1).collect();
             fleet.apply(version, one_file).await;
-            while !all_hold(version + 1) {
+            while !all_have(version + 1) {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
             times.push(began.elapsed());
@@ -152,7 +153,7 @@
 }
 
 async fn follow(address: Box<str>, held: Arc<AtomicU64>, watcher: usize) {
-    // Each watcher is a process of its own in life, so it has a connection of its own here.
+    // In production each watcher is a process of its own, so it gets its own connection here.
     let client = Client::new(key());
     let mut watch = Watch {
         instance: format!("watcher-{watcher}").into(),
@@ -171,7 +172,7 @@
     }
 }
 
-/// Time to open an instance alone until it leads, by the number of changes in its folder, with and without snapshots.
+/// Measures the time to open a single instance until it leads, by the number of changes, with and without snapshots.
 pub async fn recovery() {
     println!("changes snapshot_every ms_to_open ms_until_leading_and_applied");
     for (changes, every) in [
@@ -184,7 +185,7 @@
         let mut options = settings(fleet.folder.path(), &fleet.addresses, 0);
         options.snapshot_every_entries = every;
         options.max_log_bytes = usize::MAX;
-        let first = fleet.running[0].take().expect("it runs");
+        let first = fleet.running[0].take().expect("the instance runs");
         first.stop(Duration::from_secs(5)).await;
         fleet.running[0] = Some(open(options.clone()).await);
         for number in 0..changes {
@@ -195,14 +196,14 @@
             };
             fleet.apply(number, put).await;
         }
-        let control = fleet.running[0].take().expect("it runs");
+        let control = fleet.running[0].take().expect("the instance runs");
         control.stop(Duration::from_secs(5)).await;
         let began = Instant::now();
         fleet.running[0] = Some(open(options).await);
         let opened = began.elapsed();
         loop {
             fleet.leader().await;
-            let control = fleet.running[0].as_ref().expect("it runs");
+            let control = fleet.running[0].as_ref().expect("the instance runs");
             if control.config_version() == changes {
                 break;
             }
--- a/crates/control/examples/figures/main.rs
+++ b/crates/control/examples/figures/main.rs
@@ -1,6 +1,6 @@
 //! Measures control: `cargo run --release -p hinge-control --example figures -- FIGURE`.
 //!
-//! FIGURE is one of `commits`, `election`, `in-force`, `bytes`, `memory` and `recovery`; the results stand in
+//! FIGURE is one of `commits`, `election`, `in-force`, `bytes`, `memory` and `recovery`; the results are in
 //! `docs/design/control.md`.
 
 mod fleet;
--- a/crates/control/examples/figures/memory.rs
+++ b/crates/control/examples/figures/memory.rs
@@ -1,4 +1,4 @@
-//! Measures the memory of a process as it fills.
+//! Measures the memory of a process as its state grows.
 
 use std::time::{Duration, Instant};
 
@@ -8,29 +8,29 @@
 
 use crate::fleet::{Fleet, WAIT, announce, claims, folder, key};
 
-fn resident(what: &str) {
+fn print_resident_memory(what: &str) {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let lines = status.lines();
     let wanted = lines.filter(|line| line.starts_with("VmRSS") || line.starts_with("VmHWM"));
     println!("{what}: {}", wanted.collect::<Vec<_>>().join(", "));
 }
 
-/// Resident memory of a process with one instance, as state is added.
+/// Prints the resident memory of a process with one instance as state is added.
 pub async fn memory() {
-    resident("before");
+    print_resident_memory("before");
     let fleet = Fleet::start(1).await;
-    resident("one instance, no state");
+    print_resident_memory("one instance, no state");
     fleet.apply(0, folder(10)).await;
-    resident("and a folder of 1,500 teams");
+    print_resident_memory("and a folder of 1,500 teams");
     let client = Client::new(key());
     for member in 0..2000 {
-        let word = announce(format!("sidecar-{member:04}"));
+        let announcement = announce(format!("sidecar-{member:04}"));
         let _: Announced = client
-            .call(&fleet.addresses[0], "/v1/announce", &word, WAIT)
+            .call(&fleet.addresses[0], "/v1/announce", &announcement, WAIT)
             .await
             .expect("an answer");
     }
-    resident("and 2,000 members");
+    print_resident_memory("and 2,000 members");
     for batch in 0..100 {
         let _: ClaimBatchReply = client
             .call(
@@ -42,12 +42,12 @@
             .await
             .expect("an answer");
     }
-    resident("and 50,000 keys");
+    print_resident_memory("and 50,000 keys");
     for number in 1..=2500 {
         let one_file = folder(20 + number).into_iter().take(1).collect();
         fleet.apply(number, one_file).await;
     }
-    resident("and a day of 2,500 changes");
+    print_resident_memory("and a day of 2,500 changes");
     let began = Instant::now();
     let watchers = 400;
     let mut tasks = JoinSet::new();
@@ -66,7 +66,7 @@
         });
     }
     tokio::time::sleep(Duration::from_secs(2)).await;
-    resident("and 400 open watches over one connection");
+    print_resident_memory("and 400 open watches over one connection");
     while tasks.join_next().await.is_some() {}
     assert!(began.elapsed() < WAIT, "the watches end");
 }
--- a/crates/control/examples/figures/traffic.rs
+++ b/crates/control/examples/figures/traffic.rs
@@ -1,4 +1,4 @@
-//! Counts the bytes of one member's connection.
+//! Measures the traffic of one member's connection.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,7 +11,7 @@
 
 use crate::fleet::{Fleet, WAIT, announce, folder, key};
 
-/// Counts the bytes of one member's connection, both ways and with the HTTP/2 frames, without the heads of TCP and IP.
+/// Counts the bytes in both directions including HTTP/2 frames, without the TCP and IP headers.
 pub async fn bytes() {
     let fleet = Fleet::start(1).await;
     fleet.apply(0, folder(10)).await;
@@ -26,9 +26,9 @@
             (now - std::mem::replace(&mut last, now)) / times
         );
     };
-    let word = announce("sidecar-0000".to_owned());
+    let announcement = announce("sidecar-0000".to_owned());
     let mut watch = Watch {
-        instance: word.instance.clone(),
+        instance: announcement.instance.clone(),
         config_version: 1,
         members_epoch: u64::MAX,
         members_version: 0,
@@ -38,7 +38,7 @@
     for round in 0..2 {
         for _ in 0..100 {
             let _: Announced = client
-                .call(&address, "/v1/announce", &word, WAIT)
+                .call(&address, "/v1/announce", &announcement, WAIT)
                 .await
                 .expect("an answer");
         }
@@ -65,7 +65,7 @@
             .call(&address, "/v1/watch", &watch, WAIT)
             .await
             .expect("an answer");
-        watch.config_version = update.config.expect("the change comes").version;
+        watch.config_version = update.config.expect("the change arrives").version;
     }
     since("watch with a change of one file of 50 teams", 20);
     watch.config_version = 0;
@@ -80,10 +80,10 @@
         ..watch
     };
     for member in 0..1600 {
-        let word = announce(format!("sidecar-{member:04}"));
+        let announcement = announce(format!("sidecar-{member:04}"));
         let direct = Client::new(key());
         let _: Announced = direct
-            .call(&fleet.addresses[0], "/v1/announce", &word, WAIT)
+            .call(&fleet.addresses[0], "/v1/announce", &announcement, WAIT)
             .await
             .expect("an answer");
     }
@@ -102,7 +102,7 @@
         .expect("a free port exists");
     let address = listener
         .local_addr()
-        .expect("it is bound")
+        .expect("the listener is bound")
         .to_string()
         .into();
     tokio::spawn(async move {
--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -15,44 +15,44 @@
 use tokio::time::{MissedTickBehavior, interval, timeout};
 use viz::Router;
 
-use crate::caller::{Caller, Dial, Direct};
 use crate::core::{Core, unix_now_ms};
 use crate::driver::Driver;
 use crate::metrics::Metrics;
 use crate::open::{self, OpenError};
 use crate::operators::OperatorKeys;
 use crate::orders::{self, InFlightOrders};
+use crate::peer_client::{Dial, Direct, PeerClient};
 use crate::peers::{Peers, SenderInfo};
 use crate::route::StateCell;
 use crate::routing_calls::RoutingCalls;
 use crate::settings::ControlSettings;
 use crate::{follow, join, operator_calls, peer_calls, routing_calls, suspect_calls};
 
-/// Time between ticks of the soft state; a change of the members waits for the next one.
+/// Tick interval of the soft state; a membership change is published at the next tick.
 const TICK: Duration = Duration::from_millis(100);
 
-/// Ticks between two rounds of orders.
+/// Ticks between dispatches of orders.
 const ORDER_TICKS: u64 = 5;
 
-/// Ticks between two looks at upgrades and planned stops: a second.
+/// Ticks between evaluations of upgrades and planned stops: one second.
 const UPGRADE_TICKS: u64 = 10;
 
-/// Ticks between two looks for silent sources of sums.
+/// Ticks between expiries of silent reporters of service sums.
 const SUMS_TICKS: u64 = 10;
 
-/// Ticks between two sweeps of expired keys and answers: a minute.
+/// Ticks between sweeps of expired keys and answers: one minute.
 const SWEEP_TICKS: u64 = 600;
 
-/// Says how a stop went.
+/// The outcome of a stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Stopped {
     /// Whether every open call ended before the deadline.
     pub calls_ended: bool,
-    /// Whether the log ended in order before the deadline, with leadership handed over.
+    /// Whether the log stopped cleanly before the deadline, with leadership transferred.
     pub log_ended: bool,
 }
 
-/// Holds a running control instance.
+/// A running control instance.
 #[derive(Debug)]
 pub struct Control {
     core: Arc<Core>,
@@ -61,12 +61,12 @@
 }
 
 impl Control {
-    /// Opens a control instance that connects to every address as it is.
+    /// Opens a control instance that connects directly to every address.
     ///
     /// # Errors
     ///
-    /// Returns an error when the address can't be bound, or the data folder can't be used; the message says what the
-    /// operator does.
+    /// Returns an error when the address can't be bound or the data folder can't be used; the message tells the operator
+    /// what to do.
     ///
     /// # Panics
     ///
@@ -80,9 +80,9 @@
         Self::open_with(settings, key, operators, registry, Arc::new(Direct)).await
     }
 
-    /// Opens a control instance that serves further calls on its address.
+    /// Opens a control instance that serves additional routes on its address.
     ///
-    /// `extend` adds them to the router; it gets the calls that change and read routes and endpoints.
+    /// `extend` adds the routes to the router; it receives the calls that change and read routes and endpoints.
     ///
     /// # Errors
     ///
@@ -101,7 +101,7 @@
         Self::open_all(settings, key, operators, registry, Arc::new(Direct), extend).await
     }
 
-    /// Opens a control instance that connects as a dialler says.
+    /// Opens a control instance that resolves addresses with the given dialler.
     ///
     /// # Errors
     ///
@@ -139,10 +139,10 @@
             .map_err(OpenError::Bind)?;
         let bound = || server.local_address().to_string().into_boxed_str();
         let address = settings.advertise.clone().unwrap_or_else(bound);
-        let caller = Caller::new(key, Arc::clone(&dial));
-        // Opening reads and syncs the disk, which must not hold up the async threads.
+        let client = PeerClient::new(key, Arc::clone(&dial));
+        // Opening reads and syncs the disk, which must not block the async threads.
         let for_disk = settings.clone();
-        let was_member = settings.bootstrap && join::was_member(&settings, &caller).await;
+        let was_member = settings.bootstrap && join::was_member(&settings, &client).await;
         let opened = tokio::task::spawn_blocking(move || open::open(&for_disk, was_member))
             .await
             .expect("opening the log doesn't panic")?;
@@ -152,12 +152,12 @@
             address: address.clone(),
             diskless: settings.is_diskless(),
         };
-        let peers = Peers::new(caller.clone(), runtime, sender);
+        let peers = Peers::new(client.clone(), runtime, sender);
         let (published, _) = watch::channel(0);
         let driver =
             Driver::spawn(&settings, opened, peers, published.clone()).map_err(OpenError::Log)?;
         let core = Arc::new(Core::new(
-            settings, address, caller, dial, driver, published,
+            settings, address, client, dial, driver, published,
         ));
         let _first_and_only = state_cell.set(Arc::clone(&core));
         let metrics = Metrics::register(registry);
@@ -173,7 +173,7 @@
         })
     }
 
-    /// Returns the address that was bound.
+    /// Returns the bound address.
     #[must_use]
     pub fn local_address(&self) -> SocketAddr {
         self.server.local_address()
@@ -185,7 +185,7 @@
         self.core.driver.node_status.borrow().node_id
     }
 
-    /// Returns whether this instance leads and no other can lead now.
+    /// Returns whether this instance holds the leader lease, so that no other can be the leader.
     #[must_use]
     pub fn is_leading(&self) -> bool {
         matches!(self.core.leadership(), crate::core::Leadership::Local(_))
@@ -197,13 +197,13 @@
         self.core.leadership() != crate::core::Leadership::Unknown
     }
 
-    /// Returns the configuration version that is applied here.
+    /// Returns the configuration version that is applied on this instance.
     #[must_use]
     pub fn config_version(&self) -> u64 {
         self.core.driver.view.load().folder.version()
     }
 
-    /// Waits until the log has failed, and returns why; the process must stop then, because nothing more is durable.
+    /// Waits until the log fails, and returns the cause; the process must then stop, since no further write is durable.
     pub async fn failed(&self) -> Box<str> {
         let mut node_status = self.core.driver.node_status.clone();
         let failed = node_status
@@ -214,12 +214,12 @@
             .and_then(|node_status| node_status.failure.clone());
         match failure {
             Some(failure) => failure,
-            // A log that was stopped in order never fails.
+            // A log that stopped cleanly never fails.
             None => std::future::pending().await,
         }
     }
 
-    /// Hands leadership over, then stops; open calls may end until the deadline.
+    /// Transfers leadership, then stops; open calls may complete until the deadline.
     pub async fn stop(self, deadline: Duration) -> Stopped {
         self.core.driver.stop();
         let mut node_status = self.core.driver.node_status.clone();
@@ -236,7 +236,7 @@
     }
 }
 
-/// Leads when the log says so: opens the soft state of the term, and moves it on.
+/// Maintains the soft state and, on the leader, runs the periodic tasks.
 async fn run_as_leader(core: Arc<Core>, metrics: Metrics) {
     let mut node_status = core.driver.node_status.clone();
     let mut ticks = interval(TICK);
@@ -271,7 +271,7 @@
     }
 }
 
-/// Writes that the log has stalled, after which watches are answered 503, or that it goes on.
+/// Logs that the log has stalled, during which watches are answered 503, or that it has recovered.
 fn log_stall(core: &Core, is_stalled: bool) {
     if is_stalled {
         let age_ms = core.driver.age().as_millis();
@@ -281,7 +281,7 @@
     }
 }
 
-/// Brings the soft state in line with the standing, and ticks the members; returns whether watchers have news.
+/// Updates the soft state to the node's role and ticks the members; returns whether there are changes for watchers.
 fn sync_soft_state(core: &Core) -> bool {
     let (term, is_leader, may_answer) = {
         let node_status = core.driver.node_status.borrow();
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -1,4 +1,4 @@
-//! Holds what the calls of a control instance share.
+//! The state that the calls of a control instance share.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -11,36 +11,36 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-use crate::caller::{Caller, Dial};
 use crate::driver::{Driver, LogError};
+use crate::peer_client::{Dial, PeerClient};
 use crate::settings::ControlSettings;
 use crate::soft_state::SoftState;
 use crate::upgrade::Planner;
 
-/// Wait for a call that is forwarded to the leader; longer than the wait for a commit there.
+/// Timeout of a call forwarded to the leader; longer than the commit timeout there.
 const FORWARD_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Wait for a commit or a read; it outlasts an election, and a caller asks again after it.
+/// Timeout of a commit or a read; it outlasts an election, and callers retry after it.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// When a caller that got no answer asks again; an election takes a second or two.
+/// Time after which a caller without an answer should retry; an election takes a second or two.
 const RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Starts the path of each call that was forwarded, and is not forwarded again.
+/// Path prefix of forwarded calls, which are not forwarded again.
 pub(crate) const FORWARDED_PREFIX: &str = "/v1/forwarded";
 
-/// Says where the leader is.
+/// Where the leader is, as far as this instance knows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Leadership {
-    /// This instance leads in this term, and no other can lead now.
+    /// This instance leads in this term and holds the lease, so no other can be the leader.
     Local(u64),
-    /// Another instance leads, as far as is known.
+    /// Another instance, at this address, is the last known leader.
     Remote(Box<str>),
-    /// No leader is known, this one can't be sure that it still leads, or the log has stalled.
+    /// No leader is known, this instance can't be sure that it still leads, or the log has stalled.
     Unknown,
 }
 
-/// Returns the time of this instance's clock, in milliseconds since 1970.
+/// Returns this instance's wall-clock time, in milliseconds since the Unix epoch.
 pub(crate) fn unix_now_ms() -> u64 {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -48,12 +48,12 @@
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Holds one control instance's shared parts.
+/// The shared state of one control instance.
 #[derive(Debug)]
 pub(crate) struct Core {
     pub(crate) settings: ControlSettings,
     pub(crate) address: Box<str>,
-    pub(crate) caller: Caller,
+    pub(crate) client: PeerClient,
     pub(crate) dial: Arc<dyn Dial>,
     pub(crate) driver: Driver,
     pub(crate) published: watch::Sender<u64>,
@@ -66,7 +66,7 @@
     pub(crate) fn new(
         settings: ControlSettings,
         address: Box<str>,
-        caller: Caller,
+        client: PeerClient,
         dial: Arc<dyn Dial>,
         driver: Driver,
         published: watch::Sender<u64>,
@@ -74,7 +74,7 @@
         Self {
             settings,
             address,
-            caller,
+            client,
             dial,
             driver,
             published,
@@ -92,7 +92,7 @@
         self.soft.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Wakes the watches.
+    /// Wakes pending watches.
     pub(crate) fn publish(&self) {
         self.published.send_modify(|count| *count += 1);
     }
@@ -115,10 +115,10 @@
         }
     }
 
-    /// Sends a call on to the leader.
+    /// Forwards a call to the leader.
     pub(crate) async fn forward<Q, A>(
         &self,
-        caller: &Caller,
+        client: &PeerClient,
         address: &str,
         path: &str,
         message: &Q,
@@ -128,7 +128,7 @@
         A: DeserializeOwned,
     {
         let path = format!("{FORWARDED_PREFIX}{path}");
-        let answer = caller.call(address, &path, message, FORWARD_TIMEOUT).await;
+        let answer = client.call(address, &path, message, FORWARD_TIMEOUT).await;
         answer.map_err(|_no_answer| StatusCode::SERVICE_UNAVAILABLE)
     }
 
@@ -153,7 +153,7 @@
             .map_err(|_elapsed| LogError::OutcomeUnknown)?
     }
 
-    /// Returns what an operator is told when there is no current answer.
+    /// Returns the reply to an operator when the current state can't be determined.
     pub(crate) fn unavailable(&self, detail: &str) -> Unavailable {
         let node_status = self.driver.node_status.borrow();
         let leader = node_status
--- a/crates/control/src/directory.rs
+++ b/crates/control/src/directory.rs
@@ -1,8 +1,8 @@
-//! Remembers where gateways can be reached, and names some of them to each other.
+//! Records the addresses of gateways and hands some of them out to other gateways.
 //!
-//! Two load patterns need it. Control is cut in two, and a gateway reaches only instances without a leader; most other gateways reach
-//! both sides, so one that knows a few of them still learns of changes. And all callers of a team come to one gateway, while the
-//! others of its data centre have room for their requests.
+//! Two situations need it. When control is partitioned, a gateway may reach only instances without a leader; most other
+//! gateways reach both sides, so one that knows a few of them still learns of changes. And when all callers of a team
+//! connect to one gateway, the other gateways of its data centre have capacity for their requests.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,18 +16,18 @@
     last_seen: Duration,
 }
 
-/// Holds gateways by name.
+/// Known gateways by name.
 #[derive(Debug)]
 pub(crate) struct GatewayDirectory {
     gateways: BTreeMap<Box<str>, Gateway>,
-    /// Time after its last word for which a gateway is named.
+    /// Time after its last contact for which a gateway is handed out.
     ttl: Duration,
-    /// Gateways that are named to one at most.
+    /// Maximum number of gateways returned by one lookup.
     max_returned: usize,
 }
 
 impl GatewayDirectory {
-    /// Creates an empty one that names so many, for so long after their last word.
+    /// Creates an empty directory.
     pub(crate) fn new(ttl: Duration, max_returned: usize) -> Self {
         Self {
             gateways: BTreeMap::new(),
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Notes word of a gateway that can be reached at an address.
+    /// Records contact with a gateway that is reachable at an address, and drops expired ones.
     pub(crate) fn note(&mut self, now: Duration, instance: &str, address: &str) {
         let ttl = self.ttl;
         self.gateways
@@ -48,7 +48,7 @@
         self.gateways.insert(instance.into(), gateway);
     }
 
-    /// Returns the addresses of some gateways other than the one that asks, by a number that the caller draws.
+    /// Returns the addresses of some gateways other than the caller; the random number `draw` selects where to start.
     pub(crate) fn others(&self, instance: &str, draw: usize) -> Vec<Box<str>> {
         let others = self
             .gateways
--- a/crates/control/src/downstream.rs
+++ b/crates/control/src/downstream.rs
@@ -1,4 +1,4 @@
-//! Keeps what a relay knows of the processes below it.
+//! A relay's record of its downstream processes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,32 +13,32 @@
 
 use crate::soft_state::MAX_POOLS;
 
-/// Whole announcements in one batch, which bounds its bytes to about 64 KB after a data centre came back.
+/// Maximum number of full announcements in one batch, which limits it to about 64 KB when a data centre reconnects.
 const MAX_BATCH_ANNOUNCEMENTS: usize = 256;
 
-/// Renewals of control's lease that fit in it, so that two may be lost.
+/// Renewals sent within one lease from control, so that two may be lost.
 const RENEWALS_PER_LEASE: u32 = 3;
 
-/// Part of a lease by which an answer may be shorter, as one part of this many; see the members' leases at control.
+/// Leases are randomly shortened by up to one part in this many, as control does for its members' leases.
 const JITTER_DIVISOR: u32 = 4;
 
 #[derive(Debug)]
 struct Process {
     announce: Announce,
-    /// When the lease that this relay gave ends.
+    /// When the lease granted by this relay expires.
     expires_at: Duration,
-    /// When control took the announcement in or was last told that the process lives; none if it has to be told whole.
+    /// When control last accepted the announcement or a renewal; `None` if the full announcement has to be sent.
     confirmed_at: Option<Duration>,
 }
 
-/// Holds the processes, and the state that control gave for them.
+/// The downstream processes, and the state that control returned for them.
 #[derive(Debug)]
 pub(crate) struct Downstream {
     rules: MemberRules,
     processes: BTreeMap<InstanceName, Process>,
     pub(crate) roster: Roster,
     pub(crate) fence: u64,
-    /// Epoch of control's list that the processes were told to.
+    /// Epoch of control's member list to which the processes were announced.
     confirmed_epoch: u64,
     pub(crate) totals: BTreeMap<Box<str>, Totals>,
     rng: StdRng,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Takes in an announcement; returns the lease, and whether control must be told at once.
+    /// Records an announcement; returns the lease, and whether control must be told at once.
     pub(crate) fn announce(&mut self, now: Duration, announce: Announce) -> (Duration, bool) {
         let asked = Duration::from_millis(announce.lease_ms);
         let granted = asked.clamp(self.rules.shortest_lease, self.rules.longest_lease);
@@ -69,7 +69,7 @@
         if known.is_some_and(|known| known.announce.incarnation > announce.incarnation) {
             return (lease, false);
         }
-        // Control learns the versions with the renewals; everything else it must see whole.
+        // Renewals carry the versions to control; every other change needs a full announcement.
         let confirmed_at = known
             .filter(|known| is_same_announcement(&known.announce, &announce))
             .and_then(|known| known.confirmed_at);
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Returns what control must be told now, within bounds.
+    /// Returns the announcements and renewals that are due, limited in number.
     pub(crate) fn batch(&mut self, now: Duration, relay: &str) -> AnnounceBatch {
         self.processes.retain(|_, process| process.expires_at > now);
         let renew_after = self.rules.longest_lease / RENEWALS_PER_LEASE;
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Takes in control's answer to a batch that was made at `told_at`; returns whether more is to be told at once.
+    /// Applies control's reply to the batch created at `confirmed_at`; returns whether more must be sent at once.
     pub(crate) fn apply_reply(
         &mut self,
         confirmed_at: Duration,
@@ -131,7 +131,7 @@
             return false;
         }
         if reply.members_epoch > self.confirmed_epoch {
-            // A new leader may not have seen what an earlier one took in.
+            // A new leader may not know what an earlier one accepted.
             self.confirmed_epoch = reply.members_epoch;
             for process in self.processes.values_mut() {
                 process.confirmed_at = None;
@@ -139,7 +139,7 @@
         }
         for sent in &batch.announced {
             let process = self.processes.get_mut(&sent.instance);
-            // A process that announced something else in the meantime must be told again.
+            // A process that announced something else in the meantime must be announced again.
             if let Some(process) = process
                 && is_same_announcement(&process.announce, sent)
             {
@@ -168,7 +168,7 @@
         self.processes.len()
     }
 
-    /// Merges a report of sums; none while control hasn't answered for the pool yet.
+    /// Merges a report of service sums; returns `None` until control has answered for the pool.
     pub(crate) fn merge(
         &mut self,
         now: Duration,
@@ -188,7 +188,7 @@
         Some(service::totals_message(&report.pool, &reply))
     }
 
-    /// Returns this relay's own reports to control, one for each pool.
+    /// Returns this relay's reports to control, one per pool.
     pub(crate) fn reports(&mut self) -> Vec<ServiceReport> {
         let reports = self.totals.iter_mut();
         reports
@@ -196,7 +196,7 @@
             .collect()
     }
 
-    /// Takes in control's totals of a pool.
+    /// Applies control's totals of a pool.
     pub(crate) fn learn_totals(&mut self, now: Duration, reply: &ServiceTotals) {
         if let Some(totals) = self.totals.get_mut(&reply.pool) {
             totals.apply_totals(now, &service::totals_from(reply));
@@ -204,7 +204,7 @@
     }
 }
 
-/// Returns whether two announcements say the same, but for what renewals carry.
+/// Returns whether two announcements are equal apart from the fields that renewals carry.
 fn is_same_announcement(left: &Announce, right: &Announce) -> bool {
     let with_versions = Announce {
         config_version: right.config_version,
--- a/crates/control/src/driver.rs
+++ b/crates/control/src/driver.rs
@@ -1,7 +1,7 @@
-//! Drives the log: one thread owns the node, its disk and the state machine.
+//! Runs the Raft log: one thread owns the node, its disk and the state machine.
 //!
-//! The thread takes in everything that has arrived, and then writes and syncs it in one go, so that proposals share a sync
-//! under load and an idle instance answers at once. Nothing of the disk runs on the threads of the async tasks.
+//! The thread handles all inputs that have arrived, then writes and syncs once. Under load proposals thereby share a
+//! sync, and an idle instance answers at once. No disk I/O runs on the threads of the async tasks.
 
 mod diskless;
 mod joining;
@@ -30,43 +30,45 @@
 use crate::peers::{Batch, Peers};
 use crate::settings::ControlSettings;
 
-/// Inputs that wait for the thread; a caller beyond them is refused at once.
+/// Capacity of the thread's input queue; further calls are refused at once.
 const MAX_QUEUED_INPUTS: usize = 8192;
 
-/// Inputs that are taken in before a sync.
+/// Maximum number of inputs handled before a sync.
 const MAX_BATCH_INPUTS: usize = 1024;
 
-/// Longest proposal, in bytes; the store takes records up to 4 MiB, and an entry has a head.
+/// Longest proposal, in bytes; the store accepts records up to 4 MiB, and an entry adds a header.
 pub(crate) const MAX_PROPOSAL_BYTES: usize = (4 << 20) - 1024;
 
-/// Bytes of proposals that wait for their commit; two of the longest, within the 32 MB of control.
+/// Total size of uncommitted proposals: two of the longest, which fits control's memory limit of 32 MB.
 const MAX_PENDING_BYTES: usize = 8 << 20;
 
-/// Messages with entries on the way to one follower; with the longest entries more would not fit the memory.
+/// Append messages in flight to one follower; with entries of maximum size, more would not fit the memory.
 const MAX_INFLIGHT_BATCHES: usize = 4;
 
-/// Entries kept in memory behind a snapshot; a follower that was away for a minute of changes needs no snapshot.
+/// Entries kept in memory behind a snapshot, so that a follower that missed a minute of changes needs no snapshot.
 const KEPT_ENTRIES: u64 = 128;
 
-/// Parts of a heartbeat interval between two looks at the clock.
+/// Clock ticks per heartbeat interval.
 const TICKS_PER_HEARTBEAT: u32 = 4;
 
-/// Election timeouts after which the thread counts as stalled: one, as for a leader that is silent, and one more for the syncs
-/// of a slow disk, which take some hundreds of milliseconds.
+/// Election timeouts after which the thread counts as stalled.
+///
+/// One, after which a silent leader is given up as well, plus one for syncs of a slow disk, which take some hundreds of
+/// milliseconds.
 const STALLED_AFTER_TIMEOUTS: u32 = 2;
 
-/// Says why the log gave no answer.
+/// An error from a call to the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LogError {
-    /// This instance doesn't lead.
+    /// This instance is not the leader.
     NotLeader,
-    /// Too much waits already.
+    /// Too many requests are queued.
     Busy,
     /// The proposal is too long.
     TooLarge,
-    /// Leadership was lost on the way; whether the proposal takes effect is open.
+    /// Leadership was lost meanwhile; the proposal may or may not take effect.
     OutcomeUnknown,
-    /// Voters without a disk have not yet given their votes to those with one.
+    /// The fleet is being founded: voters without a disk have not yet been replaced by instances with one.
     FoundingIncomplete,
     /// The log has stopped.
     Stopped,
@@ -89,10 +91,10 @@
     }
 }
 
-/// Answers a proposal.
+/// The channel for the reply to a proposal.
 type ReplySender = oneshot::Sender<Result<Reply, LogError>>;
 
-/// Answers a question to the state machine; it is called without a state when the question can't be answered.
+/// A read of the state machine; called with `None` when a linearizable read is not possible.
 type ReadCallback = Box<dyn FnOnce(Option<(&State, &Status)>) + Send>;
 
 pub(crate) enum Input {
@@ -107,49 +109,49 @@
     Stop,
 }
 
-/// Tells what the instance is in the log at the moment.
+/// The current role of this instance in the log, and the leader that it knows.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct NodeStatus {
     pub(crate) node_id: NodeId,
     pub(crate) term: Term,
     pub(crate) is_leader: bool,
-    /// As leader: whether the term is opened in the state, and this instance's lease holds.
+    /// Whether this instance is the leader, its term is opened in the state, and its lease holds.
     pub(crate) may_answer: bool,
-    /// The leader's name and address, if it is known; this instance's own when it leads.
+    /// The leader's name and address, if known; this instance's own when it leads.
     pub(crate) leader: Option<ControlName>,
-    /// Members whose votes count for a quorum, and members that only follow.
+    /// Number of voting members, and of members that only replicate.
     pub(crate) voters: usize,
     pub(crate) learners: usize,
     /// Whether the instance has stopped.
     pub(crate) has_stopped: bool,
-    /// Why the instance failed, if it did.
+    /// The cause, if the instance failed.
     pub(crate) failure: Option<Box<str>>,
 }
 
-/// Holds what the async tasks read of the state without asking the thread.
+/// A snapshot of the state that async tasks read without going through the thread.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct View {
     pub(crate) folder: Folder,
     pub(crate) drains: Vec<DrainRecord>,
     pub(crate) lowest_fence: Fence,
     pub(crate) open_orders: Vec<OrderRecord>,
-    /// Incarnations of control instances that have taken part.
+    /// Incarnations of control instances that are or were members.
     pub(crate) known_incarnations: BTreeSet<NodeId>,
     pub(crate) routing: Routing,
-    /// Addresses of the control instances that the log names.
+    /// Addresses of the control instances that are recorded in the log.
     pub(crate) control_addresses: Vec<Box<str>>,
-    /// Addresses of the instances that sent anything since this process started.
+    /// Addresses of the instances from which a message arrived since this process started.
     pub(crate) peer_addresses: Vec<Box<str>>,
 }
 
-/// Reaches the thread.
+/// A handle to the thread that runs the log.
 #[derive(Debug, Clone)]
 pub(crate) struct Driver {
     inputs: SyncSender<Input>,
     pub(crate) node_status: watch::Receiver<NodeStatus>,
     pub(crate) view: Arc<ArcSwap<View>>,
     lease_until_us: Arc<AtomicU64>,
-    /// When the thread last came round, in microseconds since `began`.
+    /// Time of the thread's last iteration, in microseconds since `started_at`.
     last_round_us: Arc<AtomicU64>,
     stalled_after: Duration,
     started_at: Instant,
@@ -235,7 +237,7 @@
         std::thread::Builder::new()
             .name("control-log".to_owned())
             .spawn(move || thread.run(&receiver))
-            .expect("the system gives a thread at the start");
+            .expect("the log thread can be spawned");
         Ok(Self {
             inputs,
             node_status,
@@ -248,39 +250,40 @@
         })
     }
 
-    /// Returns whether this instance leads and no other can lead now.
+    /// Returns whether this instance holds the leader lease, so that no other can be the leader.
     pub(crate) fn holds_lease(&self) -> bool {
         let until = self.lease_until_us.load(Ordering::Acquire);
         self.started_at.elapsed().as_micros() < u128::from(until)
     }
 
-    /// Returns the time since the thread last took in what had arrived and told what it knows.
+    /// Returns the time since the thread last handled its inputs and published its state.
     pub(crate) fn age(&self) -> Duration {
         let last_round = Duration::from_micros(self.last_round_us.load(Ordering::Acquire));
         self.started_at.elapsed().saturating_sub(last_round)
     }
 
-    /// Returns whether what the thread has told is too old to be believed.
+    /// Returns whether the state that the thread last published is too old to rely on.
     ///
-    /// A disk that hangs holds up the thread, and with it the timeout by which a follower gives up a silent leader. Without this
-    /// an instance named its leader, and told watchers that nothing was new, for as long as the disk hung.
+    /// A hanging disk blocks the thread, and with it the timeout by which a follower gives up a silent leader. Without
+    /// this check an instance kept naming its leader, and told watchers that nothing was new, for as long as the disk
+    /// hung.
     pub(crate) fn is_stalled(&self) -> bool {
         self.age() > self.stalled_after
     }
 
-    /// Hands messages of another instance to the log; returns false when the thread is too far behind.
+    /// Queues messages of another instance for the log; returns false when the queue is full.
     pub(crate) fn receive(&self, batch: Batch) -> bool {
         self.inputs.try_send(Input::Batch(batch)).is_ok()
     }
 
-    /// Proposes a command, and returns its reply once it is durable on a majority and applied.
+    /// Proposes a command and returns its reply once it is durable on a majority and applied.
     pub(crate) async fn propose(&self, command: Command) -> Result<Reply, LogError> {
         let (sender, receiver) = oneshot::channel();
         self.send_input(Input::Propose(command, sender))?;
         receiver.await.map_err(|_gone| LogError::Stopped)?
     }
 
-    /// Asks the state machine a question that is answered as of now, checked with a quorum.
+    /// Reads the state machine linearizably: leadership is confirmed with a quorum first.
     pub(crate) async fn read<T: Send + 'static>(
         &self,
         query: impl FnOnce(&State, &Status) -> T + Send + 'static,
@@ -294,21 +297,21 @@
         receiver.await.map_err(|_gone| LogError::Stopped)?
     }
 
-    /// Moves a control instance one step towards its place in the log.
+    /// Advances a control instance one step towards membership of the log.
     pub(crate) async fn join(&self, join: JoinControl) -> Result<JoinedControl, LogError> {
         let (sender, receiver) = oneshot::channel();
         self.send_input(Input::Join(join, sender))?;
         receiver.await.map_err(|_gone| LogError::Stopped)?
     }
 
-    /// Removes a control instance that is gone for good.
+    /// Removes a control instance that is permanently lost.
     pub(crate) async fn remove(&self, instance: Box<str>) -> Result<RemovedControl, LogError> {
         let (sender, receiver) = oneshot::channel();
         self.send_input(Input::Remove(instance, sender))?;
         receiver.await.map_err(|_gone| LogError::Stopped)?
     }
 
-    /// Asks the thread to hand leadership over and to end.
+    /// Tells the thread to transfer leadership and to end.
     pub(crate) fn stop(&self) {
         let _ended_already = self.inputs.send(Input::Stop);
     }
--- a/crates/control/src/driver/diskless.rs
+++ b/crates/control/src/driver/diskless.rs
@@ -1,7 +1,8 @@
 //! Keeps instances without a disk out of the quorum.
 //!
-//! A fleet is founded on the first addresses that its processes were told, and some of those instances may have no disk. They
-//! elect the first leader all the same; those with a disk join, take the votes over, and only then is anything acknowledged.
+//! A fleet is founded on the first addresses that its processes were configured with, and some of those instances may
+//! have no disk. They may elect the first leader; then instances with a disk join and replace them as voters, and only
+//! after that is anything acknowledged.
 
 use std::time::Duration;
 
@@ -14,15 +15,16 @@
 use super::votes::{VoterDisks, may_acknowledge, should_remove_diskless_voters};
 use crate::open::Log;
 
-/// Time from the start in which instances with a disk are expected to join. A fleet in which none has joined by then has none,
-/// and goes on without.
+/// Time from the start in which instances with a disk are expected to join.
+///
+/// A fleet that none has joined by then has none, and runs without.
 const FOUNDING_PERIOD: Duration = Duration::from_secs(5);
 
-/// Silence after which a follower without a disk is forgotten; one that was only cut off joins again.
+/// Silence after which a follower without a disk is removed; one that was only partitioned off joins again.
 const FORGET_SILENT_AFTER: Duration = Duration::from_secs(10);
 
 impl LogThread {
-    /// Returns whether an instance is known to keep the log in memory only.
+    /// Returns whether an instance is known to store the log in memory only.
     pub(super) fn is_diskless(&self, node_id: NodeId) -> bool {
         if node_id == self.own_id {
             return matches!(self.log, Log::Memory);
@@ -34,7 +36,7 @@
         )
     }
 
-    /// Counts the voters with and without a disk; one that nobody has heard of counts for neither.
+    /// Counts the voters with and without a disk; a voter that was never heard of counts as neither.
     pub(super) fn voter_disks(&self) -> VoterDisks {
         let voters = &self.node.membership().voters;
         let is_known = |id: NodeId| {
@@ -52,13 +54,13 @@
         }
     }
 
-    /// Returns whether a commit is as durable as this fleet can make it.
+    /// Returns whether commits are as durable as this fleet can make them.
     pub(super) fn can_acknowledge(&self) -> bool {
         let is_alone = self.founding.len() == 1;
         is_alone || may_acknowledge(self.voter_disks(), is_being_founded(self.now()))
     }
 
-    /// Hands the votes of instances without a disk to those with one, as the leader, one at a time.
+    /// Replaces voters without a disk by instances with one, one at a time, on the leader.
     pub(super) fn remove_diskless_voters(&mut self, now: Duration) {
         if self.node.role() != Role::Leader {
             return;
@@ -74,7 +76,7 @@
             .iter()
             .find(|id| **id != self.own_id && self.is_diskless(**id));
         if let Some(other) = other {
-            // A change that is under way goes first, and this one is tried again at the next tick.
+            // A membership change in progress completes first; this one is retried at the next tick.
             if self
                 .propose_membership_change(now, MembershipChange::Remove(*other))
                 .is_ok()
@@ -101,7 +103,8 @@
         }
     }
 
-    /// Removes followers without a disk that have ended for good; each start of one is another follower.
+    /// Removes silent followers without a disk; every start of such an instance is a new follower, so old ones never
+    /// return.
     fn forget_silent_learners(&mut self, now: Duration) {
         let learners = &self.node.membership().learners;
         let silent = learners.iter().copied().find(|id| {
@@ -122,7 +125,7 @@
     }
 }
 
-/// Returns whether instances with a disk may still be on their way to a fleet that has none yet.
+/// Returns whether the fleet is still being founded, so that instances with a disk may yet join.
 pub(super) fn is_being_founded(since_start: Duration) -> bool {
     since_start < FOUNDING_PERIOD
 }
--- a/crates/control/src/driver/joining.rs
+++ b/crates/control/src/driver/joining.rs
@@ -1,4 +1,4 @@
-//! Gives control instances their places in the log.
+//! Membership changes of control instances: joining, promotion and removal.
 
 use std::time::Duration;
 
@@ -14,12 +14,13 @@
 use super::thread::LogThread;
 use super::votes::{Promotion, PromotionContext, decide_promotion, may_vote};
 
-/// Silence after which a voter is replaced by an instance that stands ready. A restart takes about a second, and a new
-/// instance counts as repaired four seconds after it starts.
+/// Silence after which a voter is replaced by a caught-up learner.
+///
+/// A restart takes about a second, and a lost instance counts as repaired four seconds after its replacement starts.
 const VOTER_SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl LogThread {
-    /// Moves an instance one step: learner, then in the place of its lost incarnation, then voter.
+    /// Advances an instance one step: add it as a learner, remove its lost incarnation, make it a voter.
     pub(super) fn join(
         &mut self,
         now: Duration,
@@ -58,10 +59,11 @@
         }
     }
 
-    /// Lets a learner that is ready vote, or removes the silent voter whose place it takes.
+    /// Makes a caught-up learner a voter, or removes the silent voter that it replaces.
     ///
-    /// Nobody removes an instance by hand that is lost for good and comes back under another address. A voter that was
-    /// only cut off loses its place as well, and joins again as any other; until then the one that is there counts.
+    /// This covers an instance that is permanently lost and comes back under another address, which nobody removes by
+    /// hand. A voter that was only partitioned off is replaced as well, and joins again like any other; until then the
+    /// replacement counts.
     fn promote_learner(&mut self, now: Duration, join: &JoinControl) -> Result<(), String> {
         let membership = self.node.membership();
         let disks = self.voter_disks();
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Returns how many voters bear the losses that this fleet is to bear.
+    /// Returns the number of voters needed to tolerate the configured losses.
     pub(super) fn min_voters(&self) -> usize {
         2 * self.tolerated_losses as usize + 1
     }
@@ -115,10 +117,10 @@
             .map_err(|cause| cause.to_string())
     }
 
-    /// Writes the names of founders that were heard to the log, as the leader.
+    /// Records in the log, on the leader, the names of founders that have sent a message.
     ///
-    /// From then on the fleet knows that a founder took part, and one that lost its folder can't start afresh under the
-    /// number under which it has voted.
+    /// From then on the fleet knows that a founder was a member, so that one that lost its folder can't start afresh
+    /// under the ID under which it has voted.
     pub(super) fn record_founders(&mut self, now: Duration) {
         if self.node.role() != Role::Leader {
             return;
@@ -143,7 +145,7 @@
         }
     }
 
-    /// Writes the joiner's name and address to the log, unless they stand there.
+    /// Records the joiner's name and address in the log, unless they are already there.
     fn record_joiner(&mut self, now: Duration, join: &JoinControl) {
         let known = self.state.control().get(&join.node_id);
         let name = ControlName {
@@ -165,7 +167,7 @@
         let _asked_again_later = self.node.propose(now, command.encode());
     }
 
-    /// Returns an earlier incarnation of the joiner that still counts as a member.
+    /// Returns an earlier incarnation of the joiner that is still a member.
     fn previous_incarnation(&self, join: &JoinControl) -> Option<NodeId> {
         let membership = self.node.membership();
         let members = membership.voters.iter().chain(&membership.learners);
@@ -181,7 +183,7 @@
         named.or_else(|| self.founding.get(&node_id))
     }
 
-    /// Drops the names of incarnations that are gone, once the joiner has taken their place.
+    /// Deletes the names of earlier incarnations that are no longer members, once the joiner has replaced them.
     fn forget_old_incarnations(&mut self, now: Duration, join: &JoinControl) {
         let membership = self.node.membership();
         let named = self.state.control().iter();
@@ -196,7 +198,7 @@
         }
     }
 
-    /// Removes an instance that is gone for good.
+    /// Removes an instance that is permanently lost.
     pub(super) fn remove(
         &mut self,
         now: Duration,
--- a/crates/control/src/driver/tests.rs
+++ b/crates/control/src/driver/tests.rs
@@ -1,4 +1,4 @@
-//! Checks the order in which the thread publishes its lease and sends.
+//! Tests the order in which the thread publishes its lease and sends messages.
 
 mod stalled;
 
@@ -10,7 +10,7 @@
 
 use super::thread::{lease_until_us, take_output_and_send};
 
-/// After the wait for the votes of an earlier life and the longest election timeout.
+/// A time past the delay before a restarted node votes and the longest election timeout.
 const LATER: Duration = Duration::from_secs(5);
 
 fn step(node: &mut Node, term: u64, body: Body) {
@@ -42,7 +42,7 @@
     };
     let durable = PersistentState::bootstrap(membership);
     let mut node =
-        Node::open(Config::new(1, 7), durable, Duration::ZERO, 1).expect("the log is sound");
+        Node::open(Config::new(1, 7), durable, Duration::ZERO, 1).expect("the log is valid");
     node.tick(LATER);
     step(&mut node, 1, Body::PreVoteReply { granted: true });
     sync(&mut node);
@@ -63,7 +63,7 @@
         let mut node = leader();
         let published_until_us = AtomicU64::new(lease_until_us(&node));
         assert!(published_until_us.load(Ordering::Acquire) > 0, "it holds a lease");
-        node.transfer_leadership(LATER, 2).expect("node 2 is in touch");
+        node.transfer_leadership(LATER, 2).expect("node 2 is reachable");
         let mut seen = Vec::new();
         take_output_and_send(&mut node, &published_until_us, |message| {
             seen.push((message.body, published_until_us.load(Ordering::Acquire)));
--- a/crates/control/src/driver/tests/stalled.rs
+++ b/crates/control/src/driver/tests/stalled.rs
@@ -1,8 +1,8 @@
-//! Checks that an instance whose log has stalled answers nothing as current.
+//! Tests that an instance whose log has stalled answers nothing as current.
 //!
-//! The log's thread writes to the disk, and a disk may hang for seconds. The thread then takes in nothing, neither changes nor
-//! the lack of heartbeats, so a follower went on naming the leader that it knew and told its watchers that nothing was new. A
-//! gateway that follows such an instance serves by an old table for as long as the disk hangs.
+//! The log's thread writes to the disk, which may hang for seconds. Meanwhile the thread handles no input and notices no
+//! missing heartbeat, so a follower kept naming its last known leader and told its watchers that nothing was new.
+//! Gateways that follow such an instance would route by a stale table for as long as the disk hangs.
 
 use std::sync::Arc;
 use std::sync::mpsc::sync_channel;
@@ -14,18 +14,18 @@
 use tokio::sync::watch;
 
 use super::super::{Driver, Input};
-use crate::caller::{Caller, Direct};
 use crate::core::{Core, Leadership};
 use crate::open;
+use crate::peer_client::{Direct, PeerClient};
 use crate::peers::{Batch, Peers, SenderInfo};
 use crate::settings::{ControlSettings, Peer};
 
-/// Looks at an instance, with a pause of 5 ms between two; an election timeout is 60 of them.
+/// Polls of an instance, 5 ms apart; an election timeout is 60 of them.
 const MAX_POLLS: usize = 2_000;
 
 const LEADER: &str = "control-b";
 
-/// Opens a follower of three, with its log in memory.
+/// Opens one of three control instances, with its log in memory.
 fn follower() -> Arc<Core> {
     let mut settings = ControlSettings::new("control-a", "test", "127.0.0.1:0");
     settings.election_timeout = std::time::Duration::from_millis(300);
@@ -37,22 +37,22 @@
             address: name.into(),
         })
         .into();
-    let caller = Caller::new(ClusterKey::derive(b"a key"), Arc::new(Direct));
-    let opened = open::open(&settings, false).expect("the settings are right");
+    let client = PeerClient::new(ClusterKey::derive(b"a key"), Arc::new(Direct));
+    let opened = open::open(&settings, false).expect("the settings are valid");
     let sender = SenderInfo {
         node_id: opened.node_id,
         address: "control-a".into(),
         diskless: settings.is_diskless(),
     };
-    let peers = Peers::new(caller.clone(), Handle::current(), sender);
+    let peers = Peers::new(client.clone(), Handle::current(), sender);
     let (published, _) = watch::channel(0);
     let driver = Driver::spawn(&settings, opened, peers, published.clone());
-    let driver = driver.expect("the log is sound");
+    let driver = driver.expect("the log is valid");
     let address = "control-a".into();
     let core = Core::new(
         settings,
         address,
-        caller,
+        client,
         Arc::new(Direct),
         driver,
         published,
@@ -60,7 +60,7 @@
     Arc::new(core)
 }
 
-/// Lets the follower hear of the leader of a term so late that no earlier one counts.
+/// Delivers a heartbeat from the leader, in a term so high that it outranks any earlier one.
 fn deliver_heartbeat(core: &Core) {
     let from = open::founder_id("test", LEADER);
     let heartbeat = Message {
@@ -82,10 +82,10 @@
         diskless: false,
         messages: vec![heartbeat],
     };
-    assert!(core.driver.receive(batch), "the log takes messages");
+    assert!(core.driver.receive(batch), "the log accepts messages");
 }
 
-/// Returns whether the instance comes to stand as asked.
+/// Returns whether the instance reaches the given view of the leadership in time.
 async fn reaches(core: &Core, place: &Leadership) -> bool {
     for _ in 0..MAX_POLLS {
         if core.leadership() == *place {
@@ -101,14 +101,14 @@
         let core = follower();
         let follows = Leadership::Remote(LEADER.into());
         deliver_heartbeat(&core);
-        assert!(reaches(&core, &follows).await, "it has heard the leader");
+        assert!(reaches(&core, &follows).await, "the follower knows the leader");
         let (release, blocked) = sync_channel::<()>(0);
         let block: super::super::ReadCallback = Box::new(move |_| _ = blocked.recv());
         core.driver.send_input(Input::Read(block)).expect("the log runs");
         deliver_heartbeat(&core);
-        assert!(reaches(&core, &Leadership::Unknown).await, "nothing has told it of the leader for an election timeout");
+        assert!(reaches(&core, &Leadership::Unknown).await, "it has heard nothing of the leader for longer than the election timeout");
         drop(release);
-        assert!(reaches(&core, &follows).await, "it goes on with what has arrived meanwhile");
+        assert!(reaches(&core, &follows).await, "it handles the messages that arrived meanwhile");
         core.driver.stop();
     }
 }
--- a/crates/control/src/driver/thread.rs
+++ b/crates/control/src/driver/thread.rs
@@ -1,4 +1,4 @@
-//! Runs the thread that owns the node, its disk and the state machine.
+//! The thread that owns the node, its disk and the state machine.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -32,9 +32,9 @@
     pub(super) state: State,
     pub(super) founding: BTreeMap<NodeId, ControlName>,
     pub(super) peers: Peers,
-    /// Incarnations that sent anything since this process started.
+    /// Incarnations from which a message arrived since this process started.
     pub(super) seen_peers: BTreeSet<NodeId>,
-    /// Those of them that have said that they keep the log in memory only.
+    /// Those of `seen_peers` that announced that they store the log in memory only.
     pub(super) diskless_peers: BTreeSet<NodeId>,
     pub(super) pending_proposals: BTreeMap<(Term, Index), ReplySender>,
     pub(super) pending_reads: BTreeMap<ReadId, ReadCallback>,
@@ -46,9 +46,9 @@
     pub(super) max_log_bytes: usize,
     pub(super) tolerated_losses: u32,
     pub(super) election_timeout: Duration,
-    /// Term that this instance opened in the state as its leader.
+    /// The last term that this instance opened in the state as the leader.
     pub(super) opened_term: Term,
-    /// Members that the last line about them told.
+    /// The membership as last logged.
     pub(super) logged_membership: Membership,
     pub(super) stop_until: Option<Duration>,
     pub(super) is_view_stale: bool,
@@ -65,7 +65,7 @@
         let ended = self.run_until_stop(inputs);
         self.lease_until_us.store(0, Ordering::Release);
         let failure = ended.err();
-        // Whoever hears of the stop may open the folder again at once, so its lock must be gone by then.
+        // Releases the folder's lock before the stop is published, since the folder may be reopened at once.
         self.log = Log::Memory;
         if let Some(failure) = &failure {
             error!(
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Does everything that the node asks for, until it asks for nothing.
+    /// Carries out the node's output until there is none left.
     fn process_output(&mut self) -> Result<(), Box<str>> {
         loop {
             let peers = &self.peers;
@@ -231,12 +231,12 @@
         self.applied_index = entry.index;
         self.log_bytes += entry.payload.len();
         if entry.kind != EntryKind::Command {
-            // A change of the members is answered when it is in force, not here.
+            // A membership change is answered when it takes effect, not here.
             return Ok(());
         }
         let command = Command::decode(&entry.payload).map_err(|error| {
             let text = format!(
-                "entry {} was written by a later program ({error}): start that program here too",
+                "log entry {} was written by a newer version ({error}): run that version here too",
                 entry.index
             );
             text.into_boxed_str()
@@ -259,7 +259,7 @@
         self.commits.fetch_add(1, Ordering::Relaxed);
         let reply = self.state.apply(entry.index, entry.term, command);
         if let Some(waiting) = self.pending_proposals.remove(&(entry.term, entry.index)) {
-            // A founder that was first heard on the way may have confirmed it without a disk.
+            // A voter found to have no disk in the meantime may have counted towards this commit.
             let reply = if self.can_acknowledge() {
                 Ok(reply)
             } else {
@@ -283,7 +283,7 @@
         }
     }
 
-    /// Writes a line when the members of the log are others than before; a quorum is counted among the voters.
+    /// Logs the membership if it changed; it determines the quorum.
     fn log_membership(&mut self) {
         let members = self.node.membership();
         if *members == self.logged_membership {
@@ -302,7 +302,7 @@
         );
     }
 
-    /// Returns the names of some members, or their numbers where the log holds no name yet.
+    /// Returns the names of members, or their IDs where the log has no name yet.
     fn names_of(&self, members: &[NodeId]) -> String {
         let names = members.iter().map(|id| match self.name_of_member(*id) {
             Some(name) => name.instance.to_string(),
@@ -311,7 +311,7 @@
         names.collect::<Vec<_>>().join(",")
     }
 
-    /// Tells the async tasks what has changed.
+    /// Publishes changes to the async tasks.
     fn publish(&mut self) {
         self.log_membership();
         let lease_until_us = lease_until_us(&self.node);
@@ -363,7 +363,7 @@
         }
     }
 
-    /// Opens the term in the state; nothing that depends on the term is answered before.
+    /// Proposes the command that opens the term in the state; reads and calls that depend on the term wait for it.
     fn open_term(&mut self) {
         let command = Command::OpenTerm {
             now_ms: crate::core::unix_now_ms(),
@@ -405,7 +405,7 @@
         }
     }
 
-    /// Returns whether a stop that was asked for may happen now: leadership is handed over, or nobody takes it in time.
+    /// Returns whether a requested stop may proceed: leadership is transferred, or nobody took it over in time.
     fn may_stop(&mut self) -> bool {
         let Some(until) = self.stop_until else {
             return false;
@@ -415,11 +415,11 @@
     }
 }
 
-/// Takes what the node asks for, and sends its messages once a lease that has ended is published as ended.
+/// Takes the node's output, and sends its messages after publishing the end of a lease that has ended.
 ///
-/// A message may let another node lead from the moment at which it leaves (a request to campaign, a vote), while the rest of
-/// the output may take as long as a write. So whoever trusts the published lease must lose it first. The lease is only
-/// lowered here: a longer one is published by `tell`, once the rest of the output is carried out.
+/// As soon as it is sent, a message may let another node become the leader (a request to campaign, a vote), while the
+/// rest of the output may take as long as a disk write. So readers of the published lease must see it end first. This
+/// function only shortens the published lease; `publish` extends it once the rest of the output is carried out.
 pub(super) fn take_output_and_send(
     node: &mut Node,
     published_until_us: &AtomicU64,
@@ -433,7 +433,7 @@
     output
 }
 
-/// Returns the end of the node's lease in microseconds since its start; 0 without a lease.
+/// Returns the end of the node's lease in microseconds since the start, or 0 without a lease.
 pub(super) fn lease_until_us(node: &Node) -> u64 {
     let lease_until = node.lease_until().unwrap_or_default();
     u64::try_from(lease_until.as_micros()).unwrap_or(u64::MAX)
--- a/crates/control/src/driver/votes.rs
+++ b/crates/control/src/driver/votes.rs
@@ -1,32 +1,34 @@
-//! Decides which instances vote in the log.
+//! Decides which instances are voters of the log.
 //!
-//! The load pattern: control is cut in two while operators go on changing routes. Gateways beside control instances reach only
-//! those of their own side, so the side that goes on must be the one with more instances. It is when all instances vote, or
-//! all but one where their number is even: a side with more than half of the instances then has more than half of the votes.
+//! During a network partition operators may go on changing routes, and gateways next to control instances reach only
+//! those on their own side. So the side with more instances has to keep the quorum. It does when all instances vote, or
+//! all but one if their number is even: a side with more than half of the instances then has more than half of the votes.
 
 #[cfg(test)]
 mod tests;
 
 use hinge_raft::NodeId;
 
-/// Most instances that vote. Nine bear the loss of four, twice what a fleet of today is asked to bear, and a commit waits for
-/// more than half of the voters, so each further one makes it dearer.
+/// Maximum number of voters.
+///
+/// Nine tolerate four losses, twice what current fleets are asked to tolerate. A commit waits for more than half of the
+/// voters, so each further one makes it slower.
 pub(super) const MAX_VOTERS: usize = 9;
 
-/// Tells what a leader knows of the members when a learner that is ready asks for a vote.
+/// The state of the membership when a caught-up learner asks to become a voter.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PromotionContext {
-    /// Instances that vote.
+    /// Number of voters.
     pub(super) voters: usize,
-    /// Voters among them that have no disk, and whose places are to be taken.
+    /// Voters without a disk, which are to be replaced.
     pub(super) diskless_voters: usize,
-    /// Further learners that are ready and may vote, beside the one that asks.
+    /// Other learners that are caught up and may vote.
     pub(super) other_ready_learners: usize,
     /// A voter that has been silent for too long.
     pub(super) silent_voter: Option<NodeId>,
 }
 
-/// Counts the voters by what is known of their disks.
+/// The number of voters with and without a disk; voters that were never heard of count as neither.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct VoterDisks {
     pub(super) with: usize,
@@ -34,27 +36,27 @@
 }
 
 impl VoterDisks {
-    /// Returns whether the fleet has to do without any disk, since none has joined while it was founded.
+    /// Returns whether the fleet runs without any disk, since no instance with one joined while it was founded.
     fn is_fleet_diskless(self, is_being_founded: bool) -> bool {
         self.with == 0 && !is_being_founded
     }
 }
 
-/// Says what a leader does for a learner that is ready and asks for a vote.
+/// What a leader does with a caught-up learner that asks to become a voter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Promotion {
-    /// It votes from now on.
+    /// The learner becomes a voter.
     Promote,
-    /// A silent voter is removed first, whose place it takes when it asks again.
+    /// This silent voter is removed first; the learner takes its place when it asks again.
     Replace(NodeId),
-    /// It stays a learner.
+    /// The learner stays a learner.
     Wait,
 }
 
-/// Returns what to do for a learner that is ready, where at least `least_voters` are wanted.
+/// Decides on a caught-up learner, where at least `min_voters` are wanted.
 ///
-/// Beyond the least number, votes are given two at a time, as an even number bears no more losses than one less, and splits
-/// into halves of which neither goes on.
+/// Beyond the minimum, voters are added two at a time: an even number tolerates no more losses than one less, and can be
+/// partitioned into halves of which neither has a quorum.
 pub(super) fn decide_promotion(context: PromotionContext, min_voters: usize) -> Promotion {
     let PromotionContext {
         voters,
@@ -77,17 +79,18 @@
     }
 }
 
-/// Returns whether a learner may vote, by its disk and those of the voters.
+/// Returns whether a learner may vote, given its disk and those of the voters.
 ///
-/// What an instance without a disk confirms is gone when its process ends, so its vote counts only where nobody has a disk.
+/// Entries that an instance without a disk acknowledged are lost when its process ends, so its vote counts only where no
+/// instance has a disk.
 pub(super) fn may_vote(is_diskless: bool, disks: VoterDisks, is_being_founded: bool) -> bool {
     !is_diskless || disks.is_fleet_diskless(is_being_founded)
 }
 
-/// Returns whether voters without a disk leave the quorum now.
+/// Returns whether voters without a disk have to leave the quorum now.
 ///
-/// While a fleet is founded they stay until enough others vote, since a quorum of a single disk would lose with it what was
-/// acknowledged before the second one joined.
+/// While a fleet is founded they stay until enough others vote: a quorum with a single disk would lose, with that disk,
+/// what was acknowledged before a second one joined.
 pub(super) fn should_remove_diskless_voters(
     disks: VoterDisks,
     min_voters: usize,
@@ -97,7 +100,7 @@
     disks.without > 0 && disks.with > 0 && are_enough
 }
 
-/// Returns whether a commit may be acknowledged: every voter keeps it on a disk, or no instance of the fleet has one.
+/// Returns whether a commit may be acknowledged: all voters store it on disk, or no instance of the fleet has a disk.
 pub(super) fn may_acknowledge(disks: VoterDisks, is_being_founded: bool) -> bool {
     disks.without == 0 || disks.is_fleet_diskless(is_being_founded)
 }
--- a/crates/control/src/driver/votes/tests.rs
+++ b/crates/control/src/driver/votes/tests.rs
@@ -1,4 +1,4 @@
-//! Checks who votes, for every number of instances and every cut of them in two.
+//! Tests which instances vote, for every number of instances and every partition into two sides.
 
 use hinge_cases::cases;
 
@@ -7,7 +7,7 @@
     may_vote, should_remove_diskless_voters,
 };
 
-/// Returns the voters among some instances once all have asked as often as they like, and nobody is silent.
+/// Returns the final number of voters once every instance has asked repeatedly, with no voter silent.
 fn final_voter_count(instances: usize, founders: usize, min_voters: usize) -> usize {
     let mut voters = founders.min(instances);
     while voters < instances {
@@ -20,13 +20,13 @@
         match decide_promotion(context, min_voters) {
             Promotion::Promote => voters += 1,
             Promotion::Wait => break,
-            Promotion::Replace(gone) => panic!("nobody is silent, not even {gone}"),
+            Promotion::Replace(gone) => panic!("no voter is silent, but {gone} was to be replaced"),
         }
     }
     voters
 }
 
-/// Returns whether every side of a cut that has more than half of the instances has a quorum, whoever is on it.
+/// Returns whether every side with more than half of the instances has a quorum, whichever instances are on it.
 fn larger_sides_have_quorum(instances: usize, voters: usize) -> bool {
     let learners = instances - voters;
     let mut larger = instances / 2 + 1..=instances;
@@ -47,7 +47,7 @@
 }
 
 cases! {
-    the_larger_side_of_every_cut_goes_on => {
+    the_larger_side_of_every_partition_has_a_quorum => {
         for instances in 1..=MAX_VOTERS {
             for (founders, min_voters) in [(1, 1), (1, 3), (3, 1), (3, 3), (3, 5), (3, 9)] {
                 let voters = final_voter_count(instances, founders, min_voters);
@@ -55,16 +55,16 @@
             }
         }
     }
-    no_more_vote_than_are_worth_a_commit => {
+    voters_are_limited_to_the_maximum => {
         assert_eq!(final_voter_count(2 * MAX_VOTERS, 3, 5), MAX_VOTERS);
     }
     an_even_number_of_instances_leaves_one_out => {
         assert_eq!((final_voter_count(6, 3, 5), final_voter_count(7, 3, 5), final_voter_count(8, 3, 5)), (5, 7, 7));
     }
-    a_silent_voter_gives_its_place_before_the_number_grows => {
+    a_silent_voter_is_replaced_before_voters_are_added => {
         let silent = PromotionContext { silent_voter: Some(7), ..context(5, 1) };
         assert_eq!(decide_promotion(silent, 5), Promotion::Replace(7));
-        assert_eq!(decide_promotion(silent, 7), Promotion::Promote, "fewer than are wanted vote");
+        assert_eq!(decide_promotion(silent, 7), Promotion::Promote, "there are too few voters");
     }
     an_odd_number_of_voters_does_not_become_even => {
         assert_eq!(decide_promotion(context(5, 0), 5), Promotion::Wait);
@@ -75,18 +75,18 @@
         assert_eq!(decide_promotion(context, 5), Promotion::Promote);
     }
     an_instance_without_a_disk_votes_only_where_nobody_has_one => {
-        assert!(!may_vote(true, disks(0, 3), true), "instances with a disk are on their way");
+        assert!(!may_vote(true, disks(0, 3), true), "instances with a disk may yet join");
         assert!(!may_vote(true, disks(1, 3), false));
         assert!(may_vote(true, disks(0, 3), false));
         assert!(may_vote(false, disks(3, 0), true));
     }
-    votes_are_handed_on_once_enough_others_vote_or_no_more_are_expected => {
+    diskless_voters_leave_once_enough_others_vote_or_no_more_are_expected => {
         assert!(!should_remove_diskless_voters(disks(2, 3), 3, true));
         assert!(should_remove_diskless_voters(disks(3, 3), 3, true));
         assert!(should_remove_diskless_voters(disks(1, 3), 3, false));
-        assert!(!should_remove_diskless_voters(disks(0, 3), 3, false), "nobody takes them over");
+        assert!(!should_remove_diskless_voters(disks(0, 3), 3, false), "there is no other voter");
     }
-    nothing_is_acknowledged_on_a_vote_without_a_disk_beside_one_with => {
+    nothing_is_acknowledged_while_only_some_voters_have_a_disk => {
         assert!(may_acknowledge(disks(3, 0), true));
         assert!(!may_acknowledge(disks(2, 1), false));
         assert!(!may_acknowledge(disks(0, 3), true));
--- a/crates/control/src/follow.rs
+++ b/crates/control/src/follow.rs
@@ -1,4 +1,4 @@
-//! Follows the leader's list of members, so that a new leader starts from it.
+//! Follows the leader's member list, so that this instance can start from it when it becomes the leader.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,13 +9,13 @@
 use crate::core::{Core, Leadership};
 use crate::peer_calls::WATCH_PATH;
 
-/// Longest wait of one watch.
+/// Longest duration of one watch.
 const WATCH_WAIT: Duration = Duration::from_secs(10);
 
-/// What a call may take beyond the wait of its watch.
+/// Time allowed for a call on top of the duration of its watch.
 const CALL_MARGIN: Duration = Duration::from_secs(2);
 
-/// Wait after a failure; an election takes longer.
+/// Delay after a failed watch; an election takes longer.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Runs until the task is aborted.
@@ -24,7 +24,7 @@
     let mut needs_full = false;
     loop {
         let Leadership::Remote(leader) = core.leadership() else {
-            // A standing that doesn't change any more is one of an instance that has stopped.
+            // The channel closes when the instance has stopped.
             if node_status.changed().await.is_err() {
                 return;
             }
@@ -32,7 +32,7 @@
         };
         let watch = watch_request(&core, needs_full);
         let asked = core
-            .caller
+            .client
             .call::<_, Update>(&leader, WATCH_PATH, &watch, WATCH_WAIT + CALL_MARGIN)
             .await;
         match asked {
@@ -47,7 +47,7 @@
     let roster = &soft.followed;
     Watch {
         instance: core.settings.instance.clone(),
-        // The configuration comes through the log.
+        // The configuration arrives through the log.
         config_version: u64::MAX,
         members_epoch: roster.epoch(),
         members_version: if needs_full { 0 } else { roster.version() },
--- a/crates/control/src/join.rs
+++ b/crates/control/src/join.rs
@@ -1,4 +1,4 @@
-//! Asks the leader for this instance's place in the log, until it is a voter.
+//! Asks the leader to make this instance a member of the log, until it is a voter.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,44 +8,44 @@
 use hinge_telemetry::log::Part;
 use tokio::time::sleep;
 
-use crate::caller::Caller;
 use crate::core::{Core, Leadership};
 use crate::open::founder_id;
 use crate::peer_calls::{FOUNDED_PATH, JOIN_PATH};
+use crate::peer_client::PeerClient;
 use crate::settings::ControlSettings;
 
-/// Time between two questions; a learner catches up within a few.
+/// Time between join requests; a learner catches up within a few.
 const JOIN_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time between two looks whether the instance still counts.
+/// Time between checks that the instance is still a voter.
 const VOTER_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Wait for an answer.
+/// Timeout of a join request.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Wait for another instance's word on whether this one took part.
+/// Timeout for another instance's answer whether this one was a member before.
 const FOUNDED_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Returns whether another instance knows this one's founding incarnation.
 ///
-/// If so and the folder is empty, then the folder was lost. A founder that started afresh under its old number could vote
-/// for a log without the entries that it had confirmed.
-pub(crate) async fn was_member(settings: &ControlSettings, caller: &Caller) -> bool {
+/// If so and the folder is empty, the data was lost. A founder that started afresh under its old ID could vote for a log
+/// that lacks entries which it had acknowledged.
+pub(crate) async fn was_member(settings: &ControlSettings, client: &PeerClient) -> bool {
     let ask = AskFounded {
         node_id: founder_id(&settings.cluster_id, &settings.instance),
     };
     let others = settings.peers.iter();
     let others = others.filter(|peer| peer.instance != settings.instance);
     let asked = others
-        .map(|peer| caller.call::<_, Founded>(&peer.address, FOUNDED_PATH, &ask, FOUNDED_TIMEOUT));
+        .map(|peer| client.call::<_, Founded>(&peer.address, FOUNDED_PATH, &ask, FOUNDED_TIMEOUT));
     let answers = futures::future::join_all(asked).await;
     let mut answers = answers.into_iter().flatten();
     answers.any(|answer| answer.is_known)
 }
 
-/// Sees to it that the instance counts for a quorum, for as long as it runs.
+/// Keeps this instance a voter for as long as it runs.
 ///
-/// One that was cut off may have lost its place to another, and has to ask for one again.
+/// An instance that was partitioned off may have been replaced as a voter, and has to join again.
 pub(crate) async fn run(core: Arc<Core>) {
     let join = JoinControl {
         instance: core.settings.instance.clone(),
@@ -87,7 +87,8 @@
     };
     let peers = core.settings.peers.iter();
     let others = peers.filter(|peer| peer.instance != core.settings.instance);
-    // An instance that lost what it knew still gets messages for its former incarnation from those that remember it.
+    // After an instance lost its data, members that remember its former incarnation still send it messages; their
+    // addresses lead it back to the fleet.
     let peer_addresses = core.driver.view.load().peer_addresses.clone();
     let addresses = known
         .into_iter()
@@ -95,7 +96,7 @@
         .chain(peer_addresses);
     for address in addresses {
         let asked = core
-            .caller
+            .client
             .call(&address, JOIN_PATH, join, JOIN_TIMEOUT)
             .await;
         if let Ok(joined) = asked {
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,12 +1,13 @@
-//! Runs the control role and the relay role.
+//! The control role and the relay role.
 //!
-//! A control instance keeps a copy of the replicated log. One thread drives the log and its disk ([`Control`] owns it), and
-//! async tasks serve the other processes and the operators. What only the leader may answer is forwarded to it in one
-//! hop; an instance that can't know the current state answers 503 or `Unavailable`, and never an old answer as current.
+//! A control instance stores a replica of the Raft log. One thread ([`Control`] owns it) runs the log and its disk I/O;
+//! async tasks serve the other processes and the operators. Calls that only the leader may answer are forwarded to it in
+//! one hop. An instance that can't know the current state answers 503 or `Unavailable`; it never presents stale state as
+//! current.
 //!
-//! A relay has no disk. It follows control on behalf of its data centre, and keeps serving what it has when control is gone.
+//! A relay has no disk. It watches control on behalf of its data centre, and keeps serving its last known state while
+//! control is unreachable.
 
-mod caller;
 mod control;
 mod core;
 mod directory;
@@ -20,6 +21,7 @@
 mod operators;
 mod orders;
 mod peer_calls;
+mod peer_client;
 mod peers;
 mod refused_reports;
 mod relay;
@@ -31,10 +33,10 @@
 mod suspect_calls;
 mod upgrade;
 
-pub use caller::{Dial, Direct};
 pub use control::{Control, Stopped};
 pub use open::OpenError;
 pub use operators::{OperatorKeys, OperatorKeysError};
+pub use peer_client::{Dial, Direct};
 pub use relay::Relay;
 pub use routing_calls::{
     MEET_GATEWAYS_PATH, Reported, RoutingCalls, RoutingUnavailable, WATCH_ROUTES_PATH,
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counts what a control instance does.
+//! Metrics of a control instance.
 
 use std::sync::atomic::{AtomicI64, Ordering};
 
@@ -7,7 +7,7 @@
 
 use crate::core::Core;
 
-/// Holds the gauges of a control instance.
+/// The gauges of a control instance.
 #[derive(Debug)]
 pub(crate) struct Metrics {
     term: Gauge<i64, AtomicI64>,
--- a/crates/control/src/open.rs
+++ b/crates/control/src/open.rs
@@ -1,4 +1,4 @@
-//! Opens the durable part of a control instance.
+//! Opens the log and the state of a control instance.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -15,33 +15,33 @@
 
 use crate::settings::{ControlSettings, Peer};
 
-/// File that names the founding instances, so that a later change of the settings can't change the first quorum.
+/// File that lists the founding instances, so that a later change of the settings can't change the first quorum.
 const FOUNDING_FILE: &str = "founding.toml";
 
-/// Sub-folder of the log.
+/// Subfolder that stores the log.
 const LOG_FOLDER: &str = "log";
 
-/// Says why a control instance can't be opened.
+/// An error that prevents a control instance from opening.
 #[derive(Debug)]
 pub enum OpenError {
     /// The address can't be bound.
     Bind(io::Error),
     /// The data folder can't be used.
     Folder(io::Error),
-    /// The log can't be used; its message says what the operator does.
+    /// The log can't be opened; the message tells the operator what to do.
     Store(hinge_store::OpenError),
-    /// The file of the founding instances is damaged.
+    /// The file that lists the founding instances is damaged.
     Founding,
-    /// A first start needs a list of control instances that has this one.
+    /// The list of control instances for the first start is empty or lacks this instance.
     NoPeers,
-    /// The snapshot can't be used.
+    /// The state can't be restored from the snapshot.
     Restore(RestoreError),
-    /// The log breaks a rule.
+    /// The recovered log is inconsistent.
     Log(hinge_raft::OpenError),
 }
 
 impl OpenError {
-    /// Returns whether the folder's data is damaged, so that the instance must rejoin with an empty folder.
+    /// Returns whether the data folder is damaged, so that the instance must rejoin with an empty one.
     #[must_use]
     pub fn is_damage(&self) -> bool {
         matches!(self, Self::Store(cause) if cause.is_damage())
@@ -69,7 +69,7 @@
 
 impl Error for OpenError {}
 
-/// Keeps the log on its folder, or nowhere.
+/// The storage of the log: a data folder, or none.
 #[derive(Debug)]
 pub(crate) enum Log {
     Folder(Box<Store<FolderDisk>>),
@@ -77,7 +77,7 @@
 }
 
 impl Log {
-    /// Makes writes durable, in order and with one sync where no snapshot is among them.
+    /// Makes the writes durable in order, with a single sync unless a snapshot is among them.
     pub(crate) fn write(&mut self, writes: Vec<Write>) -> Result<(), WriteError> {
         let Self::Folder(store) = self else {
             return Ok(());
@@ -98,14 +98,14 @@
     }
 }
 
-/// Holds what a control instance starts from.
+/// The recovered log and state that a control instance starts from.
 #[derive(Debug)]
 pub(crate) struct Opened {
     pub(crate) log: Log,
     pub(crate) node_id: NodeId,
     pub(crate) durable: PersistentState,
     pub(crate) state: State,
-    /// Names of the founding instances, which the log doesn't hold.
+    /// Names of the founding instances, which are not in the log.
     pub(crate) founding: BTreeMap<NodeId, ControlName>,
 }
 
@@ -114,17 +114,19 @@
     peers: BTreeMap<Box<str>, Box<str>>,
 }
 
-/// Returns the incarnation of a founding instance; every founder derives the same numbers.
+/// Returns the incarnation of a founding instance; every founder derives the same IDs.
 pub(crate) fn founder_id(cluster_id: &str, instance: &str) -> NodeId {
     fnv1a(format!("{cluster_id}/{instance}").as_bytes()).max(1)
 }
 
-/// Draws the incarnation of an instance that joins.
+/// Generates a random incarnation for an instance that joins.
 fn joiner_id() -> NodeId {
     rand::random::<u64>().max(1)
 }
 
-/// Opens the log and the state of an instance; one that took part before and has an empty folder joins anew.
+/// Opens the log and the state of an instance.
+///
+/// An instance that was a member before and now has an empty folder joins as a new member.
 pub(crate) fn open(settings: &ControlSettings, was_member: bool) -> Result<Opened, OpenError> {
     let Some(folder) = &settings.data_folder else {
         return open_in_memory(settings, was_member);
@@ -193,7 +195,7 @@
     })
 }
 
-/// Opens an instance without a disk; each start is a new incarnation, but for that of a founder.
+/// Opens an instance without a disk; every start is a new incarnation, except a founder's first start.
 fn open_in_memory(settings: &ControlSettings, was_member: bool) -> Result<Opened, OpenError> {
     if !settings.bootstrap || was_member {
         return Ok(Opened {
@@ -252,7 +254,7 @@
         let name = ControlName {
             instance,
             address,
-            // A founder tells by its messages what it keeps.
+            // Unknown until the founder's first message, which carries the flag.
             diskless: false,
         };
         (node_id, name)
--- a/crates/control/src/operator_calls.rs
+++ b/crates/control/src/operator_calls.rs
@@ -1,4 +1,4 @@
-//! Serves operators.
+//! Serves operator calls.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,23 +17,23 @@
 use tokio::time::{Instant, sleep};
 use viz::Router;
 
-use crate::caller::Caller;
 use crate::core::{Core, FORWARDED_PREFIX, Leadership, unix_now_ms};
 use crate::driver::LogError;
 use crate::operators::{Operator, OperatorKeys};
+use crate::peer_client::PeerClient;
 use crate::route::{self, StateCell};
 use crate::suspect_calls::answer_operator;
 
-/// Longest number, name or note of an operator, in bytes; they are kept in the log and in memory.
+/// Longest ID, name or note from an operator, in bytes; they are kept in the log and in memory.
 const MAX_TEXT_BYTES: usize = 1024;
 
-/// Most entries of one answer.
+/// Maximum number of entries in one reply.
 const MAX_LISTED: u32 = 1000;
 
-/// Longest wait of a question for the state, so that a forgotten client doesn't hold an exchange.
+/// Longest wait of a status call, so that an abandoned client doesn't keep an exchange open.
 const MAX_WAIT: Duration = Duration::from_mins(1);
 
-/// Time between two looks at who lacks a version.
+/// Interval for polling which members lack a version.
 const LACKING_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 macro_rules! operator_call {
@@ -66,7 +66,7 @@
     }};
 }
 
-/// Adds the calls of operators.
+/// Adds the routes for operators.
 pub(crate) fn add(router: Router, keys: &Arc<OperatorKeys>, core: &StateCell<Core>) -> Router {
     let router = operator_call!(router, keys, core, "apply", ApplyReply::Unavailable, apply);
     let router = operator_call!(
@@ -129,7 +129,7 @@
     )
 }
 
-/// Answers an operator here, or forwards the call under the operator's own key in one hop.
+/// Answers an operator if this instance leads, or forwards the call with the operator's own key in one hop.
 async fn answer_or_forward<Q, A, F, R>(
     core: Arc<Core>,
     operator: Operator,
@@ -147,8 +147,8 @@
     let Leadership::Remote(address) = core.leadership() else {
         return answer_as_leader(core, operator, message, unavailable, handler).await;
     };
-    let caller = Caller::new(operator.key, Arc::clone(&core.dial));
-    let answer = core.forward(&caller, &address, path, &message).await;
+    let client = PeerClient::new(operator.key, Arc::clone(&core.dial));
+    let answer = core.forward(&client, &address, path, &message).await;
     Ok(answer.unwrap_or_else(|_status| {
         unavailable(core.unavailable("the leader gave no answer; ask again with the same number"))
     }))
@@ -200,9 +200,9 @@
     }
 }
 
-/// Checks the folder that would result, off the log's thread and the async threads.
+/// Validates the resulting folder, off the log's thread and the async threads.
 ///
-/// A change that isn't based on the version in force has lost, so nothing is checked for it.
+/// A change that isn't based on the version in force is rejected as a conflict, so it needs no validation.
 async fn check(core: &Core, apply: &Apply) -> Result<Option<Checked>, LogError> {
     let folder = core
         .read(|state, _| state.changes().folder().clone())
@@ -263,7 +263,7 @@
     members.is_some_and(|members| members.lacking(version).next().is_some())
 }
 
-/// Returns the part of the status that the log knows.
+/// Returns the part of the status that comes from the log.
 fn log_status(state: &State, status: &hinge_raft::Status) -> Status {
     let membership = &status.membership;
     let ids = membership.voters.iter().chain(&membership.learners);
@@ -277,7 +277,7 @@
             voter: membership.is_voter(*id),
             leader: is_self && status.role == Role::Leader,
             matched_index: peer.map_or(status.durable_index, |peer| peer.match_index),
-            // The log keeps only whether an instance answered within the election timeout.
+            // The Raft node tracks only whether a peer answered within the election timeout.
             last_contact_ms: if is_self || peer.is_some_and(|peer| peer.reachable) {
                 0
             } else {
--- a/crates/control/src/operators.rs
+++ b/crates/control/src/operators.rs
@@ -1,4 +1,4 @@
-//! Holds the operators' keys, which are apart from the cluster key.
+//! Operator keys, which are separate from the cluster key.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -9,28 +9,28 @@
 use hinge_link::ClusterKey;
 use http::HeaderMap;
 
-/// Shortest secret of an operator, in bytes; shorter ones can be guessed.
+/// Minimum length of an operator's secret; shorter ones can be guessed.
 const MIN_SECRET_BYTES: usize = 16;
 
-/// Names an operator, with the key that proved it.
+/// An authenticated operator and the key that proved the name.
 #[derive(Debug, Clone)]
 pub(crate) struct Operator {
     pub(crate) name: Box<str>,
     pub(crate) key: ClusterKey,
 }
 
-/// Holds the keys of all operators; an empty set refuses everyone.
+/// The keys of all operators; an empty set rejects everyone.
 #[derive(Debug, Clone, Default)]
 pub struct OperatorKeys {
     operators: Vec<Operator>,
 }
 
 impl OperatorKeys {
-    /// Reads a key file with one line `name = "secret"` for each operator; its mode must be 0600 or 0400.
+    /// Reads a key file with one line `name = "secret"` per operator; its mode must be 0600 or 0400.
     ///
     /// # Errors
     ///
-    /// Returns an error when the file can't be read, is open to others, or a line is wrong.
+    /// Returns an error when the file can't be read, is accessible to other users, or has an invalid line.
     pub fn read(path: &Path) -> Result<Self, OperatorKeysError> {
         let secret = Secret::read(path).map_err(OperatorKeysError::Secret)?;
         let text =
@@ -38,11 +38,11 @@
         Self::parse(text)
     }
 
-    /// Reads the text of a key file.
+    /// Parses the text of a key file.
     ///
     /// # Errors
     ///
-    /// Returns an error when a line is wrong; the error doesn't show the text.
+    /// Returns an error when a line is invalid; the error doesn't contain the text, which holds secrets.
     pub fn parse(text: &str) -> Result<Self, OperatorKeysError> {
         let table: BTreeMap<Box<str>, Box<str>> =
             toml::from_str(text).map_err(|_shows_the_secret| OperatorKeysError::Text)?;
@@ -57,7 +57,7 @@
         Ok(Self { operators })
     }
 
-    /// Returns the operator whose key the headers prove.
+    /// Returns the operator whose key authenticates the headers.
     pub(crate) fn find(&self, headers: &HeaderMap) -> Option<&Operator> {
         self.operators
             .iter()
@@ -65,12 +65,12 @@
     }
 }
 
-/// Says why a file of operators' keys is refused.
+/// An error that makes a file of operator keys unusable.
 #[derive(Debug)]
 pub enum OperatorKeysError {
-    /// The file can't be read or is open to others.
+    /// The file can't be read or is accessible to other users.
     Secret(SecretError),
-    /// The file isn't made of lines `name = "secret"`.
+    /// A line doesn't have the form `name = "secret"`.
     Text,
     /// The secret of this operator is too short.
     TooShort(Box<str>),
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -1,7 +1,7 @@
-//! Gives open orders to their endpoints' sidecars, as the leader.
+//! Dispatches open orders to the sidecars of their endpoints, on the leader.
 //!
-//! An order goes out only while this instance's lease holds and its term is opened in the state, so its fencing number is of
-//! this term. Orders to one endpoint go out one after another, in the order of their numbers.
+//! An order is sent only while this instance's lease holds and its term is opened in the state, so that its fencing
+//! number belongs to this term. Orders to one endpoint are sent one at a time, in the order of their IDs.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -12,16 +12,16 @@
 
 use crate::core::{Core, Leadership};
 
-/// Path at the sidecar.
+/// Path of orders at a sidecar.
 const ORDER_PATH: &str = "/v1/order";
 
-/// Wait for a sidecar's answer; an endpoint that takes longer answers `running`.
+/// Timeout for a sidecar's reply; an order that takes longer is answered `running`.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Orders on the way at once.
+/// Maximum number of orders in flight.
 const MAX_IN_FLIGHT_ORDERS: usize = 64;
 
-/// Holds which endpoints have an order on the way.
+/// The endpoints that have an order in flight.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct InFlightOrders(Arc<Mutex<BTreeSet<InstanceName>>>);
 
@@ -37,12 +37,12 @@
     }
 }
 
-/// Sends each endpoint's oldest open order, unless one is on the way.
+/// Sends each endpoint's oldest open order, unless one is already in flight.
 pub(crate) fn dispatch(core: &Arc<Core>, in_flight: &InFlightOrders) {
     let view = core.driver.view.load_full();
     let mut seen = BTreeSet::new();
     for order in &view.open_orders {
-        // A later order to the same endpoint waits, even while the first one can't be sent.
+        // Later orders to the same endpoint wait, even while the first one can't be sent.
         if !seen.insert(&order.instance) {
             continue;
         }
@@ -80,7 +80,7 @@
         return;
     }
     let reply = core
-        .caller
+        .client
         .call::<_, OrderReply>(address, ORDER_PATH, &order, ORDER_TIMEOUT)
         .await;
     let Ok(reply) = reply else {
@@ -101,6 +101,6 @@
         done,
         detail,
     };
-    // If it is lost, the order goes out again, and the sidecar answers the same.
+    // If the result is lost, the order is sent again, and the sidecar repeats its answer.
     let _may_be_lost = core.propose(Command::SettleOrder(result)).await;
 }
--- a/crates/control/src/peer_calls.rs
+++ b/crates/control/src/peer_calls.rs
@@ -1,4 +1,4 @@
-//! Serves the processes of the fleet.
+//! Serves the calls of the fleet's other processes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,25 +27,25 @@
 const SUMS: &str = "/sums";
 const JOIN: &str = "/join";
 
-/// Path of a watch.
+/// Path of a watch of configuration and members.
 pub(crate) const WATCH_PATH: &str = "/v1/watch";
 
 /// Path of a relay's batch of announcements.
 pub(crate) const ANNOUNCES_PATH: &str = "/v1/announces";
 
-/// Path of claims.
+/// Path of claims of idempotency keys.
 pub(crate) const CLAIMS_PATH: &str = "/v1/claims";
 
-/// Path of sums.
+/// Path of reports of service sums.
 pub(crate) const SUMS_PATH: &str = "/v1/sums";
 
-/// Path on which a control instance asks to take part.
+/// Path on which a control instance asks to join.
 pub(crate) const JOIN_PATH: &str = "/v1/join";
 
-/// Path on which an instance with an empty folder asks whether it took part before.
+/// Path on which an instance with an empty folder asks whether it was a member before.
 pub(crate) const FOUNDED_PATH: &str = "/v1/founded";
 
-/// Adds the calls of peers.
+/// Adds the routes for peers.
 pub(crate) fn add(router: Router, key: &ClusterKey, core: &StateCell<Core>) -> Router {
     let router = route::peer(router, RAFT_PATH, key, core, raft);
     let router = route::peer(router, WATCH_PATH, key, core, watch);
@@ -57,7 +57,7 @@
     add_leader_call(router, JOIN, key, core, join, join_as_leader)
 }
 
-/// Adds a call under its path, and under the path of forwarded calls, which are answered by the leader alone.
+/// Adds a call under its public path and under the path of forwarded calls, which only the leader answers.
 pub(crate) fn add_leader_call<Q, A, F, R, G, T>(
     router: Router,
     path: &str,
@@ -84,7 +84,7 @@
     )
 }
 
-/// Answers a call here, or forwards it to the leader in one hop.
+/// Answers a call if this instance leads, or forwards it to the leader in one hop.
 pub(crate) async fn answer_or_forward<Q, A, R>(
     core: Arc<Core>,
     path: &str,
@@ -98,7 +98,7 @@
 {
     match core.leadership() {
         Leadership::Local(_) => handler(core, message).await,
-        Leadership::Remote(address) => core.forward(&core.caller, &address, path, &message).await,
+        Leadership::Remote(address) => core.forward(&core.client, &address, path, &message).await,
         Leadership::Unknown => Err(UNAVAILABLE),
     }
 }
@@ -146,7 +146,8 @@
             incarnation: message.incarnation,
             now_ms: unix_now_ms(),
         };
-        // If it is lost, the claims stay as running, which refuses more and never runs anything twice.
+        // If the command is lost, the claims remain marked as running, which may reject more requests but never runs one
+        // twice.
         let core = Arc::clone(core);
         tokio::spawn(async move { core.propose(command).await });
     }
@@ -247,7 +248,7 @@
     core.join(message).await.map_err(|_refused| UNAVAILABLE)
 }
 
-/// Answers from what is applied here; an old answer is on the safe side only if it says that the incarnation is known.
+/// Answers from the state applied on this instance, which may be stale: `true` is reliable, `false` is not.
 async fn founded(core: Arc<Core>, message: AskFounded) -> Result<Founded, StatusCode> {
     let is_known = core
         .driver
@@ -258,9 +259,9 @@
     Ok(Founded { is_known })
 }
 
-/// Answers with what has changed since the asker's versions, or waits for a change.
+/// Answers with the changes since the requested versions, or waits for one.
 ///
-/// An instance without a leader answers 503, so that the asker turns to another one.
+/// An instance that knows no leader answers 503, so that the caller tries another one.
 async fn watch(core: Arc<Core>, message: Watch) -> Result<Update, StatusCode> {
     let wait = Duration::from_millis(message.wait_ms).min(core.settings.watch_timeout);
     let deadline = Instant::now() + wait;
--- a/crates/control/src/caller.rs
+++ b/crates/control/src/peer_client.rs
@@ -1,4 +1,4 @@
-//! Calls other processes at the addresses that a dialler gives.
+//! A client for calls to other processes, at addresses that a dialler resolves.
 
 use std::fmt::Debug;
 use std::sync::Arc;
@@ -8,15 +8,15 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Turns the addresses of settings and announcements into those to connect to.
+/// Resolves the addresses of settings and announcements to those to connect to.
 ///
-/// It is the process's edge towards the network: a test gives one that cuts links.
+/// All outgoing connections pass through it, so tests use it to cut links.
 pub trait Dial: Debug + Send + Sync + 'static {
-    /// Returns where to connect for an address, or `None` when the call can't be made.
+    /// Returns the address to connect to, or `None` when it is unreachable.
     fn resolve(&self, address: &str) -> Option<Box<str>>;
 }
 
-/// Connects to every address as it is.
+/// A dialler that connects directly to every address.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Direct;
 
@@ -26,14 +26,14 @@
     }
 }
 
-/// Makes calls under one key.
+/// A client that authenticates its calls with one key.
 #[derive(Debug, Clone)]
-pub(crate) struct Caller {
+pub(crate) struct PeerClient {
     client: Client,
     dial: Arc<dyn Dial>,
 }
 
-impl Caller {
+impl PeerClient {
     pub(crate) fn new(key: ClusterKey, dial: Arc<dyn Dial>) -> Self {
         Self {
             client: Client::new(key),
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -1,4 +1,4 @@
-//! Sends the log's messages to the other control instances, in batches and in order.
+//! Sends Raft messages to the other control instances, in batches and in order.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,46 +8,46 @@
 use tokio::runtime::Handle;
 use tokio::sync::mpsc;
 
-use crate::caller::Caller;
+use crate::peer_client::PeerClient;
 
-/// Path of the log's messages.
+/// Path of Raft messages.
 pub(crate) const RAFT_PATH: &str = "/v1/raft";
 
-/// Messages that wait for one instance; the log sends again what is lost beyond.
+/// Queue length per peer; Raft retransmits messages that are dropped beyond it.
 const MAX_QUEUED_MESSAGES: usize = 256;
 
-/// Messages in one call; together they stay far below the longest message of a link.
+/// Maximum number of messages per call; together they stay far below the message limit of a link.
 const MAX_BATCH_MESSAGES: usize = 64;
 
-/// Wait for one call; a message that is older is of no use, because the log has sent it again.
+/// Timeout of one call; older messages are useless, since Raft has retransmitted them by then.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Holds messages from one instance to another, with the address to answer to.
+/// A batch of messages from one instance to another, with the sender's address for replies.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct Batch {
     /// Sender's incarnation.
     pub(crate) from: NodeId,
     /// Sender's address.
     pub(crate) address: Box<str>,
-    /// Whether the sender keeps the log in memory only.
+    /// Whether the sender stores the log in memory only.
     #[serde(default)]
     pub(crate) diskless: bool,
     /// Messages, in order.
     pub(crate) messages: Vec<Message>,
 }
 
-/// Describes this instance to those that get its messages.
+/// The fields that identify this instance in its messages to peers.
 #[derive(Debug, Clone)]
 pub(crate) struct SenderInfo {
     /// Incarnation in the log.
     pub(crate) node_id: NodeId,
     /// Address for other control instances.
     pub(crate) address: Box<str>,
-    /// Whether it keeps the log in memory only.
+    /// Whether the instance stores the log in memory only.
     pub(crate) diskless: bool,
 }
 
-/// Says that a batch was taken in.
+/// The reply to an accepted batch.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct BatchAccepted {}
 
@@ -57,26 +57,26 @@
     messages: mpsc::Sender<Message>,
 }
 
-/// Holds one sending task for each other instance.
+/// The links to the other instances, with one sending task each.
 #[derive(Debug)]
 pub(crate) struct Peers {
-    caller: Caller,
+    client: PeerClient,
     runtime: Handle,
     sender: SenderInfo,
     links: BTreeMap<NodeId, PeerLink>,
 }
 
 impl Peers {
-    pub(crate) fn new(caller: Caller, runtime: Handle, sender: SenderInfo) -> Self {
+    pub(crate) fn new(client: PeerClient, runtime: Handle, sender: SenderInfo) -> Self {
         Self {
-            caller,
+            client,
             runtime,
             sender,
             links: BTreeMap::new(),
         }
     }
 
-    /// Notes where an instance listens.
+    /// Records the address of an instance, and connects to it if it is new.
     pub(crate) fn learn(&mut self, node_id: NodeId, address: &str) {
         if node_id == self.sender.node_id {
             return;
@@ -92,7 +92,7 @@
         };
         self.links.insert(node_id, link);
         let task = send_all(
-            self.caller.clone(),
+            self.client.clone(),
             address.into(),
             self.sender.clone(),
             receiver,
@@ -105,7 +105,7 @@
         self.links.get(&node_id).map(|link| &*link.address)
     }
 
-    /// Sends a message, or drops it when its receiver is unknown or slow; the log copes with losses.
+    /// Sends a message, or drops it when the receiver is unknown or slow; Raft tolerates lost messages.
     pub(crate) fn send(&self, message: Message) {
         if let Some(link) = self.links.get(&message.to) {
             let _may_be_dropped = link.messages.try_send(message);
@@ -114,7 +114,7 @@
 }
 
 async fn send_all(
-    caller: Caller,
+    client: PeerClient,
     address: Box<str>,
     sender: SenderInfo,
     mut receiver: mpsc::Receiver<Message>,
@@ -127,11 +127,11 @@
             diskless: sender.diskless,
             messages: std::mem::take(&mut messages),
         };
-        let sent = caller
+        let sent = client
             .call::<_, BatchAccepted>(&address, RAFT_PATH, &batch, CALL_TIMEOUT)
             .await;
         if sent.is_err() {
-            // What queued up behind a lost call is as old, and the log has newer words for a peer that comes back.
+            // Messages queued behind a failed call are as old; Raft sends newer ones to a peer that comes back.
             while receiver.try_recv().is_ok() {}
         }
     }
--- a/crates/control/src/refused_reports.rs
+++ b/crates/control/src/refused_reports.rs
@@ -1,14 +1,14 @@
-//! Counts reports of endpoints that were refused, and says which of them are worth a line.
+//! Counts refused endpoint reports and rate-limits the log lines about them.
 //!
-//! The load pattern: a process that is none of the endpoints writes reports as fast as it likes, and a line for each would push
-//! out the lines of what matters.
+//! A process that is not one of the endpoints may send reports at any rate; logging each one would displace other log
+//! lines.
 
 use std::time::Duration;
 
-/// Least time between two lines: an operator sees the cause within a second, and a flood costs one line in each.
+/// Minimum time between log lines: an operator sees the cause within a second, and a flood costs one line per second.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Counts refused reports.
+/// A counter of refused reports.
 #[derive(Debug, Default)]
 pub(crate) struct RefusedReports {
     count: u64,
@@ -17,7 +17,7 @@
 }
 
 impl RefusedReports {
-    /// Notes one, and returns how many there were since the last line if it is time for another.
+    /// Counts a refused report; if a log line is due, returns the number of reports since the last one.
     pub(crate) fn note(&mut self, now: Duration) -> Option<u64> {
         self.count += 1;
         let is_due = self.logged_at.is_none_or(|at| now >= at + LOG_INTERVAL);
@@ -30,7 +30,7 @@
         Some(since)
     }
 
-    /// Returns how many there were since the start.
+    /// Returns the number of refused reports since the start.
     pub(crate) fn count(&self) -> u64 {
         self.count
     }
--- a/crates/control/src/relay.rs
+++ b/crates/control/src/relay.rs
@@ -1,8 +1,9 @@
 //! Opens, runs and stops a relay.
 //!
-//! A relay watches control once for its whole data centre, and serves what it has learned to the processes there. Towards
-//! control it adds up: one batch of announcements and one report of sums for each pool in each interval. When control is
-//! gone, the relay keeps the leases below it and keeps serving the configuration that it has, which never steps back.
+//! A relay watches control once for its whole data centre and serves the result to the processes there. Upstream it
+//! aggregates: in each interval it sends one batch of announcements, and one report of service sums per pool. While
+//! control is unreachable, the relay keeps the downstream leases and serves its current configuration, whose version
+//! never decreases.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -23,37 +24,37 @@
 use tokio::time::{MissedTickBehavior, interval, sleep};
 use viz::Router;
 
-use crate::caller::{Caller, Dial, Direct};
 use crate::downstream::Downstream;
 use crate::open::OpenError;
 use crate::peer_calls::{ANNOUNCES_PATH, SUMS_PATH, WATCH_PATH};
+use crate::peer_client::{Dial, Direct, PeerClient};
 use crate::relay_calls;
 use crate::route::StateCell;
 use crate::settings::RelaySettings;
 
-/// Wait for control's answer; an instance that is slower is left for the next one.
+/// Timeout of a call to control; after it the next instance is tried.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Longest wait of one watch at control.
+/// Longest duration of one watch at control.
 const WATCH_WAIT: Duration = Duration::from_secs(20);
 
-/// Wait before control is asked again after a failure.
+/// Delay before control is called again after a failure.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Wait after which news from below go to control together.
+/// Delay in which downstream changes are collected into one batch for control.
 const BATCH_DELAY: Duration = Duration::from_millis(20);
 
-/// Holds what the calls and tasks of a relay share.
+/// The state that the calls and tasks of a relay share.
 #[derive(Debug)]
 pub(crate) struct RelayCore {
     pub(crate) settings: RelaySettings,
     pub(crate) held: Held,
     pub(crate) published: watch::Sender<u64>,
     pub(crate) incarnation: u64,
-    /// Wakes the task that tells control about processes.
+    /// Wakes the task that sends announcements to control.
     pub(crate) has_changes: Notify,
-    caller: Caller,
-    /// Place of the control instance that answered last.
+    client: PeerClient,
+    /// Index of the control instance that answered last.
     upstream: AtomicUsize,
     downstream: Mutex<Downstream>,
     started_at: Instant,
@@ -74,7 +75,7 @@
         self.published.send_modify(|count| *count += 1);
     }
 
-    /// Calls the control instance that answered last, and turns to the next one if it fails.
+    /// Calls the control instance that answered last, and switches to the next one on failure.
     pub(crate) async fn call_control<Q: Serialize, A: DeserializeOwned>(
         &self,
         path: &str,
@@ -86,9 +87,9 @@
         let Some(address) = control.get(position % control.len().max(1)) else {
             return Err(StatusCode::SERVICE_UNAVAILABLE);
         };
-        let asked = self.caller.call(address, path, message, wait).await;
+        let asked = self.client.call(address, path, message, wait).await;
         asked.map_err(|_no_answer| {
-            // Only the first of several calls that failed together turns to the next instance.
+            // When several calls fail together, only the first one switches to the next instance.
             let next = position.wrapping_add(1);
             let _turned_already = self.upstream.compare_exchange(
                 position,
@@ -101,7 +102,7 @@
     }
 }
 
-/// Holds a running relay.
+/// A running relay.
 #[derive(Debug)]
 pub struct Relay {
     core: Arc<RelayCore>,
@@ -110,7 +111,7 @@
 }
 
 impl Relay {
-    /// Opens a relay that connects to every address as it is.
+    /// Opens a relay that connects directly to every address.
     ///
     /// # Errors
     ///
@@ -119,7 +120,7 @@
         Self::open_with(settings, key, Arc::new(Direct)).await
     }
 
-    /// Opens a relay that connects as a dialler says.
+    /// Opens a relay that resolves addresses with the given dialler.
     ///
     /// # Errors
     ///
@@ -142,7 +143,7 @@
             published,
             incarnation: crate::core::unix_now_ms(),
             has_changes: Notify::new(),
-            caller: Caller::new(key, dial),
+            client: PeerClient::new(key, dial),
             upstream: AtomicUsize::new(0),
             started_at: Instant::now(),
         });
@@ -161,31 +162,31 @@
         })
     }
 
-    /// Returns the address that was bound.
+    /// Returns the bound address.
     #[must_use]
     pub fn local_address(&self) -> SocketAddr {
         self.server.local_address()
     }
 
-    /// Returns the configuration version that is held; 0 before the first.
+    /// Returns the version of the current configuration, or 0 before the first one arrives.
     #[must_use]
     pub fn config_version(&self) -> u64 {
         self.core.held.version()
     }
 
-    /// Returns whether a configuration is held, so that members below can start.
+    /// Returns whether the relay has a configuration, so that downstream processes can start.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.config_version() > 0
     }
 
-    /// Returns the number of processes that hold a lease of this relay.
+    /// Returns the number of processes that hold a lease from this relay.
     #[must_use]
     pub fn member_count(&self) -> usize {
         self.core.downstream().len()
     }
 
-    /// Stops; open calls may end until the deadline. Returns whether all did.
+    /// Stops the relay; open calls may complete until the deadline. Returns whether all did.
     pub async fn stop(self, deadline: Duration) -> bool {
         for task in &self.tasks {
             task.abort();
@@ -194,7 +195,7 @@
     }
 }
 
-/// Follows control's configuration and members.
+/// Follows the configuration and the member list of control.
 async fn follow(core: Arc<RelayCore>) {
     let mut config_version = 0;
     let mut has_all_members = true;
@@ -233,7 +234,7 @@
     }
 }
 
-/// Applies a delta, and returns the version to ask from next.
+/// Applies a configuration delta, and returns the version to request changes from next.
 fn learn_config(core: &RelayCore, delta: &hinge_schema::messages::ConfigDelta) -> u64 {
     match core.held.apply(delta) {
         Applied::Advanced(version) => version,
@@ -243,17 +244,17 @@
             let first = problems.first().map(hinge_config::describe);
             error!(
                 Part::Relay,
-                "Control's configuration is not valid for this program; keeping the last one.",
+                "The configuration from control is not valid for this version; keeping the last valid one.",
                 version = delta.version,
                 problem = first.unwrap_or_default(),
             );
-            // Asking for the same version again would loop; the next one may be valid.
+            // Requesting the same version again would loop; a later one may be valid.
             delta.version
         }
     }
 }
 
-/// Tells control about the processes below: news soon, and renewals at each interval.
+/// Sends downstream announcements to control: changes promptly, renewals at each interval.
 async fn announce_members(core: Arc<RelayCore>, address: Box<str>) {
     let mut ticks = interval(core.settings.report_interval);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -269,7 +270,7 @@
             downstream.announce(now, own_announcement(&core, &address));
             downstream.batch(now, &core.settings.instance)
         };
-        // A batch without news still learns whether another instance leads now.
+        // An empty batch is sent as well, since its reply shows whether another instance has become the leader.
         let asked = core
             .call_control::<_, AnnouncedBatch>(ANNOUNCES_PATH, &batch, CALL_TIMEOUT)
             .await;
@@ -281,7 +282,7 @@
         if is_control_reachable && asked.is_err() {
             warn!(
                 Part::Relay,
-                "Control can't be reached; serving what is held.",
+                "Control can't be reached; serving the last known state.",
                 version = core.held.version()
             );
         }
@@ -309,7 +310,7 @@
     }
 }
 
-/// Reports the sums of each pool, added up for the data centre, and learns the totals.
+/// Reports the service sums of each pool, aggregated over the data centre, and applies the returned totals.
 async fn report_sums(core: Arc<RelayCore>) {
     let mut ticks = interval(core.settings.report_interval);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -320,7 +321,7 @@
             let asked = core
                 .call_control::<_, ServiceTotals>(SUMS_PATH, &report, CALL_TIMEOUT)
                 .await;
-            // The next report carries what a lost one held.
+            // The next report includes what a lost one contained.
             if let Ok(reply) = asked
                 && reply.incarnation == core.incarnation
             {
--- a/crates/control/src/relay_calls.rs
+++ b/crates/control/src/relay_calls.rs
@@ -1,4 +1,4 @@
-//! Serves the processes below a relay.
+//! Serves the downstream processes of a relay.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,13 +16,13 @@
 use crate::relay::RelayCore;
 use crate::route::{self, StateCell};
 
-/// Wait for control's answer to claims.
+/// Timeout for control's reply to claims.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// When an operator asks again, elsewhere.
+/// Time after which an operator may retry at another instance.
 const RETRY_AFTER_MS: u64 = 500;
 
-/// Adds the calls of a relay.
+/// Adds the routes that a relay serves.
 pub(crate) fn add(router: Router, key: &ClusterKey, core: &StateCell<RelayCore>) -> Router {
     let router = route::peer(router, WATCH_PATH, key, core, watch);
     let router = route::peer(router, "/v1/announce", key, core, announce);
@@ -60,7 +60,7 @@
     totals.ok_or(StatusCode::SERVICE_UNAVAILABLE)
 }
 
-/// Answers with what has changed since the asker's versions, or waits; it does so without control, too.
+/// Answers with the changes since the requested versions, or waits for one; works without control, too.
 async fn watch(core: Arc<RelayCore>, message: Watch) -> Result<Update, StatusCode> {
     let wait = Duration::from_millis(message.wait_ms).min(core.settings.watch_timeout);
     let deadline = Instant::now() + wait;
@@ -91,7 +91,7 @@
     }
 }
 
-/// Tells an operator that a relay knows nothing as current; the answer has this form for every call.
+/// Rejects an operator call, since a relay can't know the current state; this reply type decodes for every call.
 async fn refuse_operator(_: Request) -> viz::Result<Response> {
     let unavailable = StatusReply::Unavailable(Unavailable {
         leader: Box::default(),
--- a/crates/control/src/route.rs
+++ b/crates/control/src/route.rs
@@ -1,4 +1,4 @@
-//! Adds calls to a router.
+//! Registers authenticated calls on a router.
 
 use std::sync::{Arc, OnceLock};
 
@@ -10,10 +10,10 @@
 
 use crate::operators::{Operator, OperatorKeys};
 
-/// Holds the shared state once it is there; a call that comes before gets 503.
+/// Shared state that is set once the instance is open; calls that arrive earlier get 503.
 pub(crate) type StateCell<S> = Arc<OnceLock<Arc<S>>>;
 
-/// Adds a call of a peer, answered from shared state.
+/// Adds a peer call that is answered from shared state.
 pub(crate) fn peer<S, Q, A, F, R>(
     router: Router,
     path: &str,
@@ -40,7 +40,7 @@
     })
 }
 
-/// Adds a call of an operator, whose name comes from the key.
+/// Adds an operator call; the operator's name is derived from the key.
 pub(crate) fn operator<S, Q, A, F, R>(
     router: Router,
     path: &str,
--- a/crates/control/src/routing_calls.rs
+++ b/crates/control/src/routing_calls.rs
@@ -1,7 +1,7 @@
 //! Serves changes and reads of the route table and of the endpoints.
 //!
-//! Changes and reads go to the leader, here or in one hop. A watch is answered by any instance that knows a leader, from
-//! what is applied here.
+//! Changes and reads are answered by the leader, directly or through one forwarding hop. A watch is answered by any
+//! instance that knows a leader, from the state applied there.
 
 use std::fmt;
 use std::sync::Arc;
@@ -30,19 +30,19 @@
 const REPORT: &str = "/endpoints/report";
 const RETIRE: &str = "/endpoints/retire";
 
-/// Why a report is refused that names another address, service or data centre than the same incarnation did before.
+/// Cause for refusing a report with another address, service or data centre than the same incarnation reported before.
 const CONTRADICTORY_REPORT: &str =
     "it contradicts what the same start of the endpoint has said of itself";
 
-/// Path on which a gateway learns of the others of its data centre.
+/// Path on which a gateway learns the addresses of others in its data centre.
 pub const MEET_GATEWAYS_PATH: &str = "/v1/gateways/meet";
 
 /// Path of a watch of routes and endpoints.
 pub const WATCH_ROUTES_PATH: &str = "/v1/routes/watch";
 
-/// Says that no instance could answer now: there is no leader, or it did not answer in time.
+/// An error that no instance could answer: there is no leader, or it did not answer in time.
 ///
-/// A change may have taken effect all the same, and is safe to send again.
+/// The change may have taken effect all the same, and is safe to send again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RoutingUnavailable;
 
@@ -54,16 +54,16 @@
 
 impl std::error::Error for RoutingUnavailable {}
 
-/// Says what became of an endpoint's report that reached the leader.
+/// The outcome of an endpoint's report that reached the leader.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reported {
-    /// It is taken in, or tells nothing new; the leader listens at this address.
+    /// The report is accepted or contains nothing new; the leader listens at this address.
     BatchAccepted(Box<str>),
-    /// It can't be true and changes nothing, for this cause.
+    /// The report is contradictory and changes nothing, for this cause.
     Refused(Box<str>),
 }
 
-/// Gives an adapter the calls on routes and endpoints.
+/// The calls on routes and endpoints that an adapter may make.
 #[derive(Debug, Clone)]
 pub struct RoutingCalls {
     core: StateCell<Core>,
@@ -76,11 +76,11 @@
         }
     }
 
-    /// Puts a table in force unless a higher number is, and returns the number in force once that is durable.
+    /// Puts a table in force unless a higher-numbered one is; returns the number in force once that is durable.
     ///
     /// # Errors
     ///
-    /// Returns an error when it is open whether the table was taken.
+    /// Returns an error when it is unknown whether the table was accepted.
     pub async fn put_table(&self, table: RouteTable) -> Result<u64, RoutingUnavailable> {
         let message = PutTable { table };
         let answered = answer_or_forward(self.core()?, PUT_TABLE, message, put_as_leader).await;
@@ -88,22 +88,22 @@
         Ok(held.number)
     }
 
-    /// Returns the table in force, checked with a quorum.
+    /// Returns the table in force, as a linearizable read.
     ///
     /// # Errors
     ///
-    /// Returns an error when no instance can be sure.
+    /// Returns an error when no instance can confirm the current table.
     pub async fn table(&self) -> Result<Option<RouteTable>, RoutingUnavailable> {
         let answered = answer_or_forward(self.core()?, ASK_TABLE, AskTable {}, ask_as_leader).await;
         let current: CurrentTable = answered.map_err(unavailable)?;
         Ok(current.table)
     }
 
-    /// Takes in an endpoint's report, and returns what became of it.
+    /// Applies an endpoint's report, and returns the outcome.
     ///
     /// # Errors
     ///
-    /// Returns an error when the report was not taken in for certain.
+    /// Returns an error when it is unknown whether the report was applied.
     pub async fn report(&self, endpoint: Endpoint) -> Result<Reported, RoutingUnavailable> {
         let message = ReportEndpoint { endpoint };
         let answered = answer_or_forward(self.core()?, REPORT, message, report_as_leader).await;
@@ -114,7 +114,7 @@
         })
     }
 
-    /// Counts word of an endpoint that can't be taken in, and writes a line of it unless one was written just now.
+    /// Counts an endpoint report that can't be accepted, and logs it at a limited rate.
     pub fn note_refused(&self, endpoint: &str, cause: &str) {
         let Some(core) = self.core.get() else {
             return;
@@ -132,11 +132,11 @@
         }
     }
 
-    /// Notes that an endpoint takes no new work from now on.
+    /// Records that an endpoint accepts no new work from now on.
     ///
     /// # Errors
     ///
-    /// Returns an error when that was not noted for certain.
+    /// Returns an error when it is unknown whether that was recorded.
     pub async fn retire(&self, incarnation: Incarnation) -> Result<(), RoutingUnavailable> {
         let message = RetireEndpoint {
             id: incarnation.id,
@@ -156,7 +156,7 @@
     RoutingUnavailable
 }
 
-/// Adds the calls of peers.
+/// Adds the routes for peers.
 pub(crate) fn add(router: Router, key: &ClusterKey, core: &StateCell<Core>) -> Router {
     let router = route::peer(router, WATCH_ROUTES_PATH, key, core, watch);
     let router = route::peer(router, MEET_GATEWAYS_PATH, key, core, meet);
@@ -228,7 +228,7 @@
             ..noted(&core)
         });
     }
-    // Word of a former life must not keep a newer one listed that has fallen silent.
+    // A report of an earlier incarnation must not keep a newer one listed that has fallen silent.
     if !routing.is_of_the_past(&endpoint) {
         core.soft().heard.note(core.now(), &endpoint.id);
     }
@@ -286,7 +286,7 @@
     }
 }
 
-/// Drops the endpoints that have been silent for too long, as the leader.
+/// Drops endpoints that have been silent for too long, on the leader.
 pub(crate) fn drop_silent(core: &Arc<Core>) {
     let view = core.driver.view.load();
     let now = core.now();
@@ -295,13 +295,13 @@
         info!(Part::Control, "Dropping a silent endpoint.", endpoint = id);
         let core = Arc::clone(core);
         tokio::spawn(async move {
-            // What fails here is tried again at the next look.
+            // A failed drop is retried in the next round.
             let _tried_again = change(&core, EndpointCommand::Drop(id)).await;
         });
     }
 }
 
-/// Answers with what is newer than what the asker holds, or waits for it.
+/// Answers with what is newer than the versions that the caller has, or waits for it.
 async fn watch(core: Arc<Core>, message: WatchRoutes) -> Result<RoutesUpdate, StatusCode> {
     let wait = Duration::from_millis(message.wait_ms).min(core.settings.watch_timeout);
     let deadline = Instant::now() + wait;
@@ -332,7 +332,7 @@
     }
 }
 
-/// Notes a gateway, and names others of its data centre; any instance does, whether it knows a leader or not.
+/// Records a gateway and returns others of its data centre; works on any instance, even without a known leader.
 async fn meet(core: Arc<Core>, message: MeetGateways) -> Result<NearbyGateways, StatusCode> {
     let now = core.now();
     let draw = rand::random::<u32>() as usize;
@@ -344,10 +344,10 @@
     })
 }
 
-/// Answers a gateway that holds nothing with the table as of now, checked with a quorum.
+/// Answers a gateway that has no table yet with the current one, as a linearizable read.
 ///
-/// What is applied here may be older right after a restart, and a gateway must not begin with a table that a newer one
-/// has replaced.
+/// The locally applied state may lag right after a restart, and a gateway must not start with a table that has been
+/// replaced.
 async fn first_table(core: Arc<Core>, message: &WatchRoutes) -> Result<RoutesUpdate, StatusCode> {
     let current = current_table(Arc::clone(&core), AskTable {}).await?;
     let view = core.driver.view.load();
@@ -360,7 +360,7 @@
     })
 }
 
-/// Returns a table for a gateway; the document is for the operator alone.
+/// Returns a copy of a table without its document, which only operators need.
 fn without_document(table: &RouteTable) -> RouteTable {
     RouteTable {
         document: serde_bytes::ByteBuf::new(),
@@ -384,7 +384,7 @@
 }
 
 fn newer_suspects(routing: &Routing, message: &WatchRoutes) -> Option<SuspectList> {
-    // Programs that know no suspected requests name no version.
+    // Versions that don't know suspected requests send no version.
     let held = message.suspects_version?;
     routing.suspects().newer_than(held)
 }
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -1,11 +1,11 @@
-//! Holds what the two roles are opened with.
+//! Settings of the control role and the relay role.
 
 use std::path::PathBuf;
 use std::time::Duration;
 
 use hinge_state::MemberRules;
 
-/// Names a control instance of the first start.
+/// A control instance that takes part in the first start.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
     /// Name of the instance.
@@ -14,7 +14,7 @@
     pub address: Box<str>,
 }
 
-/// Sets up a control instance.
+/// Settings of a control instance.
 #[derive(Debug, Clone)]
 pub struct ControlSettings {
     /// Name of the instance.
@@ -23,24 +23,25 @@
     pub cluster_id: Box<str>,
     /// Address to bind.
     pub listen: Box<str>,
-    /// Address that the other control instances use; the bound address when left out.
+    /// Address that the other control instances use; defaults to the bound address.
     pub advertise: Option<Box<str>>,
-    /// Folder of the log. Without one the log is in memory, and the instance follows those that have a disk and never votes;
-    /// it leads only a fleet of which it is the single founder, as in the `local` role.
+    /// Folder of the log. Without one the log is in memory, and the instance replicates from those that have a disk but
+    /// doesn't vote; it leads only a fleet of which it is the single founder, as in the `local` role.
     pub data_folder: Option<PathBuf>,
     /// Control instances of the first start, this one included.
     pub peers: Vec<Peer>,
     /// Whether an empty folder may form a new fleet from `peers`.
     pub bootstrap: bool,
-    /// Instances that may be lost at once: the log gets at least two voters for each and one more, as far as there are instances.
+    /// Number of instances that may be lost at once: the log gets at least `2 * n + 1` voters, as far as there are enough
+    /// instances.
     pub tolerated_losses: u32,
-    /// Time without a leader after which an election begins.
+    /// Time without a leader after which an election starts.
     pub election_timeout: Duration,
     /// Time between a leader's heartbeats.
     pub heartbeat: Duration,
     /// Entries of the log between snapshots.
     pub snapshot_every_entries: u64,
-    /// Bytes of the log after which a snapshot is made early.
+    /// Log size in bytes that triggers an early snapshot.
     pub max_log_bytes: usize,
     /// Longest time that a watch is held open.
     pub watch_timeout: Duration,
@@ -49,7 +50,7 @@
 }
 
 impl ControlSettings {
-    /// Returns settings with the defaults of the settings file, but for a shorter log, which saves memory.
+    /// Returns settings with the defaults of the settings file, except for a shorter log, which saves memory.
     #[must_use]
     pub fn new(instance: &str, cluster_id: &str, listen: &str) -> Self {
         Self {
--- a/crates/control/src/soft_state.rs
+++ b/crates/control/src/soft_state.rs
@@ -1,4 +1,4 @@
-//! Holds what is not in the log: the members, and the sums of service.
+//! State that is not in the log: the members, and the sums of service.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,38 +13,43 @@
 use crate::directory::GatewayDirectory;
 use crate::refused_reports::RefusedReports;
 
-/// Pools whose sums are kept; a report on further ones is refused, so that wrong names can't fill the memory.
+/// Maximum number of pools with sums; reports on further pools are refused, so that wrong names can't exhaust the memory.
 pub(crate) const MAX_POOLS: usize = 256;
 
-/// Gateways that are named to one which loses control. Where a quarter of the gateways are beside control instances, and so may be cut
-/// off as well, three of them are all such ones in one case of 64.
+/// Number of gateways whose addresses a gateway gets for when it loses control.
+///
+/// Gateways next to control instances may be partitioned off together with them. Where these are a quarter of all
+/// gateways, three random ones are all of that kind in one case of 64.
 const MAX_WATCHERS_RETURNED: usize = 3;
 
-/// Time after its last watch for which a gateway is named: watches end within a second, and one that has lost this instance
-/// may be reached all the same.
+/// Time after its last watch for which a gateway's address is handed out.
+///
+/// Watches end within a second, and a gateway that has lost this instance may still be reachable by others.
 const WATCHER_TTL: Duration = Duration::from_secs(10);
 
-/// Gateways of a data centre that are named to another one there.
+/// Maximum number of gateways of a data centre that another one there gets.
 const MAX_NEARBY_RETURNED: usize = 32;
 
-/// Time for which a gateway of a data centre is named: each one asks one control instance after the other, so that minutes may lie between.
+/// Time for which a gateway's address is handed out within its data centre.
+///
+/// A gateway contacts the control instances one after another, so minutes may pass between its calls to this one.
 const NEARBY_TTL: Duration = Duration::from_mins(3);
 
-/// Holds the leader's own members, or the list that a follower has of them.
+/// The soft state of a control instance: members and sums on the leader, the replicated member list on a follower.
 #[derive(Debug)]
 pub(crate) struct SoftState {
-    /// Term of the members and sums; 0 when this instance doesn't lead.
+    /// Term of the members and sums, or 0 when this instance doesn't lead.
     pub(crate) term: u64,
     pub(crate) members: Option<Members>,
     pub(crate) followed: Roster,
     pub(crate) totals: BTreeMap<Box<str>, Totals>,
-    /// When the endpoints were last heard of.
+    /// When each endpoint last reported.
     pub(crate) heard: Heard,
-    /// Reports of endpoints that this instance refused.
+    /// Count of endpoint reports that this instance refused.
     pub(crate) refused_reports: RefusedReports,
-    /// Gateways that follow this instance.
+    /// Gateways that watch this instance.
     pub(crate) watchers: GatewayDirectory,
-    /// Gateways that take requests of each other, by data centre.
+    /// Gateways that accept requests from each other, by data centre.
     pub(crate) nearby: BTreeMap<Box<str>, GatewayDirectory>,
     pub(crate) rng: StdRng,
 }
@@ -64,7 +69,7 @@
         }
     }
 
-    /// Returns the gateways of a data centre that take requests of each other.
+    /// Returns the gateways of a data centre that accept requests from each other.
     pub(crate) fn nearby(&mut self, data_center: &str) -> &mut GatewayDirectory {
         let directory = || GatewayDirectory::new(NEARBY_TTL, MAX_NEARBY_RETURNED);
         self.nearby
@@ -72,7 +77,7 @@
             .or_insert_with(directory)
     }
 
-    /// Begins a term as leader, with the members that this instance followed.
+    /// Begins a term as the leader, starting from the member list that this instance followed.
     pub(crate) fn begin_term(&mut self, term: u64, now: Duration, rules: MemberRules) {
         self.end_term();
         self.term = term;
@@ -80,7 +85,7 @@
         self.totals.clear();
     }
 
-    /// Ends a term as leader; the members of it are what is followed from now on.
+    /// Ends a term as the leader; its members become the followed list.
     pub(crate) fn end_term(&mut self) {
         if let Some(members) = self.members.take() {
             self.followed = members.roster().clone();
@@ -98,7 +103,7 @@
         }
     }
 
-    /// Takes in a delta of the leader's list, and returns whether a full one is needed.
+    /// Applies a delta of the leader's member list, and returns whether a full list is needed.
     pub(crate) fn adopt(&mut self, delta: &MembersDelta) -> bool {
         self.followed.adopt(delta) == Adopted::NeedsFull
     }
@@ -119,7 +124,7 @@
         roster.version()
     }
 
-    /// Merges a report of sums as the root.
+    /// Merges a report of service sums as the root of the aggregation.
     pub(crate) fn merge(&mut self, now: Duration, report: &ServiceReport) -> Option<ServiceTotals> {
         if self.totals.len() >= MAX_POOLS && !self.totals.contains_key(&report.pool) {
             return None;
--- a/crates/control/src/suspect_calls.rs
+++ b/crates/control/src/suspect_calls.rs
@@ -1,4 +1,4 @@
-//! Takes in which requests endpoints ended under, and which of those have completed since.
+//! Records under which requests endpoints ended, and which of those requests have completed since.
 
 use std::sync::Arc;
 
@@ -20,13 +20,13 @@
 
 const SUSPECTS: &str = "/suspects";
 
-/// Most requests of one answer to an operator.
+/// Maximum number of requests in one reply to an operator.
 const MAX_LISTED: usize = 1_000;
 
-/// Path on which a gateway tells of ends under requests.
+/// Path on which a gateway reports endpoints that ended under requests.
 pub const NOTE_SUSPECTS_PATH: &str = "/v1/suspects";
 
-/// Adds the calls of peers.
+/// Adds the routes for peers.
 pub(crate) fn add(router: Router, key: &ClusterKey, core: &StateCell<Core>) -> Router {
     add_leader_call(router, SUSPECTS, key, core, note, note_as_leader)
 }
@@ -52,7 +52,7 @@
         for request in requests {
             warn!(
                 Part::Control,
-                "A request is held, since endpoints ended under it; gateways turn it away.",
+                "A request is held because endpoints ended under it; gateways reject it.",
                 request = request,
                 told_by = message.instance
             );
@@ -61,7 +61,7 @@
     Ok(SuspectsNoted {})
 }
 
-/// Answers an operator with the requests that endpoints ended under, after the release of one where that is asked for.
+/// Lists for an operator the requests that endpoints ended under, after releasing one if asked to.
 pub(crate) async fn answer_operator(
     core: Arc<Core>,
     operator: Operator,
@@ -86,11 +86,11 @@
     Ok(SuspectsReply::Suspects(SuspectRecords { suspects }))
 }
 
-/// Returns what a message tells that is not known yet.
+/// Returns the records of a message that are not known yet.
 ///
 /// # Errors
 ///
-/// Returns a status when a key can't be read.
+/// Returns a status when a key can't be parsed.
 fn new_records(message: &NoteSuspects, known: &Suspects) -> Result<SuspectsCommand, StatusCode> {
     let bad = |_not_a_key| StatusCode::BAD_REQUEST;
     let ends: Result<Vec<_>, _> = message.ends.iter().map(read_end).collect();
--- a/crates/control/src/upgrade.rs
+++ b/crates/control/src/upgrade.rs
@@ -1,7 +1,7 @@
-//! Moves nightly upgrades and planned stops on, as the leader.
+//! Advances nightly upgrades and planned stops, on the leader.
 //!
-//! Each look reads the log, the folder and the announcements, decides, and proposes what is due. Nothing is kept from one
-//! look to the next but the merged folder, which is the same wherever it is merged.
+//! Each run reads the log, the folder and the announcements, decides, and proposes the next steps. Nothing is kept
+//! between runs except the merged folder, which is the same wherever it is merged.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -20,7 +20,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Holds the merged folder, and whether a look is under way.
+/// The upgrade planner, with the cached merged folder and whether a run is in progress.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Planner(Arc<PlannerState>);
 
@@ -28,11 +28,11 @@
 struct PlannerState {
     is_running: AtomicBool,
     merged: Mutex<Option<(u64, Arc<Effective>)>>,
-    /// Instances whose deadline has passed, so that each is logged once.
+    /// Instances past their deadline, so that each is logged once.
     late: Mutex<BTreeSet<InstanceName>>,
 }
 
-/// Holds what the log says.
+/// The inputs to the planner that come from the log.
 struct LogState {
     folder: Folder,
     upgrades: hinge_state::Upgrades,
@@ -53,24 +53,24 @@
     }
 }
 
-/// Describes a live member beside what it announces.
+/// A live member, and what control knows of it beyond its announcement.
 struct LiveMember {
     member: Member,
-    /// Whether it is kept out of the list, because it flaps or isn't published yet.
+    /// Whether it is kept out of the published list, because it flaps or isn't published yet.
     is_held_back: bool,
-    /// What runs there, as far as it is known.
+    /// Number of running requests, if known.
     running: Option<u32>,
 }
 
 impl Planner {
-    /// Looks once, unless the last look is still under way.
+    /// Starts a run, unless the last one is still in progress.
     pub(crate) fn run(&self, core: &Arc<Core>) {
         if self.0.is_running.swap(true, Ordering::AcqRel) {
             return;
         }
         let (planner, core) = (self.clone(), Arc::clone(core));
         tokio::spawn(async move {
-            // Whatever is lost on the way is decided again at the next look.
+            // A lost proposal is decided again in the next run.
             let _may_be_lost = planner.step(&core).await;
             planner.0.is_running.store(false, Ordering::Release);
         });
@@ -86,7 +86,7 @@
         Ok(())
     }
 
-    /// Answers an operator.
+    /// Returns the status of upgrades and planned stops for an operator.
     pub(crate) async fn report(
         &self,
         core: &Arc<Core>,
@@ -109,7 +109,7 @@
         let seen = live_members(core, term).ok_or(LogError::NotLeader)?;
         let log = core.read(|state, _| LogState::read(state)).await?;
         let planner = self.clone();
-        // Merging a large folder takes milliseconds, which the async threads don't have.
+        // Merging a large folder takes milliseconds, too long for the async threads.
         let decided = tokio::task::spawn_blocking(move || planner.decide_on(&seen, &log)).await;
         decided.map_err(|_stopped| LogError::Stopped)?
     }
@@ -130,7 +130,8 @@
         }))
     }
 
-    /// Returns the merged folder; one that a later program accepted may not be valid here, and then nothing is decided.
+    /// Returns the merged folder, or `None` if a newer version accepted one that is not valid here; nothing is decided
+    /// then.
     fn merged(&self, folder: &Folder) -> Option<Arc<Effective>> {
         let mut merged = self.0.merged.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some((version, effective)) = &*merged
@@ -163,7 +164,7 @@
     }
 }
 
-/// Returns the live members, once every live process had the time to announce itself to this leader.
+/// Returns the live members, once every live process has had the time to announce itself to this leader.
 fn live_members(core: &Core, term: u64) -> Option<Vec<LiveMember>> {
     let soft = core.soft();
     let members = soft.members.as_ref().filter(|_| soft.term == term)?;
@@ -204,7 +205,7 @@
         match step {
             UpgradeStep::Put { instance, walk, .. } => info!(
                 Part::Control,
-                "An upgrade moves on.",
+                "An upgrade advances.",
                 plan = walk.plan,
                 instance = instance,
                 step = walk.step
--- a/crates/control/src/upgrade/tests.rs
+++ b/crates/control/src/upgrade/tests.rs
@@ -1,4 +1,4 @@
-//! Checks what the planner is told of a member.
+//! Tests the conversion of a live member to the planner's endpoint.
 
 use hinge_cases::cases;
 use hinge_schema::messages::{Member, Role};
--- a/crates/control/tests/roles/control.rs
+++ b/crates/control/tests/roles/control.rs
@@ -1,4 +1,4 @@
-//! Checks three control instances in one process, over sockets and folders.
+//! Tests control instances in one process, over sockets and folders.
 
 use crate::fleet::{Fleet, announce, change, pause, team, wait_for};
 use hinge_cases::async_cases;
@@ -26,7 +26,7 @@
     }
 }
 
-/// Watches an instance until a configuration comes, as a new process does.
+/// Watches an instance until a configuration arrives, as a new process does.
 async fn next_config(fleet: &Fleet, name: &str) -> ConfigDelta {
     let mut asked = watch(0, 0, 0);
     loop {
@@ -43,7 +43,7 @@
     }
 }
 
-/// Waits until an instance counts for the quorum.
+/// Waits until an instance is a voter.
 async fn wait_until_voter(fleet: &Fleet, node_id: u64) {
     let is_voter = |status: Status| {
         let mut control = status.control.into_iter();
@@ -62,7 +62,7 @@
         let applied = async {
             let first = change("one", 0, vec![team("surf", 3)]);
             assert_eq!(version(&fleet.apply(&first).await), 1);
-            let again: ApplyReply = fleet.operate(&follower, "apply", &first).await;
+            let again: ApplyReply = fleet.call_operator(&follower, "apply", &first).await;
             assert!(matches!(again, ApplyReply::Accepted(accepted) if accepted.resent && accepted.version == 1));
         };
         let (config, ()) = futures::join!(waiting, applied);
@@ -106,9 +106,9 @@
         let asked = fleet.call::<_, Update>(&leader, "/v1/watch", &watch(0, 0, 0)).await;
         assert!(matches!(asked, Err(CallError::Status(status)) if status == 503));
         let status = AskStatus { wait_version: 0, wait_ms: 0 };
-        let reply: StatusReply = fleet.operate(&leader, "status", &status).await;
+        let reply: StatusReply = fleet.call_operator(&leader, "status", &status).await;
         assert!(matches!(reply, StatusReply::Unavailable(_)));
-        let reply: ApplyReply = fleet.operate(&leader, "apply", &change("two", 1, vec![team("board", 1)])).await;
+        let reply: ApplyReply = fleet.call_operator(&leader, "apply", &change("two", 1, vec![team("board", 1)])).await;
         assert!(matches!(reply, ApplyReply::Unavailable(_)));
         fleet.net.heal(&leader);
         wait_for(|| fleet.running[&leader].is_ready()).await;
@@ -119,10 +119,10 @@
         let claimed = Apply { operator: "somebody else".into(), ..change("one", 0, vec![team("surf", 1)]) };
         fleet.apply(&claimed).await;
         let ask = AskHistory { before_version: 0, limit: 5 };
-        let HistoryReply::History(history) = fleet.operate("control-0", "history", &ask).await else { panic!("it is current") };
+        let HistoryReply::History(history) = fleet.call_operator("control-0", "history", &ask).await else { panic!("it is current") };
         assert_eq!((history.entries.len(), &*history.entries[0].operator), (1, "ana"));
     }
-    the_cluster_key_opens_no_call_of_operators => {
+    the_cluster_key_does_not_authorise_operator_calls => {
         let fleet = Fleet::start(1).await;
         let status = AskStatus { wait_version: 0, wait_ms: 0 };
         for path in ["/v1/operator/status", "/v1/forwarded/operator/status"] {
@@ -130,7 +130,7 @@
             assert!(matches!(asked, Err(CallError::Status(status)) if status == 401));
         }
     }
-    hundreds_of_changes_outlive_a_restart_of_every_instance => {
+    hundreds_of_changes_survive_a_restart_of_every_instance => {
         let mut fleet = Fleet::start(3).await;
         for number in 0..300 {
             let reply = fleet.apply(&change(&format!("change-{number}"), number, vec![team("surf", 1 + number)])).await;
@@ -148,10 +148,10 @@
         let late = fleet.apply(&change("late", 299, vec![team("board", 1)])).await;
         let ApplyReply::Conflict(conflict) = late else { panic!("a conflict, not {late:?}") };
         assert_eq!((conflict.current_version, &*conflict.winner_change_id), (300, "change-299"));
-        // An instance that lost its folder gets the state as a snapshot, since the log no longer goes back to its beginning.
+        // An instance that lost its folder is sent the state as a snapshot, since the log is truncated.
         let lost = fleet.follower().await;
         fleet.stop(&lost).await;
-        std::fs::remove_dir_all(fleet.path(&lost)).expect("the folder can go");
+        std::fs::remove_dir_all(fleet.path(&lost)).expect("the folder can be removed");
         fleet.open(&lost, false).await;
         wait_for(|| fleet.running[&lost].config_version() == 300).await;
     }
@@ -163,15 +163,15 @@
         let lost = fleet.follower().await;
         let lost_id = fleet.running[&lost].node_id();
         fleet.stop(&lost).await;
-        std::fs::remove_dir_all(fleet.path(&lost)).expect("the folder can go");
-        // The settings of the first start are still there; the instance must not start afresh all the same.
+        std::fs::remove_dir_all(fleet.path(&lost)).expect("the folder can be removed");
+        // The settings of the first start still apply, but the instance must not start afresh.
         fleet.open(&lost, true).await;
         assert_ne!(fleet.running[&lost].node_id(), lost_id);
         let repaired = fleet.running[&lost].node_id();
         loop {
             let leader = fleet.leader().await;
             let status = AskStatus { wait_version: 0, wait_ms: 0 };
-            if let StatusReply::Status(status) = fleet.operate(&leader, "status", &status).await
+            if let StatusReply::Status(status) = fleet.call_operator(&leader, "status", &status).await
                 && status.control.len() == 3
                 && status.control.iter().any(|instance| instance.node_id == repaired && instance.voter)
             {
@@ -185,7 +185,7 @@
         let again = fleet.apply(&change("change-3", 3, vec![team("surf", 4)])).await;
         assert!(matches!(again, ApplyReply::Accepted(accepted) if accepted.resent && accepted.version == 4));
     }
-    an_instance_at_a_new_address_takes_the_place_of_one_that_is_gone => {
+    an_instance_at_a_new_address_replaces_a_lost_one => {
         let mut fleet = Fleet::start(3).await;
         fleet.apply(&change("before", 0, vec![team("surf", 1)])).await;
         let gone = fleet.follower().await;
@@ -193,17 +193,17 @@
         fleet.open("control-new", false).await;
         let new_id = fleet.running["control-new"].node_id();
         wait_until_voter(&fleet, new_id).await;
-        // Three count again: one of the two others may be lost.
+        // There are three voters again, so one of the other two may be lost.
         let second = fleet.running.keys().find(|name| &***name != "control-new").expect("two others run").clone();
         fleet.stop(&second).await;
         assert_eq!(version(&fleet.apply(&change("after", 1, vec![team("board", 2)])).await), 2);
-        // The one that was gone for good comes back all the same, and waits for a place.
+        // The replaced instance comes back after all, and waits to become a voter.
         fleet.open(&gone, false).await;
         let back_id = fleet.running[&gone].node_id();
         wait_until_voter(&fleet, back_id).await;
     }
-    more_voters_than_founders_bear_the_loss_of_two_disks => {
-        // Three instances found the log, as their settings name no more; two losses at once need five voters.
+    more_voters_than_founders_tolerate_the_loss_of_two_disks => {
+        // The settings name three founders; two simultaneous losses need five voters.
         let mut fleet = Fleet::start_tolerating(3, 2).await;
         for name in ["control-3", "control-4", "control-5"] {
             fleet.open(name, false).await;
@@ -216,7 +216,7 @@
             }
             pause().await;
         };
-        assert_eq!(voters, 5, "an even number of voters bears no more losses than one less");
+        assert_eq!(voters, 5, "an even number of voters tolerates no more losses than one less");
         assert_eq!(version(&fleet.apply(&change("before", 0, vec![team("surf", 1)])).await), 1);
         let leader = fleet.leader().await;
         let lost: Vec<Box<str>> = fleet.status().await.control.iter()
@@ -226,7 +226,7 @@
             .collect();
         for name in &lost {
             fleet.stop(name).await;
-            std::fs::remove_dir_all(fleet.path(name)).expect("the folder can go");
+            std::fs::remove_dir_all(fleet.path(name)).expect("the folder can be removed");
         }
         assert_eq!(version(&fleet.apply(&change("after", 1, vec![team("board", 2)])).await), 2);
     }
--- a/crates/control/tests/roles/diskless.rs
+++ b/crates/control/tests/roles/diskless.rs
@@ -1,7 +1,7 @@
-//! Checks control where some of its instances have no disk.
+//! Tests control with some instances that have no disk.
 //!
-//! The platform starts control on a part of its instances, and of 16 only five had a disk. The others refused their settings
-//! and were started again 1,500 times a day. Now each of them follows those that have a disk, without a vote.
+//! The platform starts control on some of its instances, and of 16 only five had a disk. The others rejected their
+//! settings and were restarted 1,500 times a day. Now they replicate from the instances with a disk, without a vote.
 
 use std::collections::BTreeSet;
 
@@ -9,21 +9,21 @@
 
 use crate::fleet::{Fleet, pause};
 
-/// Puts a table at one instance until it is taken.
+/// Sends a table to one instance until it is accepted.
 async fn put_table_until_accepted(fleet: &Fleet, name: &str, number: u64) {
     while !fleet.try_put_table(name, number).await {
         pause().await;
     }
 }
 
-/// Waits until an instance tells a gateway of a table.
+/// Waits until an instance serves a table to a gateway.
 async fn wait_until_served(fleet: &Fleet, name: &str, number: u64) {
     while !fleet.serves_newer_table(name, number).await {
         pause().await;
     }
 }
 
-/// Waits until exactly these instances vote.
+/// Waits until exactly these instances are voters.
 async fn wait_for_voters(fleet: &Fleet, names: &[&str]) {
     let wanted: BTreeSet<&str> = names.iter().copied().collect();
     loop {
@@ -37,7 +37,7 @@
     }
 }
 
-/// Waits until so many instances vote or follow.
+/// Waits until the log has this many members, voters and learners together.
 async fn wait_for_member_count(fleet: &Fleet, count: usize) {
     while fleet.status().await.control.len() != count {
         pause().await;
@@ -53,7 +53,7 @@
         wait_until_served(&fleet, "control-4", 1).await;
         wait_for_voters(&fleet, &["control-0", "control-1", "control-2"]).await;
     }
-    founders_without_a_disk_hand_their_votes_on => {
+    founders_without_a_disk_are_replaced_as_voters => {
         let mut fleet = Fleet::new_unstarted(3, 1);
         for name in ["control-0", "control-1", "control-2"] {
             fleet.open_diskless(name, true).await;
@@ -65,7 +65,7 @@
         wait_for_voters(&fleet, &["control-3", "control-4", "control-5"]).await;
         wait_until_served(&fleet, "control-2", 1).await;
     }
-    what_was_acknowledged_outlives_all_instances_without_a_disk => {
+    acknowledged_changes_survive_the_loss_of_all_diskless_instances => {
         let mut fleet = Fleet::new_unstarted(3, 1);
         fleet.open("control-0", true).await;
         fleet.open_diskless("control-1", true).await;
@@ -78,7 +78,7 @@
         wait_until_served(&fleet, "control-3", 1).await;
         put_table_until_accepted(&fleet, "control-4", 2).await;
     }
-    instances_that_know_only_each_other_are_found_after_all_were_lost => {
+    diskless_founders_rejoin_the_fleet_after_all_instances_restart => {
         let mut fleet = Fleet::new_unstarted(2, 1);
         fleet.open_diskless("control-0", true).await;
         fleet.open_diskless("control-1", true).await;
@@ -92,7 +92,7 @@
         for name in &names {
             fleet.stop(name).await;
         }
-        // The addresses that processes are told are those of the first two, which have forgotten everything.
+        // Processes are configured with the addresses of the first two instances, which have lost all their state.
         fleet.open_diskless("control-0", false).await;
         fleet.open_diskless("control-1", false).await;
         for name in ["control-2", "control-3", "control-4"] {
@@ -102,8 +102,8 @@
         put_table_until_accepted(&fleet, "control-1", 2).await;
         wait_for_voters(&fleet, &["control-2", "control-3", "control-4"]).await;
     }
-    many_without_a_disk_that_come_back_with_nothing_all_follow_again => {
-        // All of them lost power, and come back with nothing at the same moment.
+    all_diskless_instances_rejoin_after_losing_power_together => {
+        // All of them lose power, and come back without state at the same moment.
         let mut fleet = Fleet::start_tolerating(3, 1).await;
         let diskless: Vec<String> = (3..9).map(|n| format!("control-{n}")).collect();
         for name in &diskless {
@@ -122,7 +122,7 @@
             wait_until_served(&fleet, name, 2).await;
         }
     }
-    a_fleet_without_any_disk_goes_on_without => {
+    a_fleet_without_any_disk_accepts_changes => {
         let mut fleet = Fleet::new_unstarted(3, 1);
         for name in ["control-0", "control-1", "control-2"] {
             fleet.open_diskless(name, true).await;
--- a/crates/control/tests/roles/fleet.rs
+++ b/crates/control/tests/roles/fleet.rs
@@ -21,12 +21,12 @@
 pub const SECRET: &str = "a secret of sixteen bytes or more";
 pub const WAIT: Duration = Duration::from_secs(30);
 
-/// Maps the names of instances to their sockets, and cuts links.
+/// A simulated network that maps instance names to sockets and can cut links.
 #[derive(Debug, Default)]
 pub struct Net {
     sockets: Mutex<BTreeMap<Box<str>, Box<str>>>,
     isolated: Mutex<BTreeSet<Box<str>>>,
-    /// Instances that reach each other, and nobody else; empty while the net is whole.
+    /// Instances on one side of a partition; empty while the network is whole.
     partition: Mutex<BTreeSet<Box<str>>>,
 }
 
@@ -38,14 +38,14 @@
 
 impl Dial for PartitionedDial {
     fn resolve(&self, address: &str) -> Option<Box<str>> {
-        let isolated = self.net.isolated.lock().expect("no test panics in here");
-        let partition = self.net.partition.lock().expect("no test panics in here");
+        let isolated = self.net.isolated.lock().expect("the lock is not poisoned");
+        let partition = self.net.partition.lock().expect("the lock is not poisoned");
         let is_between = partition.contains(&self.name) != partition.contains(address);
         let is_cut = is_between || isolated.contains(&self.name) || isolated.contains(address);
         if is_cut && *self.name != *address {
             return None;
         }
-        let sockets = self.net.sockets.lock().expect("no test panics in here");
+        let sockets = self.net.sockets.lock().expect("the lock is not poisoned");
         sockets.get(address).cloned()
     }
 }
@@ -54,20 +54,20 @@
     pub fn isolate(&self, name: &str) {
         self.isolated
             .lock()
-            .expect("no test panics in here")
+            .expect("the lock is not poisoned")
             .insert(name.into());
     }
 
-    /// Cuts some instances off from all others, and not from each other.
+    /// Partitions the network: these instances on one side, all others on the other.
     pub fn split(&self, partition: &BTreeSet<Box<str>>) {
-        let mut held = self.partition.lock().expect("no test panics in here");
+        let mut held = self.partition.lock().expect("the lock is not poisoned");
         held.clone_from(partition);
     }
 
     pub fn heal(&self, name: &str) {
         self.isolated
             .lock()
-            .expect("no test panics in here")
+            .expect("the lock is not poisoned")
             .remove(name);
     }
 
@@ -79,18 +79,18 @@
     }
 
     pub fn socket(&self, name: &str) -> Box<str> {
-        self.sockets.lock().expect("no test panics in here")[name].clone()
+        self.sockets.lock().expect("the lock is not poisoned")[name].clone()
     }
 
     pub fn register(&self, name: &str, socket: &str) {
         self.sockets
             .lock()
-            .expect("no test panics in here")
+            .expect("the lock is not poisoned")
             .insert(name.into(), socket.into());
     }
 }
 
-/// Holds the instances by name.
+/// The running control instances by name.
 pub struct Fleet {
     pub net: Arc<Net>,
     pub folder: tempfile::TempDir,
@@ -108,7 +108,7 @@
         Self::start_tolerating(count, 0).await
     }
 
-    /// Starts founders that are told how many losses they are to bear.
+    /// Starts founders that are configured to tolerate this many losses.
     pub async fn start_tolerating(count: usize, tolerated_losses: u32) -> Self {
         let mut fleet = Self::new_unstarted(count, tolerated_losses);
         for name in fleet.names.clone() {
@@ -117,12 +117,12 @@
         fleet
     }
 
-    /// Names the founders, and starts none of them.
+    /// Creates a fleet with named founders, and starts none of them.
     pub fn new_unstarted(founders: usize, tolerated_losses: u32) -> Self {
         let names = (0..founders).map(|n| format!("control-{n}").into());
         Self {
             net: Arc::default(),
-            folder: tempfile::tempdir().expect("the system gives a folder"),
+            folder: tempfile::tempdir().expect("a temporary folder can be created"),
             running: BTreeMap::new(),
             tolerated_losses,
             names: names.collect(),
@@ -135,19 +135,19 @@
 
     pub async fn open(&mut self, name: &str, bootstrap: bool) {
         let settings = self.settings(name, &self.path(name), bootstrap);
-        self.open_as(name, settings).await;
+        self.open_with_settings(name, settings).await;
     }
 
-    /// Opens an instance that keeps its log in memory.
+    /// Opens an instance that stores its log in memory.
     pub async fn open_diskless(&mut self, name: &str, bootstrap: bool) {
         let mut settings = self.settings(name, &self.path(name), bootstrap);
         settings.data_folder = None;
-        self.open_as(name, settings).await;
+        self.open_with_settings(name, settings).await;
     }
 
-    async fn open_as(&mut self, name: &str, settings: ControlSettings) {
+    async fn open_with_settings(&mut self, name: &str, settings: ControlSettings) {
         let operators =
-            OperatorKeys::parse(&format!("ana = \"{SECRET}\"")).expect("the line is right");
+            OperatorKeys::parse(&format!("ana = \"{SECRET}\"")).expect("the key line is valid");
         let opened = Control::open_with(
             settings,
             peer_key(),
@@ -181,13 +181,13 @@
         settings
     }
 
-    /// Stops an instance as an operator would.
+    /// Stops an instance cleanly.
     pub async fn stop(&mut self, name: &str) -> hinge_control::Stopped {
         let control = self.running.remove(name).expect("the instance runs");
         control.stop(Duration::from_secs(10)).await
     }
 
-    /// Returns the leader, once there is one.
+    /// Waits for a leader and returns its name.
     pub async fn leader(&self) -> Box<str> {
         loop {
             let leading = self
@@ -219,7 +219,7 @@
             .await
     }
 
-    pub async fn operate<Q: Serialize, A: DeserializeOwned>(
+    pub async fn call_operator<Q: Serialize, A: DeserializeOwned>(
         &self,
         name: &str,
         path: &str,
@@ -233,7 +233,7 @@
             .expect("the instance answers")
     }
 
-    /// Puts a table at an instance, and returns whether it is in force then.
+    /// Sends a table to an instance, and returns whether it or a newer one is in force afterwards.
     pub async fn try_put_table(&self, name: &str, number: u64) -> bool {
         let put = self
             .call::<_, TableHeld>(name, "/v1/routes/put", &table(number))
@@ -241,7 +241,7 @@
         put.is_ok_and(|held| held.number >= number)
     }
 
-    /// Asks an instance for a newer table as a gateway does, and returns whether it tells of it.
+    /// Asks an instance for a newer table as a gateway does, and returns whether it has one.
     pub async fn serves_newer_table(&self, name: &str, number: u64) -> bool {
         let watch = WatchRoutes {
             instance: "gateway-1".into(),
@@ -258,7 +258,7 @@
         table.is_some_and(|table| table.number >= number)
     }
 
-    /// Returns the status at the leader, once there is one that answers.
+    /// Returns the status from the leader, once there is one that answers.
     pub async fn status(&self) -> Status {
         let ask = AskStatus {
             wait_version: 0,
@@ -266,18 +266,18 @@
         };
         loop {
             let leader = self.leader().await;
-            if let StatusReply::Status(status) = self.operate(&leader, "status", &ask).await {
+            if let StatusReply::Status(status) = self.call_operator(&leader, "status", &ask).await {
                 return status;
             }
             pause().await;
         }
     }
 
-    /// Applies a change at any instance that answers, as an operator would who lost answers.
+    /// Applies a change at any instance that answers, as an operator who retries would.
     pub async fn apply(&self, apply: &Apply) -> ApplyReply {
         loop {
             for name in self.running.keys() {
-                let reply: ApplyReply = self.operate(name, "apply", apply).await;
+                let reply: ApplyReply = self.call_operator(name, "apply", apply).await;
                 if !matches!(reply, ApplyReply::Unavailable(_)) {
                     return reply;
                 }
@@ -307,7 +307,7 @@
     PutTable { table }
 }
 
-/// Lets the other tasks go on before a condition is looked at again.
+/// Sleeps briefly before a condition is checked again.
 pub async fn pause() {
     tokio::time::sleep(Duration::from_millis(5)).await;
 }
--- a/crates/control/tests/roles/main.rs
+++ b/crates/control/tests/roles/main.rs
@@ -1,4 +1,4 @@
-//! Checks control instances and relays in one process, over sockets and folders.
+//! Tests control instances and relays in one process, over sockets and folders.
 
 mod control;
 mod diskless;
--- a/crates/control/tests/roles/relay.rs
+++ b/crates/control/tests/roles/relay.rs
@@ -1,4 +1,4 @@
-//! Checks a relay between three control instances and the processes of a data centre.
+//! Tests a relay between three control instances and the processes of a data centre.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -44,7 +44,7 @@
         wait_version: 0,
         wait_ms: 0,
     };
-    match fleet.operate(&leader, "status", &ask).await {
+    match fleet.call_operator(&leader, "status", &ask).await {
         StatusReply::Status(status) => status
             .members
             .iter()
@@ -70,23 +70,23 @@
 }
 
 async_cases! { real
-    a_relay_serves_what_control_has_and_keeps_it_when_control_is_gone => {
+    a_relay_keeps_serving_while_control_is_stopped => {
         let mut fleet = Fleet::start(3).await;
         let relay = open_relay(&fleet).await;
         fleet.apply(&change("one", 0, vec![team("surf", 3)])).await;
         let update: Update = fleet.call("relay-1", "/v1/watch", &watch(0)).await.expect("the relay answers");
-        assert_eq!(update.config.expect("the change comes").version, 1);
+        assert_eq!(update.config.expect("the change arrives").version, 1);
         let names: Vec<_> = fleet.running.keys().cloned().collect();
         for name in &names {
             fleet.stop(name).await;
         }
         let update: Update = fleet.call("relay-1", "/v1/watch", &watch(0)).await.expect("the relay answers");
-        assert_eq!(update.config.expect("the folder comes").version, 1);
-        let announced: Announced = fleet.call("relay-1", "/v1/announce", &announce("sidecar-1", 1)).await.expect("it gives leases");
+        assert_eq!(update.config.expect("the folder arrives").version, 1);
+        let announced: Announced = fleet.call("relay-1", "/v1/announce", &announce("sidecar-1", 1)).await.expect("the relay grants leases");
         assert!(announced.lease_ms > 0);
         let client = Client::new(ClusterKey::derive(SECRET.as_bytes()));
         let ask = AskStatus { wait_version: 0, wait_ms: 0 };
-        let reply: StatusReply = client.call(&fleet.net.socket("relay-1"), "/v1/operator/status", &ask, WAIT).await.expect("it answers");
+        let reply: StatusReply = client.call(&fleet.net.socket("relay-1"), "/v1/operator/status", &ask, WAIT).await.expect("the relay answers");
         assert!(matches!(reply, StatusReply::Unavailable(_)));
         for name in &names {
             fleet.open(name, false).await;
@@ -134,7 +134,7 @@
             pause().await;
         }
     }
-    an_order_reaches_its_endpoint_once_and_under_a_valid_number => {
+    an_order_reaches_its_endpoint_once_with_a_valid_fence => {
         let fleet = Fleet::start(3).await;
         let seen: Arc<Mutex<Vec<Order>>> = Arc::default();
         let (key, orders) = (peer_key(), Arc::clone(&seen));
@@ -143,7 +143,7 @@
             async move {
                 unary(&key, request, |order: Order| async move {
                     let reply = OrderReply { verdict: OrderVerdict::Done, highest_fence: order.fence, detail: "loaded".into() };
-                    orders.lock().expect("no test panics in here").push(order);
+                    orders.lock().expect("the lock is not poisoned").push(order);
                     Ok(reply)
                 }).await
             }
@@ -157,18 +157,18 @@
             change_id: "load".into(), instance: "sidecar-1".into(), kind: OrderKind::LoadModel, subject: "m".into(), version: "v2".into(),
         };
         let follower = fleet.follower().await;
-        let placed: OrdersReply = fleet.operate(&follower, "order", &place).await;
+        let placed: OrdersReply = fleet.call_operator(&follower, "order", &place).await;
         let OrdersReply::Orders(Orders { orders }) = placed else { panic!("the order is placed") };
         assert!(orders[0].fence > announced.fence);
         loop {
             let ask = AskOrders { instance: "sidecar-1".into(), limit: 1 };
-            let listed: OrdersReply = fleet.operate(&follower, "orders", &ask).await;
+            let listed: OrdersReply = fleet.call_operator(&follower, "orders", &ask).await;
             if matches!(listed, OrdersReply::Orders(Orders { orders }) if orders[0].state == OrderState::Done) {
                 break;
             }
             pause().await;
         }
-        let seen = seen.lock().expect("no test panics in here");
+        let seen = seen.lock().expect("the lock is not poisoned");
         assert_eq!((seen.len(), seen[0].fence), (1, orders[0].fence));
     }
 }
--- a/crates/control/tests/rolling_upgrade.rs
+++ b/crates/control/tests/rolling_upgrade.rs
@@ -1,4 +1,4 @@
-//! Walks a pool of four endpoints through an upgrade under load: control, an entry, sidecars and stand-ins in one process.
+//! Tests a rolling upgrade of four endpoints under load: control, an entry, sidecars and stand-ins in one process.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -27,7 +27,7 @@
 const BODY: &str =
     r#"{"model":"llm","stream":true,"messages":[{"role":"user","content":"tide?"}]}"#;
 
-/// The key of the team is "demo-key-small".
+/// The team's API key is "demo-key-small".
 const FOLDER: &str = "
 [teams.school]
 share = 1
@@ -84,7 +84,8 @@
         instance: "control-1".into(),
         address: "127.0.0.1:0".into(),
     }];
-    let operators = OperatorKeys::parse(&format!("ana = \"{SECRET}\"")).expect("the line is right");
+    let operators =
+        OperatorKeys::parse(&format!("ana = \"{SECRET}\"")).expect("the key line is valid");
     let control = Control::open(settings, key(), operators, &Registry::new()).await;
     control.expect("the instance opens")
 }
@@ -140,7 +141,7 @@
         }
     }
 
-    async fn operate<Q: serde::Serialize, A: serde::de::DeserializeOwned>(
+    async fn call_operator<Q: serde::Serialize, A: serde::de::DeserializeOwned>(
         &self,
         path: &str,
         message: &Q,
@@ -163,7 +164,7 @@
             removed: Vec::new(),
         };
         loop {
-            match self.operate("apply", &change).await {
+            match self.call_operator("apply", &change).await {
                 Some(ApplyReply::Accepted(_)) => return,
                 Some(ApplyReply::Unavailable(_)) | None => pause().await,
                 other => panic!("the folder is valid: {other:?}"),
@@ -173,7 +174,7 @@
 
     async fn plan(&self) -> Option<UpgradeStatus> {
         let name = "night".into();
-        match self.operate("upgrades", &AskUpgrades { name }).await {
+        match self.call_operator("upgrades", &AskUpgrades { name }).await {
             Some(UpgradesReply::Upgrades(upgrades)) => upgrades.plans.into_iter().next(),
             _ => None,
         }
@@ -184,7 +185,7 @@
     tokio::time::sleep(Duration::from_millis(20)).await;
 }
 
-/// Asks for one streamed answer; returns the status, and whether the answer is whole.
+/// Requests one streamed answer; returns the status, and whether the answer is complete.
 async fn ask(address: &str) -> (u16, bool) {
     let client = HttpClient::builder(TokioExecutor::new()).build_http::<Full<Bytes>>();
     let request = http::Request::post(format!("http://{address}/v1/chat/completions"))
@@ -200,7 +201,7 @@
 }
 
 async_cases! { real
-    four_endpoints_are_upgraded_under_load_and_nothing_is_cut => {
+    four_endpoints_are_upgraded_under_load_without_truncated_answers => {
         let fleet = Fleet::open().await;
         fleet.apply().await;
         let address = fleet.entry.callers_address().to_string();
@@ -231,7 +232,7 @@
         }
         is_done.store(true, Ordering::Release);
         for caller in callers {
-            caller.await.expect("no answer was cut");
+            caller.await.expect("no answer was truncated");
         }
         assert!(answered.load(Ordering::Acquire) > 0);
         for (_, stand_in) in &fleet.endpoints {
