--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -45,7 +45,7 @@
 
 /// The outcome of a stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Stopped {
+pub struct StopOutcome {
     /// Whether every open call ended before the deadline.
     pub calls_ended: bool,
     /// Whether the log stopped cleanly before the deadline, with leadership transferred.
@@ -220,7 +220,7 @@
     }
 
     /// Transfers leadership, then stops; open calls may complete until the deadline.
-    pub async fn stop(self, deadline: Duration) -> Stopped {
+    pub async fn stop(self, deadline: Duration) -> StopOutcome {
         self.core.driver.stop();
         let mut node_status = self.core.driver.node_status.clone();
         let ended = node_status.wait_for(|node_status| node_status.has_stopped);
@@ -229,7 +229,7 @@
             task.abort();
         }
         let calls_ended = self.server.stop(deadline).await;
-        Stopped {
+        StopOutcome {
             calls_ended,
             log_ended,
         }
--- a/crates/control/src/downstream.rs
+++ b/crates/control/src/downstream.rs
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Returns the announcements and renewals that are due, limited in number.
+    /// Returns the renewals that are due, and the due announcements up to a maximum number.
     pub(crate) fn batch(&mut self, now: Duration, relay: &str) -> AnnounceBatch {
         self.processes.retain(|_, process| process.expires_at > now);
         let renew_after = self.rules.longest_lease / RENEWALS_PER_LEASE;
--- a/crates/control/src/driver.rs
+++ b/crates/control/src/driver.rs
@@ -291,7 +291,7 @@
         let (sender, receiver) = oneshot::channel();
         let callback: ReadCallback = Box::new(move |answer| {
             let answer = answer.map(|(state, status)| query(state, status));
-            let _asker_is_gone = sender.send(answer.ok_or(LogError::NotLeader));
+            let _receiver_is_gone = sender.send(answer.ok_or(LogError::NotLeader));
         });
         self.send_input(Input::Read(callback))?;
         receiver.await.map_err(|_gone| LogError::Stopped)?
--- a/crates/control/src/driver/diskless.rs
+++ b/crates/control/src/driver/diskless.rs
@@ -17,7 +17,7 @@
 
 /// Time from the start in which instances with a disk are expected to join.
 ///
-/// A fleet that none has joined by then has none, and runs without.
+/// A fleet that no instance with a disk has joined by then runs without any.
 const FOUNDING_PERIOD: Duration = Duration::from_secs(5);
 
 /// Silence after which a follower without a disk is removed; one that was only partitioned off joins again.
--- a/crates/control/src/driver/joining.rs
+++ b/crates/control/src/driver/joining.rs
@@ -77,13 +77,13 @@
         let others = others.filter(|id| may_vote(**id));
         let ready = others.filter(|id| self.node.check_promotion(**id).is_ok());
         let has_disk = !self.is_diskless(join.node_id);
-        let members = PromotionContext {
+        let context = PromotionContext {
             voters: membership.voters.len(),
             diskless_voters: if has_disk { disks.without } else { 0 },
             other_ready_learners: ready.count(),
             silent_voter: self.node.silent_voter(VOTER_SILENCE_TIMEOUT),
         };
-        match decide_promotion(members, self.min_voters()) {
+        match decide_promotion(context, self.min_voters()) {
             Promotion::Promote => {
                 self.propose_membership_change(now, MembershipChange::Promote(join.node_id))
             }
--- a/crates/control/src/driver/tests/stalled.rs
+++ b/crates/control/src/driver/tests/stalled.rs
@@ -20,7 +20,7 @@
 use crate::peers::{Batch, Peers, SenderInfo};
 use crate::settings::{ControlSettings, Peer};
 
-/// Polls of an instance, 5 ms apart; an election timeout is 60 of them.
+/// Maximum number of polls of an instance, 5 ms apart; an election timeout is 60 of them.
 const MAX_POLLS: usize = 2_000;
 
 const LEADER: &str = "control-b";
@@ -86,9 +86,9 @@
 }
 
 /// Returns whether the instance reaches the given view of the leadership in time.
-async fn reaches(core: &Core, place: &Leadership) -> bool {
+async fn reaches(core: &Core, expected: &Leadership) -> bool {
     for _ in 0..MAX_POLLS {
-        if core.leadership() == *place {
+        if core.leadership() == *expected {
             return true;
         }
         tokio::time::sleep(std::time::Duration::from_millis(5)).await;
--- a/crates/control/src/driver/thread.rs
+++ b/crates/control/src/driver/thread.rs
@@ -128,10 +128,10 @@
                 }
             }
             Input::Join(join, reply) => {
-                let _asker_is_gone = reply.send(self.join(now, &join));
+                let _receiver_is_gone = reply.send(self.join(now, &join));
             }
             Input::Remove(instance, reply) => {
-                let _asker_is_gone = reply.send(self.remove(now, &instance));
+                let _receiver_is_gone = reply.send(self.remove(now, &instance));
             }
             Input::Stop => self.begin_stop(now),
         }
@@ -152,13 +152,13 @@
 
     fn propose(&mut self, now: Duration, command: &Command, reply: ReplySender) {
         if self.node.role() == Role::Leader && !self.can_acknowledge() {
-            let _asker_is_gone = reply.send(Err(LogError::FoundingIncomplete));
+            let _receiver_is_gone = reply.send(Err(LogError::FoundingIncomplete));
             return;
         }
         match self.node.propose(now, command.encode()) {
             Ok(position) => _ = self.pending_proposals.insert(position, reply),
             Err(cause) => {
-                let _asker_is_gone = reply.send(Err(log_error_from(cause)));
+                let _receiver_is_gone = reply.send(Err(log_error_from(cause)));
             }
         }
     }
@@ -265,7 +265,7 @@
             } else {
                 Err(LogError::OutcomeUnknown)
             };
-            let _asker_is_gone = waiting.send(reply);
+            let _receiver_is_gone = waiting.send(reply);
         }
         Ok(())
     }
@@ -401,7 +401,7 @@
                 "Handing leadership over.",
                 successor = successor
             );
-            let _goes_on_if_refused = self.node.transfer_leadership(now, successor);
+            let _stays_leader_if_refused = self.node.transfer_leadership(now, successor);
         }
     }
 
--- a/crates/control/src/follow.rs
+++ b/crates/control/src/follow.rs
@@ -31,11 +31,11 @@
             continue;
         };
         let watch = watch_request(&core, needs_full);
-        let asked = core
+        let result = core
             .client
             .call::<_, Update>(&leader, WATCH_PATH, &watch, WATCH_WAIT + CALL_MARGIN)
             .await;
-        match asked {
+        match result {
             Ok(update) => needs_full = apply_update(&core, &update),
             Err(_no_answer) => sleep(RETRY_DELAY).await,
         }
--- a/crates/control/src/join.rs
+++ b/crates/control/src/join.rs
@@ -36,9 +36,9 @@
     };
     let others = settings.peers.iter();
     let others = others.filter(|peer| peer.instance != settings.instance);
-    let asked = others
+    let calls = others
         .map(|peer| client.call::<_, Founded>(&peer.address, FOUNDED_PATH, &ask, FOUNDED_TIMEOUT));
-    let answers = futures::future::join_all(asked).await;
+    let answers = futures::future::join_all(calls).await;
     let mut answers = answers.into_iter().flatten();
     answers.any(|answer| answer.is_known)
 }
@@ -95,11 +95,11 @@
         .chain(others.map(|peer| peer.address.clone()))
         .chain(peer_addresses);
     for address in addresses {
-        let asked = core
+        let result = core
             .client
             .call(&address, JOIN_PATH, join, JOIN_TIMEOUT)
             .await;
-        if let Ok(joined) = asked {
+        if let Ok(joined) = result {
             return Some(joined);
         }
     }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -33,7 +33,7 @@
 mod suspect_calls;
 mod upgrade;
 
-pub use control::{Control, Stopped};
+pub use control::{Control, StopOutcome};
 pub use open::OpenError;
 pub use operators::{OperatorKeys, OperatorKeysError};
 pub use peer_client::{Dial, Direct};
--- a/crates/control/src/relay.rs
+++ b/crates/control/src/relay.rs
@@ -80,18 +80,18 @@
         &self,
         path: &str,
         message: &Q,
-        wait: Duration,
+        timeout: Duration,
     ) -> Result<A, StatusCode> {
         let control = &self.settings.control;
         let position = self.upstream.load(Ordering::Relaxed);
         let Some(address) = control.get(position % control.len().max(1)) else {
             return Err(StatusCode::SERVICE_UNAVAILABLE);
         };
-        let asked = self.client.call(address, path, message, wait).await;
-        asked.map_err(|_no_answer| {
+        let result = self.client.call(address, path, message, timeout).await;
+        result.map_err(|_no_answer| {
             // When several calls fail together, only the first one switches to the next instance.
             let next = position.wrapping_add(1);
-            let _turned_already = self.upstream.compare_exchange(
+            let _switched_already = self.upstream.compare_exchange(
                 position,
                 next,
                 Ordering::Relaxed,
@@ -201,10 +201,10 @@
     let mut has_all_members = true;
     loop {
         let watch_request = watch_request(&core, config_version, has_all_members);
-        let asked = core
+        let result = core
             .call_control::<_, Update>(WATCH_PATH, &watch_request, WATCH_WAIT + CALL_TIMEOUT)
             .await;
-        let Ok(update) = asked else {
+        let Ok(update) = result else {
             sleep(RETRY_DELAY).await;
             continue;
         };
@@ -271,22 +271,22 @@
             downstream.batch(now, &core.settings.instance)
         };
         // An empty batch is sent as well, since its reply shows whether another instance has become the leader.
-        let asked = core
+        let result = core
             .call_control::<_, AnnouncedBatch>(ANNOUNCES_PATH, &batch, CALL_TIMEOUT)
             .await;
-        if let Ok(reply) = &asked
+        if let Ok(reply) = &result
             && core.downstream().apply_reply(now, &batch, reply)
         {
             core.has_changes.notify_one();
         }
-        if is_control_reachable && asked.is_err() {
+        if is_control_reachable && result.is_err() {
             warn!(
                 Part::Relay,
                 "Control can't be reached; serving the last known state.",
                 version = core.held.version()
             );
         }
-        is_control_reachable = asked.is_ok();
+        is_control_reachable = result.is_ok();
     }
 }
 
@@ -318,11 +318,11 @@
         ticks.tick().await;
         let reports = core.downstream().reports();
         for report in reports {
-            let asked = core
+            let result = core
                 .call_control::<_, ServiceTotals>(SUMS_PATH, &report, CALL_TIMEOUT)
                 .await;
             // The next report includes what a lost one contained.
-            if let Ok(reply) = asked
+            if let Ok(reply) = result
                 && reply.incarnation == core.incarnation
             {
                 core.downstream().learn_totals(core.now(), &reply);
--- a/crates/control/src/soft_state.rs
+++ b/crates/control/src/soft_state.rs
@@ -16,7 +16,7 @@
 /// Maximum number of pools with sums; reports on further pools are refused, so that wrong names can't exhaust the memory.
 pub(crate) const MAX_POOLS: usize = 256;
 
-/// Number of gateways whose addresses a gateway gets for when it loses control.
+/// Maximum number of gateway addresses that a gateway gets, to use when it loses control.
 ///
 /// Gateways next to control instances may be partitioned off together with them. Where these are a quarter of all
 /// gateways, three random ones are all of that kind in one case of 64.
--- a/crates/control/src/upgrade.rs
+++ b/crates/control/src/upgrade.rs
@@ -106,19 +106,19 @@
         let Leadership::Local(term) = core.leadership() else {
             return Err(LogError::NotLeader);
         };
-        let seen = live_members(core, term).ok_or(LogError::NotLeader)?;
+        let live = live_members(core, term).ok_or(LogError::NotLeader)?;
         let log = core.read(|state, _| LogState::read(state)).await?;
         let planner = self.clone();
         // Merging a large folder takes milliseconds, too long for the async threads.
-        let decided = tokio::task::spawn_blocking(move || planner.decide_on(&seen, &log)).await;
+        let decided = tokio::task::spawn_blocking(move || planner.decide_on(&live, &log)).await;
         decided.map_err(|_stopped| LogError::Stopped)?
     }
 
-    fn decide_on(&self, seen: &[LiveMember], log: &LogState) -> Result<Decision, LogError> {
+    fn decide_on(&self, live: &[LiveMember], log: &LogState) -> Result<Decision, LogError> {
         let effective = self.merged(&log.folder).ok_or(LogError::Stopped)?;
-        let endpoints = seen
+        let endpoints = live
             .iter()
-            .map(|seen| (&*seen.member.instance, seen.into()));
+            .map(|live| (&*live.member.instance, live.into()));
         Ok(decide(&Fleet {
             now_ms: unix_now_ms().max(log.now_ms),
             config_version: log.folder.version(),
@@ -172,7 +172,7 @@
         return None;
     }
     let roster = members.roster();
-    let seen = members.live().map(|member| {
+    let live = members.live().map(|member| {
         let listed = roster.get(&member.instance);
         LiveMember {
             member: member.clone(),
@@ -180,12 +180,12 @@
             running: members.running(&member.instance),
         }
     });
-    Some(seen.collect())
+    Some(live.collect())
 }
 
 impl<'a> From<&'a LiveMember> for Endpoint<'a> {
-    fn from(seen: &'a LiveMember) -> Self {
-        let member = &seen.member;
+    fn from(live: &'a LiveMember) -> Self {
+        let member = &live.member;
         Self {
             instance: &member.instance,
             incarnation: member.incarnation,
@@ -194,8 +194,8 @@
             pool: &member.pool,
             model_version: &member.model_version,
             is_leaving: member.leaving,
-            is_ejected: seen.is_held_back || member.ejected == Some(true),
-            running: seen.running,
+            is_ejected: live.is_held_back || member.ejected == Some(true),
+            running: live.running,
         }
     }
 }
--- a/crates/control/src/upgrade/tests.rs
+++ b/crates/control/src/upgrade/tests.rs
@@ -22,12 +22,12 @@
         running: Some(0),
         ejected,
     };
-    let seen = LiveMember {
+    let live = LiveMember {
         member,
         is_held_back,
         running: Some(1),
     };
-    let endpoint = Endpoint::from(&seen);
+    let endpoint = Endpoint::from(&live);
     assert_eq!(
         (endpoint.is_ejected, endpoint.running),
         (is_ejected, Some(1))
--- a/crates/control/tests/roles/fleet.rs
+++ b/crates/control/tests/roles/fleet.rs
@@ -182,7 +182,7 @@
     }
 
     /// Stops an instance cleanly.
-    pub async fn stop(&mut self, name: &str) -> hinge_control::Stopped {
+    pub async fn stop(&mut self, name: &str) -> hinge_control::StopOutcome {
         let control = self.running.remove(name).expect("the instance runs");
         control.stop(Duration::from_secs(10)).await
     }
