--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -39,7 +39,7 @@
 pub use peer_client::{Dial, Direct};
 pub use relay::Relay;
 pub use routing_calls::{
-    MEET_GATEWAYS_PATH, Reported, RoutingCalls, RoutingUnavailable, WATCH_ROUTES_PATH,
+    EndpointReportOutcome, MEET_GATEWAYS_PATH, RoutingCalls, RoutingUnavailable, WATCH_ROUTES_PATH,
 };
 pub use settings::{ControlSettings, Peer, RelaySettings};
 pub use suspect_calls::NOTE_SUSPECTS_PATH;
--- a/crates/control/src/routing_calls.rs
+++ b/crates/control/src/routing_calls.rs
@@ -56,9 +56,9 @@
 
 /// The outcome of an endpoint's report that reached the leader.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Reported {
+pub enum EndpointReportOutcome {
     /// The report is accepted or contains nothing new; the leader listens at this address.
-    BatchAccepted(Box<str>),
+    Accepted(Box<str>),
     /// The report is contradictory and changes nothing, for this cause.
     Refused(Box<str>),
 }
@@ -104,13 +104,16 @@
     /// # Errors
     ///
     /// Returns an error when it is unknown whether the report was applied.
-    pub async fn report(&self, endpoint: Endpoint) -> Result<Reported, RoutingUnavailable> {
+    pub async fn report(
+        &self,
+        endpoint: Endpoint,
+    ) -> Result<EndpointReportOutcome, RoutingUnavailable> {
         let message = ReportEndpoint { endpoint };
         let answered = answer_or_forward(self.core()?, REPORT, message, report_as_leader).await;
         let noted: EndpointNoted = answered.map_err(unavailable)?;
         Ok(match noted.refused {
-            Some(cause) => Reported::Refused(cause),
-            None => Reported::BatchAccepted(noted.leader),
+            Some(cause) => EndpointReportOutcome::Refused(cause),
+            None => EndpointReportOutcome::Accepted(noted.leader),
         })
     }
 
