--- a/crates/admission/tests/model/mod.rs
+++ b/crates/admission/tests/model/mod.rs
@@ -8,7 +8,8 @@
 
 use hinge_admission::{Admission, Ask, AskId, Decision, Load, RefusalCause, Report, Rules};
 use hinge_routing::{
-    Backlog, Candidate, ChoiceRules, Lag, Room, choose, choose_again, load_interval,
+    Backlog, BacklogLimits, Candidate, ChoiceRules, UsageLag, choose_after_refusal,
+    choose_endpoint, load_interval,
 };
 
 const RULES: Rules = Rules {
@@ -201,7 +202,7 @@
     fn ask_elsewhere(&mut self, id: AskId) {
         let request = &self.requests[&id];
         let lag = self.lag(&request.team);
-        let may_ask = request.refused < lag.max_asked()
+        let may_ask = request.refused < lag.max_admissions()
             && request.gone < MAX_NOT_SENT
             && request.not_sent < MAX_NOT_SENT;
         let next = may_ask.then(|| self.choose(request, lag)).flatten();
@@ -216,17 +217,17 @@
     }
 
     /// Compares what teams have used at all engines, as gateways are told.
-    fn lag(&self, team: &str) -> Lag {
+    fn lag(&self, team: &str) -> UsageLag {
         let mut uses: BTreeMap<&str, u64> = BTreeMap::new();
         for (team, tokens) in self.engines.iter().flat_map(|engine| &engine.told) {
             *uses.entry(team).or_default() += tokens;
         }
         let most = uses.values().copied().max().unwrap_or_default();
-        Lag::of(uses.get(team).copied().unwrap_or_default(), most)
+        UsageLag::compare(uses.get(team).copied().unwrap_or_default(), most)
     }
 
     /// Chooses an engine for a request that others refused or lost, as a gateway does.
-    fn choose(&self, request: &Request, lag: Lag) -> Option<usize> {
+    fn choose(&self, request: &Request, lag: UsageLag) -> Option<usize> {
         let is_gone = |place: &usize| self.engines[*place].admission.load().engine_is_gone;
         let places: Vec<usize> = (0..ENGINES)
             .filter(|place| !request.tried.contains(place) && !is_gone(place))
@@ -237,14 +238,14 @@
             .collect();
         let rules = ChoiceRules::default();
         let chosen = if request.refused == 0 {
-            choose(&candidates, None, 0, &rules, 0)
+            choose_endpoint(&candidates, None, 0, &rules, 0)
         } else {
             let left = AIM.saturating_sub(ms(self.now_ms - request.came_ms));
-            let room = Room {
+            let room = BacklogLimits {
                 idle_tokens: IDLE_TOKENS,
-                readable_tokens: rules.readable_tokens(left),
+                prefillable_tokens: rules.prefillable_tokens(left),
             };
-            choose_again(&candidates, None, 0, &rules, lag, room, 0)
+            choose_after_refusal(&candidates, None, 0, &rules, lag, room, 0)
         };
         chosen.map(|chosen| places[chosen])
     }
@@ -263,8 +264,8 @@
                 unread_tokens: load.unread_tokens + since,
                 waiting_tokens: load.waiting_tokens,
             },
-            is_near: true,
-            keeps_parts: false,
+            is_local: true,
+            has_cached_prefix: false,
         }
     }
 
--- a/crates/control/src/routing_calls.rs
+++ b/crates/control/src/routing_calls.rs
@@ -385,7 +385,7 @@
 fn newer_suspects(routing: &Routing, message: &WatchRoutes) -> Option<SuspectList> {
     // Programs that know no suspected requests name no version.
     let held = message.suspects_version?;
-    routing.suspects().newer_than(held)
+    routing.suspects().changes_since(held)
 }
 
 fn other_gateways(core: &Core, message: &WatchRoutes) -> Vec<Box<str>> {
--- a/crates/control/src/suspect_calls.rs
+++ b/crates/control/src/suspect_calls.rs
@@ -99,8 +99,10 @@
     };
     command
         .ends
-        .retain(|(request, endpoint)| !known.has_end(request, *endpoint));
-    command.completed.retain(|request| known.ends(request) > 0);
+        .retain(|(request, endpoint)| !known.has_crash(request, *endpoint));
+    command
+        .completed
+        .retain(|request| known.crash_count(request) > 0);
     Ok(command)
 }
 
--- a/crates/daemon/src/roles/gateway.rs
+++ b/crates/daemon/src/roles/gateway.rs
@@ -7,7 +7,7 @@
 use anyhow::{Context as _, Result, bail};
 use hinge_gateway::{Gateway, GatewaySettings};
 use hinge_platform::Headers;
-use hinge_routing::{BudgetRules, ChoiceRules, OverloadRules};
+use hinge_routing::{ChoiceRules, OverloadRules, RetryBudgetRules};
 use hinge_telemetry::log::Part;
 use hinge_telemetry::readiness::Reason;
 
@@ -39,9 +39,9 @@
             .zip(given.handoff_last_port)
             .map(|(first, last)| first..=last),
         admission_port: given.admission_port,
-        budget: BudgetRules {
-            permille: given.retry_permille,
-            burst: given.retry_burst,
+        budget: RetryBudgetRules {
+            retry_permille: given.retry_permille,
+            burst_retries: given.retry_burst,
             window: Duration::from_millis(given.retry_window_ms),
         },
         choice: ChoiceRules {
--- a/crates/gateway/src/endpoint.rs
+++ b/crates/gateway/src/endpoint.rs
@@ -7,7 +7,8 @@
 use std::time::Duration;
 
 use hinge_routing::{
-    Backlog, Candidate, Ends, IncarnationHash, RequestKey, Standing, StandingRules,
+    Backlog, Candidate, CircuitBreaker, CircuitBreakerRules, CrashTracker, IncarnationHash,
+    RequestKey,
 };
 use hinge_schema::routing::{Endpoint as Described, EngineLoad};
 use hinge_telemetry::log::Part;
@@ -31,7 +32,7 @@
 
 #[derive(Debug, Default)]
 struct Known {
-    standing: Standing,
+    standing: CircuitBreaker,
     /// Requests that this gateway has there.
     own_running: u32,
     /// Prompt tokens of requests that have not begun to answer.
@@ -78,7 +79,7 @@
     has_restarted: watch::Sender<bool>,
     began: Instant,
     known: Mutex<Known>,
-    ends: Mutex<Ends<BrokenRequest>>,
+    ends: Mutex<CrashTracker<BrokenRequest>>,
     /// Whether a connection is being opened to learn whether it has ended.
     is_probed: AtomicBool,
     suspects: Arc<Suspects>,
@@ -116,14 +117,14 @@
 
     /// Notes that it leaves as planned.
     pub(crate) fn leaves(&self) {
-        self.lock_ends().leaves();
+        self.lock_ends().record_planned_stop();
         self.drain();
     }
 
     /// Notes that the answer to a request broke off.
     pub(crate) fn broke(self: &Arc<Self>, request: BrokenRequest) {
         let now = self.began.elapsed();
-        let taken = self.lock_ends().broke(now, request);
+        let taken = self.lock_ends().record_broken(now, request);
         match taken {
             Some(request) => self
                 .suspects
@@ -135,7 +136,7 @@
     /// Notes word that it has ended.
     pub(crate) fn ended(&self, evidence: Evidence) {
         let now = self.began.elapsed();
-        let taken = self.lock_ends().ended(now);
+        let taken = self.lock_ends().record_crash(now);
         for request in taken {
             self.suspects.ended_under(&request, self, evidence);
         }
@@ -143,7 +144,8 @@
 
     /// Notes that a request whose answer broke off here was answered elsewhere.
     pub(crate) fn forgive(&self, request: &RequestKey) {
-        self.lock_ends().forgive(|broken| broken.key == *request);
+        self.lock_ends()
+            .forget_broken(|broken| broken.key == *request);
     }
 
     /// Opens a connection to learn whether anything listens, where no admission tells it.
@@ -176,7 +178,7 @@
         self.lock().engine.is_some()
     }
 
-    fn lock_ends(&self) -> MutexGuard<'_, Ends<BrokenRequest>> {
+    fn lock_ends(&self) -> MutexGuard<'_, CrashTracker<BrokenRequest>> {
         self.ends.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -223,7 +225,7 @@
         let known = self.lock();
         !self.is_draining()
             && !known.engine_is_gone()
-            && known.standing.is_open(self.began.elapsed())
+            && known.standing.allows_request(self.began.elapsed())
     }
 
     pub(crate) fn is_in(&self, data_center: &str) -> bool {
@@ -231,7 +233,11 @@
     }
 
     /// Describes it for the choice, with the age of its load in milliseconds.
-    pub(crate) fn candidate(&self, data_center: &str, keeps_parts: bool) -> (Candidate, u128) {
+    pub(crate) fn candidate(
+        &self,
+        data_center: &str,
+        has_cached_prefix: bool,
+    ) -> (Candidate, u128) {
         let known = self.lock();
         if let Some((load, age)) = known.fresh_engine() {
             let candidate = Candidate {
@@ -242,8 +248,8 @@
                     unread_tokens: load.unread_tokens + known.since_engine,
                     waiting_tokens: load.waiting_tokens,
                 },
-                is_near: self.is_in(data_center),
-                keeps_parts,
+                is_local: self.is_in(data_center),
+                has_cached_prefix,
             };
             return (candidate, age.as_millis());
         }
@@ -266,8 +272,8 @@
                 unread_tokens: known.unread_tokens,
                 waiting_tokens: 0,
             },
-            is_near: self.is_in(data_center),
-            keeps_parts,
+            is_local: self.is_in(data_center),
+            has_cached_prefix,
         };
         (candidate, age)
     }
@@ -275,7 +281,7 @@
     /// Notes that a request is sent; the use ends when the handle is dropped.
     pub(crate) fn begin(self: &Arc<Self>, tokens: u32, place: Option<Place>) -> Use {
         let mut known = self.lock();
-        known.standing.sent();
+        known.standing.record_sent();
         known.own_running += 1;
         known.since_load += 1;
         known.unread_tokens += tokens;
@@ -385,7 +391,7 @@
     pub(crate) fn answered(&mut self) {
         self.is_judged = true;
         let mut known = self.endpoint.lock();
-        known.standing.succeeded();
+        known.standing.record_success();
         known.unread_tokens -= self.tokens;
         self.tokens = 0;
     }
@@ -447,7 +453,9 @@
         let held = {
             let mut known = endpoint.lock();
             let now = endpoint.began.elapsed();
-            known.standing.failed(now, &StandingRules::default())
+            known
+                .standing
+                .record_failure(now, &CircuitBreakerRules::default())
         };
         if let Some(hold) = held {
             warn!(
@@ -468,7 +476,7 @@
         known.since_load -= 1;
         known.unread_tokens -= self.tokens;
         if !self.is_judged {
-            known.standing.gave_up();
+            known.standing.record_abandoned();
         }
     }
 }
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwap;
-use hinge_routing::{Address, Lookup};
+use hinge_routing::{Address, RouteIndex};
 use hinge_schema::routing::{EndpointList, EndpointState, RouteTable, RoutesUpdate, WatchRoutes};
 use hinge_telemetry::info;
 use hinge_telemetry::log::Part;
@@ -21,7 +21,7 @@
 /// Holds one moment's routes and endpoints.
 #[derive(Debug, Default)]
 pub(crate) struct Fleet {
-    pub(crate) lookup: Option<Arc<Lookup>>,
+    pub(crate) lookup: Option<Arc<RouteIndex>>,
     /// List that control told last, if it told one.
     list: Option<Arc<EndpointList>>,
     by_id: HashMap<Box<str>, Arc<Endpoint>>,
@@ -114,7 +114,7 @@
             teams = table.teams.len()
         );
         self.current.store(Arc::new(Fleet {
-            lookup: Some(Arc::new(Lookup::new(table))),
+            lookup: Some(Arc::new(RouteIndex::new(table))),
             list: held.list.clone(),
             by_id: held.by_id.clone(),
             by_service: held.by_service.clone(),
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -8,7 +8,7 @@
 use futures::stream::FuturesUnordered;
 use hinge_control::WATCH_ROUTES_PATH;
 use hinge_link::Client;
-use hinge_routing::{Address, Targets};
+use hinge_routing::{Address, ControlInstances};
 use hinge_schema::routing::{RoutesUpdate, WatchRoutes};
 use hinge_telemetry::log::Part;
 use hinge_telemetry::readiness::{Readiness, Reason};
@@ -43,13 +43,13 @@
     readiness: Arc<Readiness>,
     table_age_ms: Gauge,
 ) {
-    let mut targets = Targets::new(&seeds.borrow(), rand::random::<u32>() as usize);
+    let mut targets = ControlInstances::new(&seeds.borrow(), rand::random::<u32>() as usize);
     let mut neighbours = Neighbours::new();
     let mut told_at = Instant::now();
     loop {
         let was_followed = targets.is_followed();
         let question = question(&instance, &peer_address, &held);
-        let to_ask = targets.to_ask();
+        let to_ask = targets.to_query();
         held.control.store(Arc::new(to_ask.to_vec()));
         let asked = ask_any(&client, &question, &to_ask);
         let learned = neighbours.learn(&client, &held, &question);
@@ -66,7 +66,7 @@
                         without_ms = without.as_millis()
                     );
                 }
-                targets.answered(&address, &update.control, &seeds.borrow());
+                targets.record_answer(&address, &update.control, &seeds.borrow());
                 held.known_control.store(Arc::new(targets.known().to_vec()));
                 neighbours.named(update.gateways.clone());
                 let has_table = held.take_in(update);
@@ -78,7 +78,7 @@
                 }
             }
             Err(cause) => {
-                targets.failed(&seeds.borrow());
+                targets.record_failure(&seeds.borrow());
                 if was_followed || told_at.elapsed() >= TELL_EVERY {
                     told_at = Instant::now();
                     warn!(
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -10,7 +10,8 @@
 
 use hinge_link::{Client, ClusterKey, Limits, Server, ServerHandle};
 use hinge_routing::{
-    Budget, BudgetRules, ChoiceRules, Holders, IncarnationHash, KeptParts, Overload, OverloadRules,
+    CachedPrefixes, ChoiceRules, Holders, IncarnationHash, OverloadControl, OverloadRules,
+    RetryBudget, RetryBudgetRules,
 };
 use hinge_schema::routing::MeetGateways;
 use hinge_telemetry::info;
@@ -76,7 +77,7 @@
     /// Port of the admissions beside the model engines; none where there are none.
     pub admission_port: Option<u16>,
     /// Budget of second sends to a service.
-    pub budget: BudgetRules,
+    pub budget: RetryBudgetRules,
     /// Weights of the choice.
     pub choice: ChoiceRules,
     /// Prompt tokens that an engine may have before it to take a request that another one refused.
@@ -103,25 +104,25 @@
     pub(crate) is_closed: watch::Sender<bool>,
     /// When a planned stop cuts what still runs, once one has begun.
     pub(crate) stops_at: OnceLock<Instant>,
-    overload: Mutex<Overload>,
-    budget_rules: BudgetRules,
-    budgets: Mutex<HashMap<Box<str>, Budget>>,
+    overload: Mutex<OverloadControl>,
+    budget_rules: RetryBudgetRules,
+    budgets: Mutex<HashMap<Box<str>, RetryBudget>>,
     /// By service.
     teams: Mutex<HashMap<Box<str>, Arc<Teams>>>,
-    kept_parts: Mutex<KeptParts>,
+    kept_parts: Mutex<CachedPrefixes>,
     pub(crate) handoffs: Handoffs,
     began: Instant,
 }
 
 impl Shared {
     /// Returns the limits of this gateway's own load.
-    pub(crate) fn overload(&self) -> MutexGuard<'_, Overload> {
+    pub(crate) fn overload(&self) -> MutexGuard<'_, OverloadControl> {
         self.overload.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Closes or opens the door for new connections as the limits of the load say.
     pub(crate) fn follow_overload(&self) {
-        let is_closed = self.overload().is_closed();
+        let is_closed = self.overload().refuses_connections();
         self.is_closed.send_if_modified(|known| {
             let is_new = *known != is_closed;
             *known = is_closed;
@@ -142,12 +143,12 @@
 
     /// Counts a request to a service.
     pub(crate) fn note_request(&self, service: &str) {
-        self.with_budget(service, Budget::request);
+        self.with_budget(service, RetryBudget::record_request);
     }
 
     /// Returns whether a request to a service may be sent once more, and counts it if so.
     pub(crate) fn try_repeat(&self, service: &str) -> bool {
-        self.with_budget(service, Budget::try_repeat)
+        self.with_budget(service, RetryBudget::try_retry)
     }
 
     /// Returns the endpoints that should keep the shared parts that a number stands for, the one used last first.
@@ -157,20 +158,25 @@
 
     /// Notes that an endpoint has the shared parts that a number stands for.
     pub(crate) fn note_kept(&self, key: u64, endpoint: IncarnationHash) {
-        self.kept_parts().note(self.began.elapsed(), key, endpoint);
+        self.kept_parts()
+            .record(self.began.elapsed(), key, endpoint);
     }
 
-    fn kept_parts(&self) -> MutexGuard<'_, KeptParts> {
+    fn kept_parts(&self) -> MutexGuard<'_, CachedPrefixes> {
         self.kept_parts
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn with_budget<T>(&self, service: &str, act: impl FnOnce(&mut Budget, Duration) -> T) -> T {
+    fn with_budget<T>(
+        &self,
+        service: &str,
+        act: impl FnOnce(&mut RetryBudget, Duration) -> T,
+    ) -> T {
         let now = self.began.elapsed();
         let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
         if !budgets.contains_key(service) {
-            budgets.insert(service.into(), Budget::new(self.budget_rules));
+            budgets.insert(service.into(), RetryBudget::new(self.budget_rules));
         }
         let budget = budgets
             .get_mut(service)
@@ -233,7 +239,7 @@
             connections: Connections::new(settings.max_connections),
             is_closed: watch::Sender::new(false),
             stops_at: OnceLock::new(),
-            overload: Mutex::new(Overload::new(settings.overload)),
+            overload: Mutex::new(OverloadControl::new(settings.overload)),
             budget_rules: settings.budget,
             budgets: Mutex::default(),
             teams: Mutex::default(),
@@ -396,7 +402,7 @@
             continue;
         };
         shared.metrics.connections.inc();
-        shared.overload().connected();
+        shared.overload().record_connection();
         shared.follow_overload();
         // A caller whose connection closes before its request is read tries another gateway at once.
         if shared.connections.try_open() {
--- a/crates/gateway/src/handoff.rs
+++ b/crates/gateway/src/handoff.rs
@@ -12,7 +12,7 @@
 
 use bytes::Bytes;
 use hinge_link::ClusterKey;
-use hinge_routing::{Nearby, Overloaded};
+use hinge_routing::{Overloaded, PeerGateways};
 use hinge_telemetry::log::Part;
 use hinge_telemetry::{info, warn};
 use http::header::{CONNECTION, HeaderName};
@@ -115,7 +115,7 @@
 pub(crate) struct Handoffs {
     key: ClusterKey,
     began: Instant,
-    nearby: Mutex<Nearby>,
+    nearby: Mutex<PeerGateways>,
     pools: Mutex<HashMap<SocketAddr, Arc<Pool>>>,
 }
 
@@ -132,8 +132,8 @@
     /// Takes in the addresses of other gateways.
     pub(crate) fn named(&self, addresses: &[SocketAddr]) {
         let mut nearby = self.nearby();
-        nearby.named(self.began.elapsed(), addresses);
-        self.pools().retain(|address, _| nearby.knows(*address));
+        nearby.record_listed(self.began.elapsed(), addresses);
+        self.pools().retain(|address, _| nearby.contains(*address));
     }
 
     fn choose(&self, except: &[SocketAddr]) -> Option<SocketAddr> {
@@ -142,7 +142,7 @@
     }
 
     fn rests(&self, address: SocketAddr, rest: Duration) {
-        self.nearby().rests(self.began.elapsed(), address, rest);
+        self.nearby().suspend(self.began.elapsed(), address, rest);
     }
 
     fn pool(&self, address: SocketAddr) -> Arc<Pool> {
@@ -150,7 +150,7 @@
         Arc::clone(self.pools().entry(address).or_insert_with(pool))
     }
 
-    fn nearby(&self) -> MutexGuard<'_, Nearby> {
+    fn nearby(&self) -> MutexGuard<'_, PeerGateways> {
         self.nearby.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -182,7 +182,7 @@
 
 impl Drop for Use {
     fn drop(&mut self) {
-        self.shared.handoffs.nearby().ended(self.address);
+        self.shared.handoffs.nearby().request_ended(self.address);
     }
 }
 
@@ -251,7 +251,7 @@
     if shared.stops_at.get().is_some() {
         return None;
     }
-    if shared.handoffs.nearby().under_way() >= MOST_UNDER_WAY {
+    if shared.handoffs.nearby().in_flight() >= MOST_UNDER_WAY {
         return None;
     }
     let mut asked: SmallVec<[SocketAddr; MOST_ASKED]> = SmallVec::new();
@@ -264,7 +264,7 @@
         };
         match send(in_use, table, outgoing).await {
             Handed::Answered(response) => {
-                shared.overload().handed_off();
+                shared.overload().record_handoff();
                 tell(outgoing, address, asked.len(), overloaded);
                 return Some(response);
             }
@@ -301,7 +301,7 @@
     }
     let is_kept = !closes(&head.headers);
     strip_connection(&mut head.headers);
-    if shared.overload().closes_one() {
+    if shared.overload().should_close_connection() {
         let close = HeaderValue::from_static("close");
         head.headers.insert(CONNECTION, close);
     }
@@ -333,7 +333,7 @@
         team = outgoing.team.as_deref().unwrap_or("-"),
         to = address,
         asked = asked,
-        bound = overloaded.bound.name(),
+        bound = overloaded.limit_kind.name(),
         running = overloaded.running,
         limit = overloaded.limit,
         lag_ms = overloaded.lag.as_millis()
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use hinge_routing::{
-    Candidate, Holders, Lag, Prompt, Room, Source, choose, choose_again, copy_time, fetch_source,
+    BacklogLimits, Candidate, Holders, KvSource, Prompt, UsageLag, choose_after_refusal,
+    choose_endpoint, choose_kv_source, token_copy_time,
 };
 use hinge_schema::routing::{AdmitAsk, Engine, Route};
 use http::StatusCode;
@@ -134,7 +135,7 @@
                     story.cause = "the admission refused";
                     story.refused.push(Arc::clone(&endpoint));
                     story.retry_after = Some(retry_after);
-                    if story.refused.len() < self.lag().max_asked() {
+                    if story.refused.len() < self.lag().max_admissions() {
                         continue;
                     }
                     return Tried::Refused(story.refusal(retry_after));
@@ -220,9 +221,9 @@
     }
 
     /// Returns how far the use of the request's team lags behind that of the team with the most.
-    fn lag(&self) -> Lag {
+    fn lag(&self) -> UsageLag {
         let team = self.outgoing.team.as_deref();
-        team.map_or(Lag::Even, |team| self.teams().lag_of(team))
+        team.map_or(UsageLag::Even, |team| self.teams().lag_of(team))
     }
 
     fn teams(&self) -> Arc<Teams> {
@@ -240,7 +241,7 @@
         }
         let engines = self.fleet.of_service(&self.service).len();
         admitter.follow(endpoint, engines, &self.gateway.data_center);
-        endpoint.asks(prompt.own_tokens());
+        endpoint.asks(prompt.unshared_tokens());
         let (shared_key, shared_tokens) = prompt.shared_key().unwrap_or_default();
         let (rank, budget) = self.urgency(story);
         let ask = AdmitAsk {
@@ -296,12 +297,12 @@
     }
 
     /// Returns up to which backlog an engine is of use, where another one refused.
-    fn room(&self) -> Room {
+    fn room(&self) -> BacklogLimits {
         let target = Duration::from_millis(self.route.target_latency_ms);
         let left = target.saturating_sub(self.arrived.elapsed());
-        Room {
+        BacklogLimits {
             idle_tokens: self.gateway.max_spill_tokens,
-            readable_tokens: self.gateway.choice.readable_tokens(left),
+            prefillable_tokens: self.gateway.choice.prefillable_tokens(left),
         }
     }
 
@@ -333,7 +334,7 @@
     fn fetch_source(&self, endpoint: &Endpoint) -> Option<SocketAddr> {
         let engine = self.engine.as_ref()?;
         let prompt = self.prompt.as_ref().filter(|_| self.route.prompts)?;
-        let copy_token = copy_time(engine.token_bytes?, engine.link_mbps?)?;
+        let copy_token = token_copy_time(engine.token_bytes?, engine.link_mbps?)?;
         let holders = self.holders();
         if holders.contains(&endpoint.incarnation) {
             return None;
@@ -343,14 +344,14 @@
         let sound: SmallVec<[&Arc<Endpoint>; 16]> = listed
             .filter(|listed| listed.is_open() && listed.has_fresh_load())
             .collect();
-        let sources: SmallVec<[Source; 16]> = sound
+        let sources: SmallVec<[KvSource; 16]> = sound
             .iter()
-            .map(|endpoint| Source {
+            .map(|endpoint| KvSource {
                 hash: endpoint.hash,
                 incarnation: endpoint.incarnation,
             })
             .collect();
-        let place = fetch_source(&sources, &holders, prompt, copy_token)?;
+        let place = choose_kv_source(&sources, &holders, prompt, copy_token)?;
         let source = sound[place].described.address;
         (source != endpoint.described.address).then_some(source)
     }
@@ -390,8 +391,8 @@
         };
         let holders = self.holders();
         let described = usable.iter().map(|endpoint| {
-            let keeps_parts = holders.contains(&endpoint.incarnation);
-            endpoint.candidate(&self.gateway.data_center, keeps_parts)
+            let has_cached_prefix = holders.contains(&endpoint.incarnation);
+            endpoint.candidate(&self.gateway.data_center, has_cached_prefix)
         });
         let (candidates, ages): (Vec<Candidate>, Vec<u128>) = described.unzip();
         story.candidates = candidates.len();
@@ -399,10 +400,10 @@
         let prompt = self.prompt.as_ref().filter(|_| self.route.prompts);
         let (far_bytes, draw) = (self.far_bytes(), rand::random());
         let place = if story.refused.is_empty() {
-            choose(&candidates, prompt, far_bytes, rules, draw)
+            choose_endpoint(&candidates, prompt, far_bytes, rules, draw)
         } else {
             let room = self.room();
-            choose_again(
+            choose_after_refusal(
                 &candidates,
                 prompt,
                 far_bytes,
--- a/crates/gateway/src/load.rs
+++ b/crates/gateway/src/load.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hinge_routing::{Bound, Overloaded, Tally};
+use hinge_routing::{LimitKind, OverloadCounts, Overloaded};
 use hinge_telemetry::log::Part;
 use hinge_telemetry::readiness::{Readiness, Reason};
 use hinge_telemetry::{info, warn};
@@ -32,10 +32,10 @@
         let now = Instant::now();
         let (limit, lag, is_short, is_full, is_guarded) = {
             let mut overload = shared.overload();
-            overload.ticked(now - began, now - due);
+            overload.record_tick(now - began, now - due);
             let (limit, lag) = (overload.limit(), overload.lag());
-            let (is_short, is_full) = (overload.is_short(), overload.is_full());
-            (limit, lag, is_short, is_full, overload.is_guarded())
+            let (is_short, is_full) = (overload.is_overloaded(), overload.is_full());
+            (limit, lag, is_short, is_full, overload.limits_connections())
         };
         shared.follow_overload();
         if is_guarded != was_guarded {
@@ -82,7 +82,7 @@
         was_short = is_short;
         if counted_at.elapsed() >= COUNT_EVERY {
             counted_at = now;
-            let tally = shared.overload().take_tally();
+            let tally = shared.overload().take_counts();
             shared.metrics.count(&tally);
             if tally.has_excess() {
                 tell(&tally, limit, lag);
@@ -92,7 +92,7 @@
 }
 
 /// Writes what was taken and turned away, and why.
-fn tell(tally: &Tally, limit: u32, lag: Duration) {
+fn tell(tally: &OverloadCounts, limit: u32, lag: Duration) {
     info!(
         Part::Gateway,
         "Load.",
@@ -101,11 +101,11 @@
         handed_off = tally.handed_off,
         taken_over = tally.taken_over,
         declined = tally.declined,
-        refused_all = tally.refused_at(Bound::All),
-        refused_hot_teams = tally.refused_at(Bound::HotTeams),
-        refused_other_teams = tally.refused_at(Bound::OtherTeams),
-        refused_lag = tally.refused_at(Bound::Lag),
-        shut_ms = tally.shut.as_millis(),
+        refused_all = tally.refused_at(LimitKind::All),
+        refused_hot_teams = tally.refused_at(LimitKind::HotTeams),
+        refused_other_teams = tally.refused_at(LimitKind::OtherTeams),
+        refused_lag = tally.refused_at(LimitKind::Lag),
+        shut_ms = tally.closed_time.as_millis(),
         limit = limit,
         lag_ms = lag.as_millis()
     );
@@ -148,6 +148,6 @@
 
 impl Drop for Running {
     fn drop(&mut self) {
-        self.shared.overload().ended(&self.team);
+        self.shared.overload().request_ended(&self.team);
     }
 }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,6 +1,6 @@
 //! Counts a gateway's work.
 
-use hinge_routing::{Bound, Tally};
+use hinge_routing::{LimitKind, OverloadCounts};
 use hinge_telemetry::metrics::{HistogramFamily, LATENCY_SECONDS, Registry, TeamLabels};
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -109,8 +109,8 @@
     }
 
     /// Adds what the limits of the load have counted.
-    pub(crate) fn count(&self, tally: &Tally) {
-        for bound in Bound::ALL {
+    pub(crate) fn count(&self, tally: &OverloadCounts) {
+        for bound in LimitKind::ALL {
             let labels = [("bound", bound.name())];
             let refused = tally.refused_at(bound);
             self.refused.get_or_create(&labels).inc_by(refused.into());
@@ -118,7 +118,7 @@
         self.handed_off.inc_by(tally.handed_off.into());
         self.taken_over.inc_by(tally.taken_over.into());
         self.declined.inc_by(tally.declined.into());
-        let shut_ms = u64::try_from(tally.shut.as_millis()).unwrap_or(u64::MAX);
+        let shut_ms = u64::try_from(tally.closed_time.as_millis()).unwrap_or(u64::MAX);
         self.shut_ms.inc_by(shut_ms);
     }
 
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use hinge_routing::{Lookup, Overloaded};
+use hinge_routing::{Overloaded, RouteIndex};
 use hinge_schema::routing::{Engine, RequestKind, Route};
 use hinge_telemetry::info;
 use hinge_telemetry::log::Part;
@@ -202,14 +202,14 @@
     let route = lookup
         .route(host, parts.uri.path())
         .ok_or(Refusal::NoRoute)?;
-    let team = if route.public || !lookup.needs_keys() {
+    let team = if route.public || !lookup.requires_keys() {
         None
     } else {
         let key = facts.key.as_deref().ok_or(Refusal::NoTeam)?;
         let team = lookup.team(key).ok_or(Refusal::NoTeam)?;
         Some(team)
     };
-    let target = Lookup::target(route, rand::random()).ok_or(Refusal::NoRoute)?;
+    let target = RouteIndex::pick_target(route, rand::random()).ok_or(Refusal::NoRoute)?;
     let service = lookup.service(&target.service);
     Ok(Found {
         service: target.service.clone(),
@@ -318,7 +318,7 @@
         team = team.unwrap_or("-"),
         prompt_tokens = prompt_tokens,
         answer_tokens = answer_tokens,
-        bound = overloaded.bound.name(),
+        bound = overloaded.limit_kind.name(),
         running = overloaded.running,
         limit = overloaded.limit,
         team_running = overloaded.team_running,
@@ -326,8 +326,8 @@
     );
     let mut response = refusal.response();
     let mut overload = gateway.overload();
-    overload.refuse(&overloaded);
-    if overload.wants_anew() {
+    overload.record_refusal(&overloaded);
+    if overload.should_reconnect() {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
     }
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -94,8 +94,8 @@
         self.ends.inc();
         let end = (request.key, endpoint.incarnation);
         let ends = self.change(|known| {
-            known.note(known.version(), &[end], &[]);
-            known.ends(&request.key)
+            known.record(known.version(), &[end], &[]);
+            known.crash_count(&request.key)
         });
         self.untold.add_end(end);
         warn!(
@@ -116,10 +116,10 @@
             return;
         }
         let request = outgoing.key();
-        if self.lock().ends(&request) == 0 {
+        if self.lock().crash_count(&request) == 0 {
             return;
         }
-        self.change(|known| known.note(known.version(), &[], &[request]));
+        self.change(|known| known.record(known.version(), &[], &[request]));
         self.untold.add_completed(request);
     }
 
@@ -140,12 +140,12 @@
 
     /// Returns what is known and newer than a version.
     pub(crate) fn newer_than(&self, version: u64) -> Option<SuspectList> {
-        self.lock().newer_than(version)
+        self.lock().changes_since(version)
     }
 
     /// Takes in what control, or another gateway, tells.
     pub(crate) fn take_in(&self, list: &SuspectList) {
-        self.change(|known| known.take_in(list));
+        self.change(|known| known.apply(list));
     }
 
     fn change<T>(&self, act: impl FnOnce(&mut Known) -> T) -> T {
--- a/crates/gateway/src/teams.rs
+++ b/crates/gateway/src/teams.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hinge_routing::Lag;
+use hinge_routing::UsageLag;
 use tokio::time::Instant;
 
 use crate::endpoint::Endpoint;
@@ -48,7 +48,7 @@
     }
 
     /// Returns how far a team's use lags behind that of the team with the most.
-    pub(crate) fn lag_of(&self, team: &str) -> Lag {
-        Lag::of(self.used_by(team), self.most)
+    pub(crate) fn lag_of(&self, team: &str) -> UsageLag {
+        UsageLag::compare(self.used_by(team), self.most)
     }
 }
--- a/crates/routing/src/kept.rs
+++ b/crates/routing/src/cached_prefixes.rs
@@ -32,14 +32,14 @@
 
 /// Holds where shared parts were read lately, as far as one gateway has seen.
 #[derive(Debug, Default)]
-pub struct KeptParts {
+pub struct CachedPrefixes {
     /// By the number that stands for the parts; the holder used last comes first.
     parts: HashMap<u64, SmallVec<[Holder; MOST_HOLDERS]>>,
 }
 
-impl KeptParts {
+impl CachedPrefixes {
     /// Notes that an endpoint has read, or had, the parts that a number stands for.
-    pub fn note(&mut self, now: Duration, key: u64, endpoint: IncarnationHash) {
+    pub fn record(&mut self, now: Duration, key: u64, endpoint: IncarnationHash) {
         if self.parts.len() >= MOST_PARTS && !self.parts.contains_key(&key) {
             self.forget_old(now);
         }
--- a/crates/routing/src/check.rs
+++ b/crates/routing/src/check.rs
@@ -83,7 +83,7 @@
 /// # Errors
 ///
 /// Returns the first rule that the table breaks.
-pub fn check(table: &RouteTable) -> Result<(), TableError> {
+pub fn check_table(table: &RouteTable) -> Result<(), TableError> {
     let services: BTreeSet<&str> = table
         .services
         .iter()
--- a/crates/routing/src/choose.rs
+++ b/crates/routing/src/choose.rs
@@ -9,7 +9,7 @@
 
 use smallvec::SmallVec;
 
-use crate::lag::{Backlog, Lag, Room};
+use crate::usage_lag::{Backlog, BacklogLimits, UsageLag};
 
 /// Describes one part of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -34,21 +34,21 @@
 impl Prompt {
     /// Returns the parts that other requests share.
     #[must_use]
-    pub fn shared(&self) -> &[PromptPart] {
+    pub fn shared_parts(&self) -> &[PromptPart] {
         self.parts.split_last().map_or(&[], |(_own, shared)| shared)
     }
 
     /// Returns the tokens that no other request shares.
     #[must_use]
-    pub fn own_tokens(&self) -> u32 {
-        let shared = self.shared().iter().map(|part| part.tokens).sum();
+    pub fn unshared_tokens(&self) -> u32 {
+        let shared = self.shared_parts().iter().map(|part| part.tokens).sum();
         self.prompt_tokens.saturating_sub(shared)
     }
 
     /// Returns the number that stands for the shared parts, and their tokens; none without shared parts.
     #[must_use]
     pub fn shared_key(&self) -> Option<(u64, u32)> {
-        let shared = self.shared();
+        let shared = self.shared_parts();
         if shared.is_empty() {
             return None;
         }
@@ -70,18 +70,18 @@
     /// Prompt tokens that it has before it.
     pub backlog: Backlog,
     /// Whether it is in this gateway's data centre.
-    pub is_near: bool,
+    pub is_local: bool,
     /// Whether it has read the shared parts lately, as far as this gateway has seen.
-    pub keeps_parts: bool,
+    pub has_cached_prefix: bool,
 }
 
 /// Sets what the choice weighs; costs are in microseconds of an engine's time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ChoiceRules {
     /// Endpoints that keep a shared part.
-    pub homes: usize,
+    pub home_count: usize,
     /// Cost of one token that has to be read first.
-    pub token_us: u64,
+    pub backlog_token_us: u64,
     /// Cost of one token that would have to be read anew.
     pub missing_token_us: u64,
     /// Cost of one request that runs already: every step takes longer, and its prompt may be read first.
@@ -89,9 +89,9 @@
     /// Cost of a request that would have to wait for a slot.
     pub waiting_us: u64,
     /// Cost of leaving the data centre: its round trip.
-    pub far_us: u64,
+    pub remote_us: u64,
     /// Cost of a kilobyte that leaves the data centre.
-    pub far_kb_us: u64,
+    pub remote_kb_us: u64,
 }
 
 impl Default for ChoiceRules {
@@ -104,13 +104,13 @@
     /// its bytes, which the users weigh: a kilobyte about as much as 30 tokens that are read again.
     fn default() -> Self {
         Self {
-            homes: 1,
-            token_us: 40,
+            home_count: 1,
+            backlog_token_us: 40,
             missing_token_us: 200,
             running_us: 2_000,
             waiting_us: 60_000,
-            far_us: 8_000,
-            far_kb_us: 5_000,
+            remote_us: 8_000,
+            remote_kb_us: 5_000,
         }
     }
 }
@@ -118,8 +118,8 @@
 impl ChoiceRules {
     /// Returns how many tokens an engine reads in some time, as the choice weighs them.
     #[must_use]
-    pub fn readable_tokens(&self, time: Duration) -> u32 {
-        let tokens = time.as_micros() / u128::from(self.token_us.max(1));
+    pub fn prefillable_tokens(&self, time: Duration) -> u32 {
+        let tokens = time.as_micros() / u128::from(self.backlog_token_us.max(1));
         u32::try_from(tokens).unwrap_or(u32::MAX)
     }
 }
@@ -134,7 +134,7 @@
 ///
 /// `far_bytes` are the bytes that leave the data centre with it; `draw` decides between equal ones.
 #[must_use]
-pub fn choose(
+pub fn choose_endpoint(
     candidates: &[Candidate],
     prompt: Option<&Prompt>,
     far_bytes: u64,
@@ -142,15 +142,15 @@
     draw: u64,
 ) -> Option<usize> {
     let shared = prompt.and_then(Prompt::shared_key);
-    let homes = shared.map(|(key, _)| homes_of(candidates, key, rules.homes + 1));
+    let homes = shared.map(|(key, _)| homes_of(candidates, key, rules.home_count + 1));
     let costs = candidates.iter().enumerate().map(|(place, candidate)| {
         let tokens = shared.map_or(0, |(_, tokens)| u64::from(tokens));
         let homes = homes.as_ref();
         let rank = homes.and_then(|homes| homes.iter().position(|home| *home == place));
         // Requests that leave the homes go to the next one in rank, so that it has the part the next time.
         let missing = match rank {
-            _ if candidate.keeps_parts => 0,
-            Some(rank) if rank < rules.homes => 0,
+            _ if candidate.has_cached_prefix => 0,
+            Some(rank) if rank < rules.home_count => 0,
             Some(_next) => tokens * 3 / 4,
             None => tokens,
         };
@@ -168,17 +168,17 @@
 /// the others can't wait for it. The next in rank is often as busy, while some endpoint is idle at every moment, or has only asks of
 /// those others waiting. Reading the shared parts anew takes the place of others, so only a team that is behind leaves the next in rank.
 #[must_use]
-pub fn choose_again(
+pub fn choose_after_refusal(
     candidates: &[Candidate],
     prompt: Option<&Prompt>,
     far_bytes: u64,
     rules: &ChoiceRules,
-    lag: Lag,
-    room: Room,
+    lag: UsageLag,
+    room: BacklogLimits,
     draw: u64,
 ) -> Option<usize> {
-    if lag == Lag::Even {
-        let chosen = choose(candidates, prompt, far_bytes, rules, draw)?;
+    if lag == UsageLag::Even {
+        let chosen = choose_endpoint(candidates, prompt, far_bytes, rules, draw)?;
         return lag
             .may_ask(candidates[chosen].backlog, room)
             .then_some(chosen);
@@ -186,7 +186,7 @@
     let places = candidates.iter().copied().enumerate();
     let asked = places.filter(|(_, candidate)| lag.may_ask(candidate.backlog, room));
     let (places, asked): (Vec<usize>, Vec<Candidate>) = asked.unzip();
-    let chosen = choose(&asked, prompt, far_bytes, rules, draw)?;
+    let chosen = choose_endpoint(&asked, prompt, far_bytes, rules, draw)?;
     Some(places[chosen])
 }
 
@@ -198,14 +198,14 @@
     );
     u64::from(candidate.running) * rules.running_us
         + waiting * rules.waiting_us
-        + u64::from(candidate.backlog.tokens()) * rules.token_us
+        + u64::from(candidate.backlog.tokens()) * rules.backlog_token_us
 }
 
 fn far_us(candidate: &Candidate, bytes: u64, rules: &ChoiceRules) -> u64 {
-    if candidate.is_near {
+    if candidate.is_local {
         0
     } else {
-        rules.far_us + bytes * rules.far_kb_us / 1_000
+        rules.remote_us + bytes * rules.remote_kb_us / 1_000
     }
 }
 
--- a/crates/routing/src/targets.rs
+++ b/crates/routing/src/control_instances.rs
@@ -13,14 +13,14 @@
 
 /// Holds the known control instances, and which one is followed.
 #[derive(Debug, Clone)]
-pub struct Targets {
+pub struct ControlInstances {
     known: Vec<Address>,
     /// Where the next question goes among the known ones.
     next: usize,
     is_followed: bool,
 }
 
-impl Targets {
+impl ControlInstances {
     /// Starts with some addresses; `draw` spreads gateways over them.
     #[must_use]
     pub fn new(seeds: &[Address], draw: usize) -> Self {
@@ -33,7 +33,7 @@
 
     /// Returns the instances to ask now: the one that is followed, or some others at once.
     #[must_use]
-    pub fn to_ask(&self) -> SmallVec<[Address; ASKED_AT_ONCE]> {
+    pub fn to_query(&self) -> SmallVec<[Address; ASKED_AT_ONCE]> {
         let count = if self.is_followed { 1 } else { ASKED_AT_ONCE };
         let from_next = self.known.iter().cycle().skip(self.next);
         from_next
@@ -43,7 +43,7 @@
     }
 
     /// Notes that one instance answered, with the ones that it knows; it is followed from now on.
-    pub fn answered(&mut self, address: &str, known: &[Address], seeds: &[Address]) {
+    pub fn record_answer(&mut self, address: &str, known: &[Address], seeds: &[Address]) {
         self.learn(known, seeds);
         if !self.known.iter().any(|other| **other == *address) {
             self.known.push(address.into());
@@ -54,8 +54,8 @@
     }
 
     /// Notes that none that were asked answered; the next ones are asked then.
-    pub fn failed(&mut self, seeds: &[Address]) {
-        let asked = self.to_ask().len();
+    pub fn record_failure(&mut self, seeds: &[Address]) {
+        let asked = self.to_query().len();
         self.is_followed = false;
         self.next = (self.next + asked) % self.known.len().max(1);
         let known = self.known.clone();
--- a/crates/routing/src/tally.rs
+++ b/crates/routing/src/counts.rs
@@ -4,7 +4,7 @@
 
 /// Says which limit a request met.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Bound {
+pub enum LimitKind {
     /// The limit of all requests under way.
     All,
     /// The part of it that teams may fill which ask for far more than an even share.
@@ -15,7 +15,7 @@
     Lag,
 }
 
-impl Bound {
+impl LimitKind {
     /// All limits.
     pub const ALL: [Self; 4] = [Self::All, Self::HotTeams, Self::OtherTeams, Self::Lag];
 
@@ -33,7 +33,7 @@
 
 /// Holds the counts since they were last taken.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct OverloadCounts {
     /// Connections that were taken.
     pub connections: u32,
     /// Requests to model engines that began.
@@ -44,20 +44,20 @@
     pub taken_over: u32,
     /// Requests of other gateways that found no room here.
     pub declined: u32,
-    refused: [u32; Bound::ALL.len()],
+    refused: [u32; LimitKind::ALL.len()],
     /// Time for which nobody listened for connections; attempts in it fail and are not seen here.
-    pub shut: Duration,
+    pub closed_time: Duration,
 }
 
-impl Tally {
+impl OverloadCounts {
     /// Counts a request that is turned away.
-    pub(crate) fn refuse(&mut self, bound: Bound) {
+    pub(crate) fn refuse(&mut self, bound: LimitKind) {
         self.refused[bound as usize] += 1;
     }
 
     /// Returns how many requests were turned away at a limit.
     #[must_use]
-    pub fn refused_at(&self, bound: Bound) -> u32 {
+    pub fn refused_at(&self, bound: LimitKind) -> u32 {
         self.refused[bound as usize]
     }
 
@@ -66,6 +66,6 @@
     pub fn has_excess(&self) -> bool {
         let passed = self.handed_off + self.taken_over + self.declined;
         let refused: u32 = self.refused.iter().sum();
-        passed + refused > 0 || !self.shut.is_zero()
+        passed + refused > 0 || !self.closed_time.is_zero()
     }
 }
--- a/crates/routing/src/ends.rs
+++ b/crates/routing/src/crashes.rs
@@ -15,13 +15,13 @@
 
 /// Holds the answers of one start of an endpoint that broke off, and whether it has ended.
 #[derive(Debug)]
-pub struct Ends<R> {
+pub struct CrashTracker<R> {
     broken: VecDeque<(Duration, R)>,
     ended_at: Option<Duration>,
     is_leaving: bool,
 }
 
-impl<R> Default for Ends<R> {
+impl<R> Default for CrashTracker<R> {
     fn default() -> Self {
         Self {
             broken: VecDeque::new(),
@@ -31,9 +31,9 @@
     }
 }
 
-impl<R> Ends<R> {
+impl<R> CrashTracker<R> {
     /// Notes a request whose answer broke off, and returns it if the endpoint has just ended.
-    pub fn broke(&mut self, now: Duration, request: R) -> Option<R> {
+    pub fn record_broken(&mut self, now: Duration, request: R) -> Option<R> {
         if self.is_leaving {
             return None;
         }
@@ -51,7 +51,7 @@
     }
 
     /// Notes word that the endpoint has ended, and returns the requests that it took with it.
-    pub fn ended(&mut self, now: Duration) -> Vec<R> {
+    pub fn record_crash(&mut self, now: Duration) -> Vec<R> {
         let broken = std::mem::take(&mut self.broken);
         if self.is_leaving {
             return Vec::new();
@@ -63,12 +63,12 @@
     }
 
     /// Forgets broken answers that had another cause than an end.
-    pub fn forgive(&mut self, is_innocent: impl Fn(&R) -> bool) {
+    pub fn forget_broken(&mut self, is_innocent: impl Fn(&R) -> bool) {
         self.broken.retain(|(_, request)| !is_innocent(request));
     }
 
     /// Notes that the endpoint leaves as planned, so that its end is nobody's fault.
-    pub fn leaves(&mut self) {
+    pub fn record_planned_stop(&mut self) {
         self.is_leaving = true;
         self.broken.clear();
     }
--- a/crates/routing/src/fetch.rs
+++ b/crates/routing/src/kv_source.rs
@@ -5,8 +5,8 @@
 
 use std::time::Duration;
 
+use crate::cached_prefixes::IncarnationHash;
 use crate::choose::{Prompt, home_rank};
-use crate::kept::IncarnationHash;
 
 /// Time in which an engine reads a token under load: 25 to 45 tokens in a millisecond were measured.
 const READ_TOKEN: Duration = Duration::from_micros(25);
@@ -16,7 +16,7 @@
 
 /// Describes an engine that may keep the shared parts of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Source {
+pub struct KvSource {
     /// Number that stands for the endpoint's id, the same at every gateway.
     pub hash: u64,
     /// Number that stands for its present incarnation.
@@ -25,7 +25,7 @@
 
 /// Returns the time in which one token's memory goes from one engine to another, by the size of a token and the link.
 #[must_use]
-pub fn copy_time(token_bytes: u64, link_mbps: u64) -> Option<Duration> {
+pub fn token_copy_time(token_bytes: u64, link_mbps: u64) -> Option<Duration> {
     let bits = token_bytes.checked_mul(8)?;
     let picoseconds = bits.checked_mul(1_000_000)?.checked_div(link_mbps)?;
     (bits > 0).then(|| Duration::from_nanos(picoseconds / 1_000))
@@ -36,8 +36,8 @@
 /// `holders` read the parts lately, the last one first; it is the one to keep them if any does. Where nobody is known to have read
 /// them, the first in rank is asked, which is their home. A source that no longer keeps them costs the setup alone.
 #[must_use]
-pub fn fetch_source(
-    sources: &[Source],
+pub fn choose_kv_source(
+    sources: &[KvSource],
     holders: &[IncarnationHash],
     prompt: &Prompt,
     copy_token: Duration,
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,45 +1,47 @@
 //! Decides where a request goes, without any I/O and with the time as an argument.
 //!
-//! [`Lookup`] finds the route and the team of a request. [`choose`] ranks the endpoints that may take it. [`Budget`]
-//! bounds how often requests are sent a second time, and [`Standing`] keeps endpoints out that fail. [`load_interval`]
-//! says how often a gateway wants to hear of their loads, [`KeptParts`] and [`fetch_source`] where the parts of a prompt are kept,
-//! [`Lag`] where a refused request may still ask, and [`Overload`] which requests a gateway turns away because it is itself too busy;
-//! [`Nearby`] chooses another gateway for them.
-//! [`Targets`] names the control instances that it asks. [`Ends`] tells which requests an endpoint took with it when it ended, by
+//! [`RouteIndex`] finds the route and the team of a request. [`choose_endpoint`] ranks the endpoints that may take it. [`RetryBudget`]
+//! bounds how often requests are sent a second time, and [`CircuitBreaker`] keeps endpoints out that fail. [`load_interval`]
+//! says how often a gateway wants to hear of their loads, [`CachedPrefixes`] and [`choose_kv_source`] where the parts of a prompt are kept,
+//! [`UsageLag`] where a refused request may still ask, and [`OverloadControl`] which requests a gateway turns away because it is itself too busy;
+//! [`PeerGateways`] chooses another gateway for them.
+//! [`ControlInstances`] names the control instances that it asks. [`CrashTracker`] tells which requests an endpoint took with it when it ended, by
 //! their [`RequestKey`], and [`Suspects`] which of those ends its endpoints.
 
-mod asked;
-mod budget;
+mod cached_prefixes;
 mod check;
 mod choose;
-mod ends;
-mod feed;
-mod fetch;
-mod intake;
-mod kept;
-mod lag;
-mod lookup;
-mod nearby;
+mod circuit_breaker;
+mod connection_limit;
+mod control_instances;
+mod counts;
+mod crashes;
+mod kv_source;
+mod load_interval;
 mod overload;
+mod peer_gateways;
 mod request_key;
-mod standing;
+mod retry_budget;
+mod route_index;
 mod suspects;
-mod tally;
-mod targets;
+mod team_demand;
+mod usage_lag;
 
-pub use budget::{Budget, BudgetRules};
-pub use check::{TableError, check};
-pub use choose::{Candidate, ChoiceRules, Prompt, PromptPart, choose, choose_again, home_rank};
-pub use ends::Ends;
-pub use feed::load_interval;
-pub use fetch::{Source, copy_time, fetch_source};
-pub use kept::{Holders, IncarnationHash, KeptParts};
-pub use lag::{Backlog, Lag, Room};
-pub use lookup::Lookup;
-pub use nearby::Nearby;
-pub use overload::{Overload, OverloadRules, Overloaded};
+pub use cached_prefixes::{CachedPrefixes, Holders, IncarnationHash};
+pub use check::{TableError, check_table};
+pub use choose::{
+    Candidate, ChoiceRules, Prompt, PromptPart, choose_after_refusal, choose_endpoint, home_rank,
+};
+pub use circuit_breaker::{CircuitBreaker, CircuitBreakerRules};
+pub use control_instances::{Address, ControlInstances};
+pub use counts::{LimitKind, OverloadCounts};
+pub use crashes::CrashTracker;
+pub use kv_source::{KvSource, choose_kv_source, token_copy_time};
+pub use load_interval::load_interval;
+pub use overload::{OverloadControl, OverloadRules, Overloaded};
+pub use peer_gateways::PeerGateways;
 pub use request_key::{RequestKey, RequestKeyError};
-pub use standing::{Standing, StandingRules};
+pub use retry_budget::{RetryBudget, RetryBudgetRules};
+pub use route_index::RouteIndex;
 pub use suspects::Suspects;
-pub use tally::{Bound, Tally};
-pub use targets::{Address, Targets};
+pub use usage_lag::{Backlog, BacklogLimits, UsageLag};
--- a/crates/routing/src/overload.rs
+++ b/crates/routing/src/overload.rs
@@ -16,9 +16,9 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use crate::asked::Asked;
-use crate::intake::{Intake, Window};
-use crate::tally::{Bound, Tally};
+use crate::connection_limit::{Intake, Window};
+use crate::counts::{LimitKind, OverloadCounts};
+use crate::team_demand::Asked;
 
 /// Sets when a gateway turns requests away.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -30,9 +30,9 @@
     /// Time over which the least lag is taken.
     pub window: Duration,
     /// Least and greatest limit.
-    pub least: u32,
+    pub min_limit: u32,
     /// Greatest limit: memory for requests under way.
-    pub most: u32,
+    pub max_limit: u32,
 }
 
 impl Default for OverloadRules {
@@ -47,8 +47,8 @@
             target_lag: Duration::from_millis(10),
             plain_lag: Duration::from_millis(60),
             window: Duration::from_millis(200),
-            least: 24,
-            most: 700,
+            min_limit: 24,
+            max_limit: 700,
         }
     }
 }
@@ -111,7 +111,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Overloaded {
     /// Limit that there was no room within.
-    pub bound: Bound,
+    pub limit_kind: LimitKind,
     /// Requests under way, and how many there may be.
     pub running: u32,
     /// Limit at the moment.
@@ -124,7 +124,7 @@
 
 /// Limits the requests under way at one gateway.
 #[derive(Debug)]
-pub struct Overload {
+pub struct OverloadControl {
     rules: OverloadRules,
     limit: u32,
     running: u32,
@@ -156,16 +156,16 @@
     /// Windows that are left of those after one in which nobody listened for a part of it.
     guarded_windows: u32,
     intake: Intake,
-    tally: Tally,
+    tally: OverloadCounts,
     ticked_at: Duration,
 }
 
-impl Overload {
+impl OverloadControl {
     /// Starts at the greatest limit.
     #[must_use]
     pub fn new(rules: OverloadRules) -> Self {
         Self {
-            limit: rules.most,
+            limit: rules.max_limit,
             rules,
             running: 0,
             teams: HashMap::new(),
@@ -186,15 +186,15 @@
             windows_full: 0,
             guarded_windows: 0,
             intake: Intake::new(),
-            tally: Tally::default(),
+            tally: OverloadCounts::default(),
             ticked_at: Duration::ZERO,
         }
     }
 
     /// Notes how late a tick came.
-    pub fn ticked(&mut self, now: Duration, lag: Duration) {
-        if self.is_closed() {
-            self.tally.shut += now.saturating_sub(self.ticked_at);
+    pub fn record_tick(&mut self, now: Duration, lag: Duration) {
+        if self.refuses_connections() {
+            self.tally.closed_time += now.saturating_sub(self.ticked_at);
         }
         self.ticked_at = now;
         self.intake.ticked();
@@ -208,19 +208,19 @@
         self.used = self.running;
         let has_refused = self.refused > 0;
         let handed_off = std::mem::take(&mut self.handed_off);
-        let is_wasted = has_refused && self.is_short();
+        let is_wasted = has_refused && self.is_overloaded();
         let intake = self.intake.end_window(self.lag, self.begun, is_wasted);
         self.note_window(used, intake);
-        if self.is_short() {
+        if self.is_overloaded() {
             // A limit far above what is under way would take many windows to bite.
-            let from = limit.min(used.max(self.rules.least));
+            let from = limit.min(used.max(self.rules.min_limit));
             let is_steep = self.lag > self.rules.target_lag * STEEP_TIMES;
             let left = if is_steep {
                 STEEP_FALL_PERMILLE
             } else {
                 FALL_PERMILLE
             };
-            self.limit = (from * left / 1000).max(self.rules.least);
+            self.limit = (from * left / 1000).max(self.rules.min_limit);
         } else if intake != Window::Open && handed_off > 0 {
             // What is handed off costs less than what is served here, and more of it would come.
         } else if used >= limit * SHARED_PERMILLE / 1000 || (has_refused && self.is_idle()) {
@@ -232,7 +232,7 @@
                 RISE_PERMILLE
             };
             let rise = (limit * permille / 1000).max(1);
-            self.limit = (limit + rise).min(self.rules.most);
+            self.limit = (limit + rise).min(self.rules.max_limit);
         }
     }
 
@@ -246,7 +246,7 @@
             (self.shared_permille + SHARED_RISE_PERMILLE).min(SHARED_PERMILLE)
         };
         let asked = refused + std::mem::take(&mut self.begun);
-        let has_room = !self.is_short()
+        let has_room = !self.is_overloaded()
             && refused == 0
             && intake == Window::Open
             && used * 1000 <= self.limit * ROOM_PERMILLE;
@@ -282,15 +282,15 @@
     pub fn try_begin(&mut self, team: &str) -> Result<(), Overloaded> {
         let team_running = self.teams.get(team).copied().unwrap_or_default();
         let is_hot = self.asked.note(team);
-        let (bound, permille) = match (is_hot, self.asked.has_hot) {
-            (true, _) => (Bound::HotTeams, self.shared_permille),
-            (false, true) => (Bound::OtherTeams, OTHERS_PERMILLE),
-            (false, false) => (Bound::All, 1_000),
+        let (limit_kind, permille) = match (is_hot, self.asked.has_hot) {
+            (true, _) => (LimitKind::HotTeams, self.shared_permille),
+            (false, true) => (LimitKind::OtherTeams, OTHERS_PERMILLE),
+            (false, false) => (LimitKind::All, 1_000),
         };
         let room = self.limit * permille / 1000;
         if self.running >= room.max(1) {
             return Err(Overloaded {
-                bound,
+                limit_kind,
                 running: self.running,
                 limit: self.limit,
                 team_running,
@@ -306,7 +306,7 @@
     /// It has the room that hot teams share, and only while this gateway keeps up, so that its own callers don't wait for it.
     pub fn try_take_over(&mut self, team: &str) -> bool {
         let room = self.limit * self.shared_permille / 1000;
-        let may = !self.is_short() && !self.is_full && self.running < room;
+        let may = !self.is_overloaded() && !self.is_full && self.running < room;
         if may {
             self.begin(team);
             self.tally.taken_over += 1;
@@ -329,19 +329,19 @@
     }
 
     /// Notes that a gateway took a request that was handed off.
-    pub fn handed_off(&mut self) {
+    pub fn record_handoff(&mut self) {
         self.begun += 1;
         self.handed_off += 1;
         self.tally.handed_off += 1;
     }
 
     /// Notes that a request that found no room is refused.
-    pub fn refuse(&mut self, overloaded: &Overloaded) {
-        self.tally.refuse(overloaded.bound);
+    pub fn record_refusal(&mut self, overloaded: &Overloaded) {
+        self.tally.refuse(overloaded.limit_kind);
         // A plain request that the lag would make late says nothing of the room for others.
-        if overloaded.bound != Bound::Lag {
+        if overloaded.limit_kind != LimitKind::Lag {
             self.refused += 1;
-            self.refused_others += u32::from(overloaded.bound != Bound::HotTeams);
+            self.refused_others += u32::from(overloaded.limit_kind != LimitKind::HotTeams);
         }
     }
 
@@ -350,7 +350,7 @@
     /// # Panics
     ///
     /// Panics when no request of the team is under way, which is a broken invariant.
-    pub fn ended(&mut self, team: &str) {
+    pub fn request_ended(&mut self, team: &str) {
         self.running -= 1;
         let count = self
             .teams
@@ -372,7 +372,7 @@
             return Ok(());
         }
         Err(Overloaded {
-            bound: Bound::Lag,
+            limit_kind: LimitKind::Lag,
             running: self.running,
             limit: self.limit,
             team_running: 0,
@@ -382,7 +382,7 @@
 
     /// Returns whether the last whole window was one of overload.
     #[must_use]
-    pub fn is_short(&self) -> bool {
+    pub fn is_overloaded(&self) -> bool {
         self.lag > self.rules.target_lag
     }
 
@@ -398,38 +398,38 @@
     }
 
     /// Notes that a connection was taken.
-    pub fn connected(&mut self) {
+    pub fn record_connection(&mut self) {
         self.intake.connected();
         self.tally.connections += 1;
     }
 
     /// Takes the counts since they were last taken.
-    pub fn take_tally(&mut self) -> Tally {
+    pub fn take_counts(&mut self) -> OverloadCounts {
         std::mem::take(&mut self.tally)
     }
 
     /// Returns whether the connection of an answer should close after it, since there are more than the processor keeps up with.
-    pub fn closes_one(&mut self) -> bool {
+    pub fn should_close_connection(&mut self) -> bool {
         self.intake.closes_one()
     }
 
     /// Returns whether connections were refused lately, since the processor did not keep up.
     #[must_use]
-    pub fn is_guarded(&self) -> bool {
+    pub fn limits_connections(&self) -> bool {
         self.guarded_windows > 0
     }
 
     /// Returns whether no new connection is taken now.
     #[must_use]
-    pub fn is_closed(&self) -> bool {
+    pub fn refuses_connections(&self) -> bool {
         self.intake.is_shut()
     }
 
     /// Returns whether callers that are turned away should connect anew: the balancer knows by then that this gateway is
     /// full, and a connection before that would come back here, unless none is taken.
     #[must_use]
-    pub fn wants_anew(&self) -> bool {
-        self.windows_full >= BALANCER_WINDOWS || self.is_guarded()
+    pub fn should_reconnect(&self) -> bool {
+        self.windows_full >= BALANCER_WINDOWS || self.limits_connections()
     }
 
     /// Returns how many requests may be under way.
--- a/crates/routing/src/nearby.rs
+++ b/crates/routing/src/peer_gateways.rs
@@ -20,13 +20,13 @@
 
 /// Holds the other gateways of the data centre.
 #[derive(Debug, Default)]
-pub struct Nearby {
+pub struct PeerGateways {
     known: Vec<Known>,
 }
 
-impl Nearby {
+impl PeerGateways {
     /// Takes in the addresses of gateways that run.
-    pub fn named(&mut self, now: Duration, addresses: &[SocketAddr]) {
+    pub fn record_listed(&mut self, now: Duration, addresses: &[SocketAddr]) {
         for address in addresses {
             match self.find(*address) {
                 Some(known) => known.named_at = now,
@@ -42,7 +42,7 @@
             .retain(|known| known.under_way > 0 || now < known.named_at + REMEMBER);
     }
 
-    /// Chooses a gateway for a request, which is under way there until [`Nearby::ended`]: of two that are drawn the one with fewer requests
+    /// Chooses a gateway for a request, which is under way there until [`PeerGateways::ended`]: of two that are drawn the one with fewer requests
     /// of this gateway, so that a slow one gets less.
     pub fn choose(
         &mut self,
@@ -65,14 +65,14 @@
     }
 
     /// Notes that a request that was handed off has ended.
-    pub fn ended(&mut self, address: SocketAddr) {
+    pub fn request_ended(&mut self, address: SocketAddr) {
         if let Some(known) = self.find(address) {
             known.under_way -= 1;
         }
     }
 
     /// Leaves a gateway out for some time.
-    pub fn rests(&mut self, now: Duration, address: SocketAddr, rest: Duration) {
+    pub fn suspend(&mut self, now: Duration, address: SocketAddr, rest: Duration) {
         if let Some(known) = self.find(address) {
             known.rests_until = now + rest;
         }
@@ -80,13 +80,13 @@
 
     /// Returns how many requests are under way at other gateways.
     #[must_use]
-    pub fn under_way(&self) -> u32 {
+    pub fn in_flight(&self) -> u32 {
         self.known.iter().map(|known| known.under_way).sum()
     }
 
     /// Returns whether a gateway is known.
     #[must_use]
-    pub fn knows(&self, address: SocketAddr) -> bool {
+    pub fn contains(&self, address: SocketAddr) -> bool {
         self.known.iter().any(|known| known.address == address)
     }
 
--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -20,11 +20,11 @@
 
 /// Sets the budget of the whole fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BudgetRules {
+pub struct RetryBudgetRules {
     /// Repeats per thousand requests.
-    pub permille: u32,
+    pub retry_permille: u32,
     /// Repeats in a window beyond that.
-    pub burst: u32,
+    pub burst_retries: u32,
     /// Window over which both are counted.
     pub window: Duration,
 }
@@ -38,15 +38,15 @@
 
 /// Counts the requests and repeats of one service at one gateway.
 #[derive(Debug)]
-pub struct Budget {
-    rules: BudgetRules,
+pub struct RetryBudget {
+    rules: RetryBudgetRules,
     parts: VecDeque<Part>,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Creates an empty budget.
     #[must_use]
-    pub fn new(rules: BudgetRules) -> Self {
+    pub fn new(rules: RetryBudgetRules) -> Self {
         Self {
             rules,
             parts: VecDeque::new(),
@@ -54,17 +54,17 @@
     }
 
     /// Counts a request.
-    pub fn request(&mut self, now: Duration) {
+    pub fn record_request(&mut self, now: Duration) {
         self.part(now).requests += 1;
     }
 
     /// Counts a repeat if the budget has one left, and returns whether it may be sent.
-    pub fn try_repeat(&mut self, now: Duration) -> bool {
+    pub fn try_retry(&mut self, now: Duration) -> bool {
         self.part(now);
         let requests: u64 = self.parts.iter().map(|part| part.requests).sum();
         let repeats: u64 = self.parts.iter().map(|part| part.repeats).sum();
-        let permille = u64::from(self.rules.permille) * USED_PERMILLE / 1000;
-        let burst = u64::from(self.rules.burst / SHARERS);
+        let permille = u64::from(self.rules.retry_permille) * USED_PERMILLE / 1000;
+        let burst = u64::from(self.rules.burst_retries / SHARERS);
         let may = repeats < requests * permille / 1000 + burst;
         if may {
             self.part(now).repeats += 1;
--- a/crates/routing/src/lookup.rs
+++ b/crates/routing/src/route_index.rs
@@ -6,7 +6,7 @@
 
 /// Holds a route table with its indexes.
 #[derive(Debug)]
-pub struct Lookup {
+pub struct RouteIndex {
     table: RouteTable,
     /// Places in `table.routes`, longest prefix first.
     by_host: HashMap<Box<str>, Vec<usize>>,
@@ -16,7 +16,7 @@
     by_service: HashMap<Box<str>, usize>,
 }
 
-impl Lookup {
+impl RouteIndex {
     /// Builds the indexes of a table.
     #[must_use]
     pub fn new(table: RouteTable) -> Self {
@@ -77,13 +77,13 @@
 
     /// Returns whether requests of non-public routes need a key.
     #[must_use]
-    pub fn needs_keys(&self) -> bool {
+    pub fn requires_keys(&self) -> bool {
         !self.table.teams.is_empty()
     }
 
     /// Returns the target of a route for a draw; draws that are spread evenly give each target its share.
     #[must_use]
-    pub fn target(route: &Route, draw: u64) -> Option<&Target> {
+    pub fn pick_target(route: &Route, draw: u64) -> Option<&Target> {
         let total: u64 = route
             .targets
             .iter()
--- a/crates/routing/src/suspects.rs
+++ b/crates/routing/src/suspects.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
 
-use crate::kept::IncarnationHash;
+use crate::cached_prefixes::IncarnationHash;
 use crate::request_key::RequestKey;
 
 /// Ends without a completion between them, after which a request is held.
@@ -61,7 +61,7 @@
 
     /// Returns the number of ends that count against a request.
     #[must_use]
-    pub fn ends(&self, request: &RequestKey) -> usize {
+    pub fn crash_count(&self, request: &RequestKey) -> usize {
         self.known
             .get(request)
             .map_or(0, |suspect| suspect.ends.len())
@@ -86,7 +86,7 @@
 
     /// Returns whether an end already counts against a request.
     #[must_use]
-    pub fn has_end(&self, request: &RequestKey, endpoint: IncarnationHash) -> bool {
+    pub fn has_crash(&self, request: &RequestKey, endpoint: IncarnationHash) -> bool {
         let known = self.known.get(request);
         known.is_some_and(|suspect| suspect.ends.contains(&endpoint))
     }
@@ -112,7 +112,7 @@
     }
 
     /// Takes in ends and completions as a version of the list; ends that are known already count once.
-    pub fn note(
+    pub fn record(
         &mut self,
         version: u64,
         ends: &[(RequestKey, IncarnationHash)],
@@ -129,7 +129,7 @@
 
     /// Returns what has changed after a version, if anything has.
     #[must_use]
-    pub fn newer_than(&self, version: u64) -> Option<SuspectList> {
+    pub fn changes_since(&self, version: u64) -> Option<SuspectList> {
         let changed = self.known.iter();
         let changed = changed.filter(|(_, suspect)| suspect.changed > version);
         let suspects = changed.map(|(request, suspect)| Described {
@@ -143,7 +143,7 @@
     }
 
     /// Takes in what another process told with [`Self::newer_than`]; keys that can't be read name no request.
-    pub fn take_in(&mut self, list: &SuspectList) {
+    pub fn apply(&mut self, list: &SuspectList) {
         for told in &list.suspects {
             let Ok(request) = told.request.parse() else {
                 continue;
--- a/crates/routing/src/lag.rs
+++ b/crates/routing/src/usage_lag.rs
@@ -23,16 +23,16 @@
 
 /// Sets up to which backlog an engine is of use to a request that another one refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Room {
+pub struct BacklogLimits {
     /// Prompt tokens that make an engine nearly idle.
     pub idle_tokens: u32,
     /// Prompt tokens that an engine reads before the answer must begin.
-    pub readable_tokens: u32,
+    pub prefillable_tokens: u32,
 }
 
 /// Says how far a team's use lags behind that of the team with the most.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Lag {
+pub enum UsageLag {
     /// It has had about as much.
     Even,
     /// It has had so much less that the queues before engines put it first.
@@ -53,10 +53,10 @@
 /// Admissions that are asked for a request of a team that is far behind.
 const MAX_ASKED_FAR_BEHIND: usize = 3;
 
-impl Lag {
+impl UsageLag {
     /// Compares a team's use with that of the team with the most.
     #[must_use]
-    pub fn of(used_tokens: u64, most_tokens: u64) -> Self {
+    pub fn compare(used_tokens: u64, most_tokens: u64) -> Self {
         let used = u128::from(used_tokens) * 1000;
         let most = u128::from(most_tokens);
         if used < most * FAR_BEHIND_PERMILLE {
@@ -70,7 +70,7 @@
 
     /// Returns how many admissions may be asked for a request.
     #[must_use]
-    pub fn max_asked(self) -> usize {
+    pub fn max_admissions(self) -> usize {
         match self {
             Self::Even | Self::Behind => MAX_ASKED,
             Self::FarBehind => MAX_ASKED_FAR_BEHIND,
@@ -80,11 +80,11 @@
     /// Returns whether an engine may be asked after another one refused, by what it reads before the ask: the asks that wait as well,
     /// unless the queue puts this one before them.
     #[must_use]
-    pub fn may_ask(self, backlog: Backlog, room: Room) -> bool {
+    pub fn may_ask(self, backlog: Backlog, room: BacklogLimits) -> bool {
         match self {
             Self::Even => backlog.tokens() <= room.idle_tokens,
             Self::Behind | Self::FarBehind => {
-                backlog.unread_tokens <= room.idle_tokens.max(room.readable_tokens)
+                backlog.unread_tokens <= room.idle_tokens.max(room.prefillable_tokens)
             }
         }
     }
--- a/crates/routing/tests/choice.rs
+++ b/crates/routing/tests/choose.rs
@@ -5,14 +5,14 @@
 
 use hinge_cases::cases;
 use hinge_routing::{
-    Backlog, Budget, BudgetRules, Candidate, ChoiceRules, Lag, Prompt, PromptPart, Room, Standing,
-    StandingRules, choose, choose_again,
+    Backlog, BacklogLimits, Candidate, ChoiceRules, CircuitBreaker, CircuitBreakerRules, Prompt,
+    PromptPart, RetryBudget, RetryBudgetRules, UsageLag, choose_after_refusal, choose_endpoint,
 };
 use quickcheck::quickcheck;
 
-const RULES: BudgetRules = BudgetRules {
-    permille: 200,
-    burst: 48,
+const RULES: RetryBudgetRules = RetryBudgetRules {
+    retry_permille: 200,
+    burst_retries: 48,
     window: Duration::from_secs(10),
 };
 
@@ -23,8 +23,8 @@
         running: 0,
         slots: 64,
         backlog: Backlog::default(),
-        is_near: true,
-        keeps_parts: false,
+        is_local: true,
+        has_cached_prefix: false,
     });
     idle.collect()
 }
@@ -41,16 +41,16 @@
 }
 
 /// Returns the room where the time that is left is of no use but at an idle engine.
-fn only_idle() -> Room {
-    Room {
+fn only_idle() -> BacklogLimits {
+    BacklogLimits {
         idle_tokens: 3_000,
-        readable_tokens: 0,
+        prefillable_tokens: 0,
     }
 }
 
 fn chosen(candidates: &[Candidate], prompt: &Prompt, draw: u64) -> usize {
     let rules = ChoiceRules::default();
-    choose(candidates, Some(prompt), 10_000, &rules, draw).expect("there are candidates")
+    choose_endpoint(candidates, Some(prompt), 10_000, &rules, draw).expect("there are candidates")
 }
 
 cases! {
@@ -88,7 +88,7 @@
         let home = chosen(&engines, &prompt, 0);
         engines[home].backlog.unread_tokens = 12_000;
         let copy = (home + 4) % engines.len();
-        engines[copy].keeps_parts = true;
+        engines[copy].has_cached_prefix = true;
         assert_eq!(chosen(&engines, &prompt, 0), copy);
         engines[copy].backlog.unread_tokens = 20_000;
         assert_eq!(chosen(&engines, &prompt, 0), home);
@@ -105,10 +105,10 @@
         }
     }
     without_shared_parts_the_idlest_near_engine_is_chosen => {
-        let idlest = |engines: &[Candidate]| choose(engines, None, 0, &ChoiceRules::default(), 0);
+        let idlest = |engines: &[Candidate]| choose_endpoint(engines, None, 0, &ChoiceRules::default(), 0);
         let mut engines = engines(3);
         engines[0].running = 10;
-        engines[1].is_near = false;
+        engines[1].is_local = false;
         assert_eq!(idlest(&engines), Some(2));
         engines[2].running = 30;
         assert_eq!(idlest(&engines), Some(1));
@@ -117,12 +117,12 @@
         let mut engines = engines(2);
         let short = prompt(5, 170);
         let home = chosen(&engines, &short, 0);
-        engines[home].is_near = false;
+        engines[home].is_local = false;
         assert_ne!(chosen(&engines, &short, 0), home);
         let long = prompt(5, 6_300);
         let home = chosen(&engines, &long, 0);
-        engines[home].is_near = false;
-        engines[1 - home].is_near = true;
+        engines[home].is_local = false;
+        engines[1 - home].is_local = true;
         assert_eq!(chosen(&engines, &long, 0), home);
     }
     a_refused_request_finds_an_idle_engine_though_the_next_in_rank_is_busy => {
@@ -136,7 +136,7 @@
         }
         let after = |engines: &[Candidate]| {
             let rules = ChoiceRules::default();
-            choose_again(engines, Some(&prompt), 10_000, &rules, Lag::Behind, only_idle(), 0)
+            choose_after_refusal(engines, Some(&prompt), 10_000, &rules, UsageLag::Behind, only_idle(), 0)
         };
         assert_eq!(after(&engines), None, "nobody is idle");
         let idle = (next + 7) % engines.len();
@@ -156,9 +156,9 @@
         engines[6].backlog.unread_tokens = 9_000;
         let prompt = prompt(5, 100);
         let after = |time_ms| {
-            let readable_tokens = rules.readable_tokens(Duration::from_millis(time_ms));
-            let room = Room { readable_tokens, ..only_idle() };
-            choose_again(&engines, Some(&prompt), 10_000, &rules, Lag::Behind, room, 0)
+            let prefillable_tokens = rules.prefillable_tokens(Duration::from_millis(time_ms));
+            let room = BacklogLimits { prefillable_tokens, ..only_idle() };
+            choose_after_refusal(&engines, Some(&prompt), 10_000, &rules, UsageLag::Behind, room, 0)
         };
         assert_eq!(after(0), None);
         assert_eq!(after(500), Some(6));
@@ -172,55 +172,55 @@
         }
         engines[2].backlog = Backlog { unread_tokens: 3_000, waiting_tokens: 11_000 };
         engines[5].backlog = Backlog { unread_tokens: 13_000, waiting_tokens: 0 };
-        let room = Room { readable_tokens: 12_500, ..only_idle() };
-        let after = |lag| choose_again(&engines, None, 0, &ChoiceRules::default(), lag, room, 0);
-        assert_eq!(after(Lag::Even), None, "it would wait behind them");
-        assert_eq!(after(Lag::Behind), Some(2), "the least that is before it or beside it");
-        assert_eq!(after(Lag::FarBehind), Some(2));
+        let room = BacklogLimits { prefillable_tokens: 12_500, ..only_idle() };
+        let after = |lag| choose_after_refusal(&engines, None, 0, &ChoiceRules::default(), lag, room, 0);
+        assert_eq!(after(UsageLag::Even), None, "it would wait behind them");
+        assert_eq!(after(UsageLag::Behind), Some(2), "the least that is before it or beside it");
+        assert_eq!(after(UsageLag::FarBehind), Some(2));
     }
     a_full_engine_is_left_for_one_with_slots => {
         let mut engines = engines(2);
         engines[0].running = 64;
         engines[1].running = 40;
-        engines[1].is_near = false;
+        engines[1].is_local = false;
         assert_eq!(chosen(&engines, &Prompt::default(), 0), 1);
     }
     nobody_is_chosen_of_none => {
-        assert_eq!(choose(&[], None, 0, &ChoiceRules::default(), 0), None);
+        assert_eq!(choose_endpoint(&[], None, 0, &ChoiceRules::default(), 0), None);
     }
     an_endpoint_is_held_out_after_failures_and_tried_by_one_request => {
-        let rules = StandingRules::default();
-        let mut standing = Standing::default();
+        let rules = CircuitBreakerRules::default();
+        let mut standing = CircuitBreaker::default();
         let at = Duration::from_millis;
-        assert_eq!(standing.failed(at(0), &rules), None);
-        assert!(standing.is_open(at(0)));
-        assert_eq!(standing.failed(at(10), &rules), Some(at(500)));
-        assert!(!standing.is_open(at(509)));
-        assert!(standing.is_open(at(510)));
-        standing.sent();
-        assert!(!standing.is_open(at(511)), "one request tries it, not all");
-        assert_eq!(standing.failed(at(600), &rules), Some(at(1_000)));
-        assert!(!standing.is_open(at(1_599)));
-        standing.sent();
-        standing.gave_up();
-        assert!(standing.is_open(at(1_600)), "a caller that left says nothing");
-        standing.succeeded();
-        assert!(standing.is_open(at(1_600)));
+        assert_eq!(standing.record_failure(at(0), &rules), None);
+        assert!(standing.allows_request(at(0)));
+        assert_eq!(standing.record_failure(at(10), &rules), Some(at(500)));
+        assert!(!standing.allows_request(at(509)));
+        assert!(standing.allows_request(at(510)));
+        standing.record_sent();
+        assert!(!standing.allows_request(at(511)), "one request tries it, not all");
+        assert_eq!(standing.record_failure(at(600), &rules), Some(at(1_000)));
+        assert!(!standing.allows_request(at(1_599)));
+        standing.record_sent();
+        standing.record_abandoned();
+        assert!(standing.allows_request(at(1_600)), "a caller that left says nothing");
+        standing.record_success();
+        assert!(standing.allows_request(at(1_600)));
     }
 }
 
 quickcheck! {
     fn no_window_has_more_repeats_than_its_requests_allow(gaps_ms: Vec<u8>, tries: u8) -> bool {
-        let mut budget = Budget::new(RULES);
+        let mut budget = RetryBudget::new(RULES);
         let mut now = Duration::ZERO;
         let mut requests = Vec::new();
         let mut repeats = Vec::new();
         for gap_ms in gaps_ms {
             now += Duration::from_millis(u64::from(gap_ms) * 4);
-            budget.request(now);
+            budget.record_request(now);
             requests.push(now);
             for _ in 0..tries % 4 {
-                if budget.try_repeat(now) {
+                if budget.try_retry(now) {
                     repeats.push(now);
                 }
             }
@@ -231,7 +231,7 @@
             let count = repeats.iter().filter(|at| **at >= *start && **at < end).count();
             let from = start.saturating_sub(RULES.window);
             let asked = requests.iter().filter(|at| **at >= from && **at < end).count();
-            count <= asked / 5 + RULES.burst as usize
+            count <= asked / 5 + RULES.burst_retries as usize
         })
     }
 }
--- a/crates/routing/tests/company/mod.rs
+++ b/crates/routing/tests/crash_model/mod.rs
@@ -152,7 +152,7 @@
         let ends = self.ends.remove(&self.now).unwrap_or_default();
         let completed = self.completed.remove(&self.now).unwrap_or_default();
         let version = self.suspects.version() + 1;
-        self.suspects.note(version, &ends, &completed);
+        self.suspects.record(version, &ends, &completed);
     }
 
     /// Ends an engine with all its requests.
--- a/crates/routing/tests/ends.rs
+++ b/crates/routing/tests/crashes.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use hinge_cases::cases;
-use hinge_routing::{Ends, RequestKey, RequestKeyError};
+use hinge_routing::{CrashTracker, RequestKey, RequestKeyError};
 
 fn at(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -11,39 +11,39 @@
 
 cases! {
     answers_that_broke_just_before_the_end_were_taken_by_it => {
-        let mut ends = Ends::default();
-        assert_eq!(ends.broke(at(0), "long before"), None);
-        assert_eq!(ends.broke(at(5_000), "first"), None);
-        assert_eq!(ends.broke(at(5_010), "second"), None);
-        assert_eq!(ends.ended(at(5_300)), ["first", "second"]);
-        assert_eq!(ends.ended(at(5_400)), [""; 0], "word of the same end comes from several sides");
+        let mut ends = CrashTracker::default();
+        assert_eq!(ends.record_broken(at(0), "long before"), None);
+        assert_eq!(ends.record_broken(at(5_000), "first"), None);
+        assert_eq!(ends.record_broken(at(5_010), "second"), None);
+        assert_eq!(ends.record_crash(at(5_300)), ["first", "second"]);
+        assert_eq!(ends.record_crash(at(5_400)), [""; 0], "word of the same end comes from several sides");
     }
     an_answer_that_breaks_just_after_word_of_the_end_was_taken_by_it => {
-        let mut ends = Ends::default();
-        assert_eq!(ends.ended(at(100)), [""; 0]);
-        assert_eq!(ends.broke(at(120), "late"), Some("late"));
-        assert_eq!(ends.broke(at(9_000), "much later"), None);
+        let mut ends = CrashTracker::default();
+        assert_eq!(ends.record_crash(at(100)), [""; 0]);
+        assert_eq!(ends.record_broken(at(120), "late"), Some("late"));
+        assert_eq!(ends.record_broken(at(9_000), "much later"), None);
     }
     a_lost_connection_is_no_end => {
-        let mut ends = Ends::default();
+        let mut ends = CrashTracker::default();
         for ms in [0, 10, 20] {
-            assert_eq!(ends.broke(at(ms), "lost"), None);
+            assert_eq!(ends.record_broken(at(ms), "lost"), None);
         }
-        assert_eq!(ends.ended(at(60_000)), [""; 0]);
+        assert_eq!(ends.record_crash(at(60_000)), [""; 0]);
     }
     a_planned_stop_is_no_end => {
-        let mut ends = Ends::default();
-        assert_eq!(ends.broke(at(0), "before"), None);
-        ends.leaves();
-        assert_eq!(ends.broke(at(10), "after"), None);
-        assert_eq!(ends.ended(at(20)), [""; 0]);
+        let mut ends = CrashTracker::default();
+        assert_eq!(ends.record_broken(at(0), "before"), None);
+        ends.record_planned_stop();
+        assert_eq!(ends.record_broken(at(10), "after"), None);
+        assert_eq!(ends.record_crash(at(20)), [""; 0]);
     }
     what_waits_for_word_of_an_end_is_bounded => {
-        let mut ends = Ends::default();
+        let mut ends = CrashTracker::default();
         for number in 0..10_000 {
-            assert_eq!(ends.broke(at(0), number), None);
+            assert_eq!(ends.record_broken(at(0), number), None);
         }
-        let taken = ends.ended(at(1));
+        let taken = ends.record_crash(at(1));
         assert_eq!((taken.len(), taken.last()), (256, Some(&9_999)));
     }
     a_request_has_one_key_and_each_part_of_it_counts => {
--- a/crates/routing/tests/data_center/model.rs
+++ b/crates/routing/tests/data_center/model.rs
@@ -7,7 +7,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-use hinge_routing::{Nearby, Overload, OverloadRules};
+use hinge_routing::{OverloadControl, OverloadRules, PeerGateways};
 
 /// Processor time of a small gateway and of a large one in a millisecond, in microseconds.
 pub const SMALL_US_PER_MS: u64 = 90;
@@ -94,13 +94,13 @@
 
 #[derive(Debug)]
 struct Gateway {
-    overload: Overload,
+    overload: OverloadControl,
     us_per_ms: u64,
     /// Processor time that is owed to what has begun.
     owed_us: u64,
     arrived: VecDeque<Request>,
     streams: VecDeque<Stream>,
-    nearby: Nearby,
+    nearby: PeerGateways,
     /// When requests end that were handed off, and the gateways that have them.
     handed_off: VecDeque<(u64, SocketAddr)>,
     is_in_rotation: bool,
@@ -110,12 +110,12 @@
 impl Gateway {
     fn new(us_per_ms: u64) -> Self {
         Self {
-            overload: Overload::new(OverloadRules::default()),
+            overload: OverloadControl::new(OverloadRules::default()),
             us_per_ms,
             owed_us: 0,
             arrived: VecDeque::new(),
             streams: VecDeque::new(),
-            nearby: Nearby::default(),
+            nearby: PeerGateways::default(),
             handed_off: VecDeque::new(),
             is_in_rotation: true,
             misses: 0,
@@ -124,10 +124,10 @@
 
     /// Takes a connection with a request, unless nobody listens.
     fn connect(&mut self, request: Request) -> bool {
-        if self.overload.is_closed() || self.arrived.len() == MOST_ARRIVED {
+        if self.overload.refuses_connections() || self.arrived.len() == MOST_ARRIVED {
             return false;
         }
-        self.overload.connected();
+        self.overload.record_connection();
         self.arrived.push_back(request);
         true
     }
@@ -180,7 +180,7 @@
         for (place, gateway) in gateways.iter_mut().enumerate() {
             let others = (0..us_per_ms.len()).filter(|other| *other != place);
             let others: Vec<SocketAddr> = others.map(address_of).collect();
-            gateway.nearby.named(Duration::ZERO, &others);
+            gateway.nearby.record_listed(Duration::ZERO, &others);
         }
         Self {
             orders,
@@ -269,7 +269,7 @@
         gateway.owed_us = gateway.owed_us.saturating_sub(gateway.us_per_ms);
         if self.now_ms.is_multiple_of(TICK_MS) {
             let lag = Duration::from_millis(gateway.lag_ms());
-            gateway.overload.ticked(now, lag);
+            gateway.overload.record_tick(now, lag);
         }
         if self.now_ms.is_multiple_of(ASK_READY_MS) {
             gateway.ask_ready();
@@ -282,13 +282,13 @@
             .streams
             .pop_front_if(|stream| stream.ends_ms <= self.now_ms)
         {
-            gateway.overload.ended(self.teams[stream.team].name);
+            gateway.overload.request_ended(self.teams[stream.team].name);
         }
         while let Some((_, address)) = gateway
             .handed_off
             .pop_front_if(|(ends_ms, _)| *ends_ms <= self.now_ms)
         {
-            gateway.nearby.ended(address);
+            gateway.nearby.request_ended(address);
         }
     }
 
@@ -300,12 +300,12 @@
         };
         if self.hand_off(place, request) {
             let gateway = &mut self.gateways[place];
-            gateway.overload.handed_off();
+            gateway.overload.record_handoff();
             gateway.owed_us += HAND_OFF_US;
             return;
         }
         let gateway = &mut self.gateways[place];
-        gateway.overload.refuse(&overloaded);
+        gateway.overload.record_refusal(&overloaded);
         gateway.owed_us += REFUSE_US;
         self.retry(request);
     }
@@ -332,8 +332,8 @@
             }
             self.gateways[other].owed_us += REFUSE_US;
             let gateway = &mut self.gateways[place];
-            gateway.nearby.ended(address);
-            gateway.nearby.rests(now, address, NO_ROOM_REST);
+            gateway.nearby.request_ended(address);
+            gateway.nearby.suspend(now, address, NO_ROOM_REST);
             gateway.owed_us += HAND_OFF_US;
         }
         false
--- a/crates/routing/tests/overload.rs
+++ b/crates/routing/tests/overload.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use hinge_cases::cases;
-use hinge_routing::{Overload, OverloadRules};
+use hinge_routing::{OverloadControl, OverloadRules};
 
 const TICK_MS: u64 = 20;
 
 /// Models a gateway with a part of a core: it does what is ready in order of arrival, and a tick waits behind it.
 struct Gateway {
-    overload: Overload,
+    overload: OverloadControl,
     now_ms: u64,
     /// Processor time that it has in a millisecond, in microseconds.
     us_per_ms: u64,
@@ -42,7 +42,7 @@
 impl Gateway {
     fn new(us_per_ms: u64) -> Self {
         Self {
-            overload: Overload::new(OverloadRules::default()),
+            overload: OverloadControl::new(OverloadRules::default()),
             now_ms: 0,
             us_per_ms,
             ready_us: 0,
@@ -70,7 +70,7 @@
                 .is_some_and(|(ends, _)| *ends <= self.now_ms)
             {
                 let (_, team) = self.streams.pop_front().expect("it was just seen");
-                self.overload.ended(team);
+                self.overload.request_ended(team);
             }
             self.ready_us += self.streams.len() as u64 * STREAM_US_PER_MS;
             self.ready_us = self.ready_us.saturating_sub(self.us_per_ms);
@@ -78,7 +78,8 @@
                 let lag_ms = self.ready_us / self.us_per_ms;
                 self.longest_lag_ms = self.longest_lag_ms.max(lag_ms);
                 let now = Duration::from_millis(self.now_ms);
-                self.overload.ticked(now, Duration::from_millis(lag_ms));
+                self.overload
+                    .record_tick(now, Duration::from_millis(lag_ms));
             }
         }
     }
@@ -89,10 +90,10 @@
     fn flood(&mut self, for_ms: u64, per_ms: usize) {
         for _ in 0..for_ms {
             for _ in 0..per_ms {
-                if self.overload.is_closed() || self.arrived == MOST_ARRIVED {
+                if self.overload.refuses_connections() || self.arrived == MOST_ARRIVED {
                     self.not_connected += 1;
                 } else {
-                    self.overload.connected();
+                    self.overload.record_connection();
                     self.arrived += 1;
                 }
             }
@@ -113,7 +114,7 @@
 
     fn ask(&mut self, team: &'static str) {
         if let Err(overloaded) = self.overload.try_begin(team) {
-            self.overload.refuse(&overloaded);
+            self.overload.record_refusal(&overloaded);
             self.ready_us += REFUSE_US;
             self.refused.push(team);
         } else {
@@ -189,11 +190,11 @@
     }
     a_processor_in_slices_is_no_overload => {
         // A quota that is used up holds everything for the rest of a tenth of a second; the next one begins on time.
-        let mut overload = Overload::new(OverloadRules::default());
+        let mut overload = OverloadControl::new(OverloadRules::default());
         let before = overload.limit();
         for tick in 0..500 {
             let lag_ms = if tick % 5 == 0 { 80 } else { 1 };
-            overload.ticked(Duration::from_millis(tick * 20), Duration::from_millis(lag_ms));
+            overload.record_tick(Duration::from_millis(tick * 20), Duration::from_millis(lag_ms));
         }
         assert_eq!(overload.limit(), before);
         overload.check_plain().expect("it is not late");
@@ -226,42 +227,42 @@
         let mut gateway = Gateway::new(90);
         gateway.flood(2_000, 2);
         gateway.run(4_000, &[("a", 50)]);
-        assert!(!gateway.overload.is_closed());
+        assert!(!gateway.overload.refuses_connections());
         assert!(!gateway.overload.is_full());
     }
     a_hot_caller_that_can_be_refused_is_refused_in_words => {
         let mut gateway = Gateway::new(450);
         for _ in 0..5_000 {
             gateway.run(1, &[("hot", 2)]);
-            assert!(!gateway.overload.is_closed());
+            assert!(!gateway.overload.refuses_connections());
         }
     }
     a_gateway_that_hands_off_what_it_has_no_room_for_stays_in_rotation => {
-        let rules = OverloadRules { least: 1, most: 1, ..OverloadRules::default() };
-        let mut overload = Overload::new(rules);
+        let rules = OverloadRules { min_limit: 1, max_limit: 1, ..OverloadRules::default() };
+        let mut overload = OverloadControl::new(rules);
         overload.try_begin("a").expect("there is room");
         for window in 1..=20 {
             for _ in 0..50 {
                 overload.try_begin("b").expect_err("there is room for one");
-                overload.handed_off();
+                overload.record_handoff();
             }
-            overload.ticked(Duration::from_millis(200 * window), Duration::ZERO);
-            assert!(!overload.is_full() && !overload.is_closed());
+            overload.record_tick(Duration::from_millis(200 * window), Duration::ZERO);
+            assert!(!overload.is_full() && !overload.refuses_connections());
         }
-        assert_eq!(overload.take_tally().handed_off, 1_000);
+        assert_eq!(overload.take_counts().handed_off, 1_000);
     }
     a_gateway_that_is_short_of_processor_time_takes_nothing_over => {
-        let mut overload = Overload::new(OverloadRules::default());
+        let mut overload = OverloadControl::new(OverloadRules::default());
         assert!(overload.try_take_over("a"));
-        overload.ended("a");
-        overload.ticked(Duration::from_millis(200), Duration::from_millis(30));
+        overload.request_ended("a");
+        overload.record_tick(Duration::from_millis(200), Duration::from_millis(30));
         assert!(!overload.try_take_over("a"));
-        overload.ticked(Duration::from_millis(400), Duration::ZERO);
+        overload.record_tick(Duration::from_millis(400), Duration::ZERO);
         assert!(overload.try_take_over("a"));
     }
     what_is_taken_over_leaves_room_for_a_gateways_own_callers => {
-        let rules = OverloadRules { least: 20, most: 20, ..OverloadRules::default() };
-        let mut overload = Overload::new(rules);
+        let rules = OverloadRules { min_limit: 20, max_limit: 20, ..OverloadRules::default() };
+        let mut overload = OverloadControl::new(rules);
         let taken = (0..20).filter(|_| overload.try_take_over("a")).count();
         assert_eq!(taken, 15);
         for _ in 0..5 {
@@ -270,42 +271,42 @@
     }
     one_window_of_lag_shuts_nobody_out => {
         // A new table of many routes takes a small processor as long.
-        let mut overload = Overload::new(OverloadRules::default());
-        overload.ticked(Duration::from_millis(200), Duration::from_millis(150));
+        let mut overload = OverloadControl::new(OverloadRules::default());
+        overload.record_tick(Duration::from_millis(200), Duration::from_millis(150));
         for _ in 0..100 {
-            overload.connected();
+            overload.record_connection();
         }
-        assert!(!overload.is_closed());
+        assert!(!overload.refuses_connections());
     }
     open_connections_are_closed_one_by_one_while_the_lag_is_high => {
-        let mut overload = Overload::new(OverloadRules::default());
+        let mut overload = OverloadControl::new(OverloadRules::default());
         for _ in 0..40 {
-            overload.handed_off();
+            overload.record_handoff();
         }
-        overload.ticked(Duration::from_millis(200), Duration::from_millis(50));
-        assert_eq!((0..40).filter(|_| overload.closes_one()).count(), 10);
-        overload.ticked(Duration::from_millis(400), Duration::ZERO);
-        assert!(!overload.closes_one());
+        overload.record_tick(Duration::from_millis(200), Duration::from_millis(50));
+        assert_eq!((0..40).filter(|_| overload.should_close_connection()).count(), 10);
+        overload.record_tick(Duration::from_millis(400), Duration::ZERO);
+        assert!(!overload.should_close_connection());
     }
     a_single_refusal_keeps_nobody_away => {
-        let rules = OverloadRules { least: 1, most: 1, ..OverloadRules::default() };
-        let mut overload = Overload::new(rules);
+        let rules = OverloadRules { min_limit: 1, max_limit: 1, ..OverloadRules::default() };
+        let mut overload = OverloadControl::new(rules);
         overload.try_begin("a").expect("there is room");
         let overloaded = overload.try_begin("b").expect_err("there is room for one");
-        overload.refuse(&overloaded);
+        overload.record_refusal(&overloaded);
         for window in 1..=10 {
-            overload.ticked(Duration::from_millis(200 * window), Duration::ZERO);
+            overload.record_tick(Duration::from_millis(200 * window), Duration::ZERO);
             assert!(!overload.is_full());
         }
     }
     plain_requests_pass_until_the_lag_itself_makes_them_late => {
-        let mut overload = Overload::new(OverloadRules::default());
+        let mut overload = OverloadControl::new(OverloadRules::default());
         for second in 1..=20 {
-            overload.ticked(Duration::from_secs(second), Duration::from_millis(40));
+            overload.record_tick(Duration::from_secs(second), Duration::from_millis(40));
         }
         overload.check_plain().expect("it is not late");
         for second in 21..=40 {
-            overload.ticked(Duration::from_secs(second), Duration::from_millis(100));
+            overload.record_tick(Duration::from_secs(second), Duration::from_millis(100));
         }
         assert!(overload.check_plain().is_err());
     }
--- a/crates/routing/tests/nearby.rs
+++ b/crates/routing/tests/peer_gateways.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use hinge_cases::cases;
-use hinge_routing::Nearby;
+use hinge_routing::PeerGateways;
 
 const NOW: Duration = Duration::from_secs(100);
 
@@ -13,9 +13,9 @@
 }
 
 /// Returns a gateway's view of three others.
-fn three() -> Nearby {
-    let mut nearby = Nearby::default();
-    nearby.named(NOW, &[address(1), address(2), address(3)]);
+fn three() -> PeerGateways {
+    let mut nearby = PeerGateways::default();
+    nearby.record_listed(NOW, &[address(1), address(2), address(3)]);
     nearby
 }
 
@@ -37,7 +37,7 @@
         let mut draws = draws.into_iter();
         let second = nearby.choose(NOW, &[], || draws.next().expect("two are drawn"));
         assert_eq!(second, Some(address(2)));
-        assert_eq!(nearby.under_way(), 2);
+        assert_eq!(nearby.in_flight(), 2);
     }
     requests_are_spread_evenly => {
         let mut nearby = three();
@@ -47,14 +47,14 @@
         }
         for number in 1..=3 {
             for _ in 0..95 {
-                nearby.ended(address(number));
+                nearby.request_ended(address(number));
             }
         }
-        assert_eq!(nearby.under_way(), 15);
+        assert_eq!(nearby.in_flight(), 15);
     }
     one_that_rests_or_was_asked_is_left_out => {
         let mut nearby = three();
-        nearby.rests(NOW, address(1), Duration::from_secs(1));
+        nearby.suspend(NOW, address(1), Duration::from_secs(1));
         for draw in 0..10 {
             let chosen = nearby.choose(NOW, &[address(2)], || draw);
             assert_eq!(chosen, Some(address(3)));
@@ -67,13 +67,13 @@
         let mut nearby = three();
         assert_eq!(nearby.choose(NOW, &[], || 0), Some(address(1)));
         let later = NOW + Duration::from_mins(10);
-        nearby.named(later, &[address(3)]);
-        assert!(nearby.knows(address(1)) && !nearby.knows(address(2)) && nearby.knows(address(3)));
-        nearby.ended(address(1));
-        nearby.named(later, &[address(3)]);
-        assert!(!nearby.knows(address(1)));
+        nearby.record_listed(later, &[address(3)]);
+        assert!(nearby.contains(address(1)) && !nearby.contains(address(2)) && nearby.contains(address(3)));
+        nearby.request_ended(address(1));
+        nearby.record_listed(later, &[address(3)]);
+        assert!(!nearby.contains(address(1)));
     }
     without_others_there_is_nobody_to_choose => {
-        assert_eq!(Nearby::default().choose(NOW, &[], || 7), None);
+        assert_eq!(PeerGateways::default().choose(NOW, &[], || 7), None);
     }
 }
--- a/crates/routing/tests/suspects.rs
+++ b/crates/routing/tests/suspects.rs
@@ -1,11 +1,11 @@
 //! Checks which requests are held when endpoints end, and counts the innocent ones among them in a model.
 
-mod company;
+mod crash_model;
 
 use hinge_cases::cases;
 use hinge_routing::{RequestKey, Suspects};
 
-use crate::company::{Load, play};
+use crate::crash_model::{Load, play};
 
 fn key(number: u64) -> RequestKey {
     RequestKey::of("POST", "/", None, &number.to_be_bytes())
@@ -17,7 +17,7 @@
         .iter()
         .map(|number| (key(*number), endpoint))
         .collect();
-    suspects.note(suspects.version() + 1, &ends, &[]);
+    suspects.record(suspects.version() + 1, &ends, &[]);
 }
 
 fn held(suspects: &Suspects, among: &[u64]) -> Vec<u64> {
@@ -81,22 +81,22 @@
         for endpoint in [1, 1, 2, 2, 1] {
             end(&mut suspects, endpoint, &[7]);
         }
-        assert_eq!((suspects.ends(&key(7)), suspects.is_held(&key(7))), (2, false));
+        assert_eq!((suspects.crash_count(&key(7)), suspects.is_held(&key(7))), (2, false));
     }
     a_request_that_completes_is_innocent => {
         let mut suspects = Suspects::default();
         end(&mut suspects, 1, &[7]);
         end(&mut suspects, 2, &[7]);
-        suspects.note(suspects.version() + 1, &[], &[key(7)]);
+        suspects.record(suspects.version() + 1, &[], &[key(7)]);
         end(&mut suspects, 3, &[7]);
-        assert_eq!((suspects.ends(&key(7)), suspects.is_held(&key(7))), (1, false));
+        assert_eq!((suspects.crash_count(&key(7)), suspects.is_held(&key(7))), (1, false));
     }
     a_released_request_begins_anew => {
         let mut suspects = Suspects::default();
         for endpoint in 1..=3 {
             end(&mut suspects, endpoint, &[7]);
         }
-        suspects.note(suspects.version() + 1, &[], &[key(7)]);
+        suspects.record(suspects.version() + 1, &[], &[key(7)]);
         end(&mut suspects, 4, &[7]);
         assert_eq!(held(&suspects, &[7]), [0; 0]);
     }
@@ -110,22 +110,22 @@
             end(&mut suspects, 1_000 + endpoint, &under);
         }
         assert!(suspects.is_held(&key(7)));
-        assert_eq!(suspects.ends(&key(8)), 2);
-        assert!(suspects.newer_than(0).expect("there is news").suspects.len() <= 4_096);
+        assert_eq!(suspects.crash_count(&key(8)), 2);
+        assert!(suspects.changes_since(0).expect("there is news").suspects.len() <= 4_096);
     }
     another_process_comes_to_the_same_verdicts_by_what_has_changed => {
         let (mut first, mut second) = (Suspects::default(), Suspects::default());
         for endpoint in 1..40_u64 {
             end(&mut first, endpoint, &[7, endpoint % 5, endpoint % 3]);
             if endpoint % 4 == 0 {
-                first.note(first.version() + 1, &[], &[key(endpoint % 5)]);
+                first.record(first.version() + 1, &[], &[key(endpoint % 5)]);
             }
             if endpoint % 6 == 0 {
-                let changed = first.newer_than(second.version()).expect("there is news");
-                second.take_in(&changed);
-                assert_eq!(first.newer_than(second.version()), None);
+                let changed = first.changes_since(second.version()).expect("there is news");
+                second.apply(&changed);
+                assert_eq!(first.changes_since(second.version()), None);
                 assert_eq!(second.held(), first.held());
-                assert!((0..40).all(|number| second.ends(&key(number)) == first.ends(&key(number))));
+                assert!((0..40).all(|number| second.crash_count(&key(number)) == first.crash_count(&key(number))));
             }
         }
     }
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -1,7 +1,7 @@
 //! Checks which route tables are taken, and which route a request gets.
 
 use hinge_cases::cases;
-use hinge_routing::{Lookup, TableError, check};
+use hinge_routing::{RouteIndex, TableError, check_table};
 use hinge_schema::routing::{
     CallerLimits, RequestKind, Route, RouteTable, Service, Target, TeamKeys,
 };
@@ -69,7 +69,7 @@
 fn refuses((change, is_expected): (Change, Expected)) {
     let mut changed = route("r", "/a/");
     change(&mut changed);
-    let error = check(&table(vec![changed], Vec::new())).expect_err("the route is not valid");
+    let error = check_table(&table(vec![changed], Vec::new())).expect_err("the route is not valid");
     assert!(is_expected(&error), "{error}");
 }
 
@@ -84,19 +84,19 @@
 
 cases! {
     two_routes_at_one_place_are_refused => {
-        let error = check(&table(vec![route("r", "/a/"), route("s", "/a/")], Vec::new()));
+        let error = check_table(&table(vec![route("r", "/a/"), route("s", "/a/")], Vec::new()));
         assert_eq!(error, Err(TableError::SameRoute { route: "s".into() }));
     }
     one_key_of_two_teams_is_refused => {
-        let error = check(&table(Vec::new(), vec![team("a", "key"), team("b", "key")]));
+        let error = check_table(&table(Vec::new(), vec![team("a", "key"), team("b", "key")]));
         assert_eq!(error, Err(TableError::SharedKey { team: "b".into() }));
     }
     a_key_that_a_team_names_twice_is_taken => {
         let twice = TeamKeys { keys: vec!["key".into(), "key".into()], ..team("a", "key") };
-        assert_eq!(check(&table(Vec::new(), vec![twice])), Ok(()));
+        assert_eq!(check_table(&table(Vec::new(), vec![twice])), Ok(()));
     }
     the_longest_prefix_goes_first => {
-        let lookup = Lookup::new(table(vec![route("short", "/a/"), route("long", "/a/b/")], Vec::new()));
+        let lookup = RouteIndex::new(table(vec![route("short", "/a/"), route("long", "/a/b/")], Vec::new()));
         let name = |path| lookup.route("a.example", path).map(|route| &*route.name);
         assert_eq!(name("/a/b/c"), Some("long"));
         assert_eq!(name("/a/bc"), Some("short"));
@@ -107,13 +107,13 @@
     targets_get_their_shares => {
         let mut shared = route("r", "/a/");
         shared.targets = vec![target("one", 3), target("none", 0), target("two", 1)];
-        let draws = (0..400).filter_map(|draw| Lookup::target(&shared, draw));
+        let draws = (0..400).filter_map(|draw| RouteIndex::pick_target(&shared, draw));
         let names: Vec<&str> = draws.map(|target| &*target.service).collect();
         assert_eq!(names.iter().filter(|name| **name == "one").count(), 300);
         assert_eq!(names.iter().filter(|name| **name == "two").count(), 100);
     }
     a_key_finds_its_team_and_no_other => {
-        let lookup = Lookup::new(table(Vec::new(), vec![team("a", "key-a"), team("b", "key-b")]));
+        let lookup = RouteIndex::new(table(Vec::new(), vec![team("a", "key-a"), team("b", "key-b")]));
         assert_eq!(lookup.team("key-b").map(|team| &*team.name), Some("b"));
         assert!(lookup.team("key").is_none());
     }
