--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -47,7 +47,7 @@
     let mut neighbours = Neighbours::new();
     let mut told_at = Instant::now();
     loop {
-        let was_followed = targets.is_followed();
+        let was_followed = targets.is_following();
         let question = question(&instance, &peer_address, &held);
         let to_ask = targets.to_query();
         held.control.store(Arc::new(to_ask.to_vec()));
--- a/crates/routing/src/cached_prefixes.rs
+++ b/crates/routing/src/cached_prefixes.rs
@@ -1,28 +1,30 @@
-//! Remembers where the shared parts of prompts were read lately.
+//! Remembers which endpoints have processed a shared prompt prefix recently.
 //!
-//! The load pattern: requests leave the busy home of a part, and those that come after them find copies at several engines,
-//! while the home itself may have lost the part or may be new. A copy from where the part was last read takes a tenth of the
-//! time of reading it, and an engine that has it already is as good as its home.
+//! Requests leave a busy home of a prefix and create copies at several engines, while the home itself may
+//! have evicted the prefix or may be new. Copying the prefix from where it was last used takes a tenth of the
+//! time of prefilling it, and an engine that has it cached is as good as its home.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use smallvec::SmallVec;
 
-/// Time for which a part is taken to be kept after its last use: the memory of a busy engine turns over in some seven seconds.
-const KEPT_FOR: Duration = Duration::from_secs(6);
+/// Time for which a prefix counts as cached after its last use: the memory of a busy engine turns over in
+/// some seven seconds.
+const CACHE_LIFETIME: Duration = Duration::from_secs(6);
 
-/// Engines that are remembered for each part; a hot part is spread over a few.
-const MOST_HOLDERS: usize = 4;
+/// Engines remembered for each prefix; a hot prefix is spread over a few.
+const MAX_HOLDERS: usize = 4;
 
-/// Parts that are remembered, at most: those of some ten seconds at 400 requests a second, and 400 KB.
-const MOST_PARTS: usize = 4_096;
+/// Highest number of prefixes remembered: those of some ten seconds at 400 requests a second, which take 400
+/// KB.
+const MAX_PREFIXES: usize = 4_096;
 
-/// Stands for one incarnation of an endpoint; one that starts again keeps nothing of before.
+/// Hash of one incarnation of an endpoint; a restarted endpoint has nothing cached from before.
 pub type IncarnationHash = u64;
 
-/// Lists the endpoints that should keep a part, the one used last first.
-pub type Holders = SmallVec<[IncarnationHash; MOST_HOLDERS]>;
+/// The endpoints that should have a prefix cached, most recent use first.
+pub type Holders = SmallVec<[IncarnationHash; MAX_HOLDERS]>;
 
 #[derive(Debug, Clone, Copy)]
 struct Holder {
@@ -30,22 +32,22 @@
     used_at: Duration,
 }
 
-/// Holds where shared parts were read lately, as far as one gateway has seen.
+/// The endpoints that processed shared prefixes recently, as far as one gateway has seen.
 #[derive(Debug, Default)]
 pub struct CachedPrefixes {
-    /// By the number that stands for the parts; the holder used last comes first.
-    parts: HashMap<u64, SmallVec<[Holder; MOST_HOLDERS]>>,
+    /// Holders by the key of the prefix, most recent use first.
+    prefixes: HashMap<u64, SmallVec<[Holder; MAX_HOLDERS]>>,
 }
 
 impl CachedPrefixes {
-    /// Notes that an endpoint has read, or had, the parts that a number stands for.
+    /// Records that an endpoint has prefilled or reused a prefix.
     pub fn record(&mut self, now: Duration, key: u64, endpoint: IncarnationHash) {
-        if self.parts.len() >= MOST_PARTS && !self.parts.contains_key(&key) {
-            self.forget_old(now);
+        if self.prefixes.len() >= MAX_PREFIXES && !self.prefixes.contains_key(&key) {
+            self.evict(now);
         }
-        let holders = self.parts.entry(key).or_default();
+        let holders = self.prefixes.entry(key).or_default();
         holders.retain(|holder| holder.endpoint != endpoint);
-        holders.truncate(MOST_HOLDERS - 1);
+        holders.truncate(MAX_HOLDERS - 1);
         holders.insert(
             0,
             Holder {
@@ -55,38 +57,38 @@
         );
     }
 
-    /// Returns the endpoints that should keep the parts.
+    /// Returns the endpoints that should have a prefix cached.
     #[must_use]
     pub fn holders(&self, now: Duration, key: u64) -> Holders {
-        let holders = self.parts.get(&key).map_or(&[][..], SmallVec::as_slice);
+        let holders = self.prefixes.get(&key).map_or(&[][..], SmallVec::as_slice);
         let fresh = holders.iter().filter(|holder| holder.is_fresh(now));
         fresh.map(|holder| holder.endpoint).collect()
     }
 
-    /// Returns how many parts are remembered.
+    /// Returns the number of remembered prefixes.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.parts.len()
+        self.prefixes.len()
     }
 
-    /// Returns whether no part is remembered.
+    /// Returns whether no prefix is remembered.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.parts.is_empty()
+        self.prefixes.is_empty()
     }
 
-    /// Forgets the parts that nobody keeps any more, and all of them if that makes no room.
-    fn forget_old(&mut self, now: Duration) {
-        self.parts
+    /// Evicts the prefixes that no endpoint should still have cached, and all of them if that frees nothing.
+    fn evict(&mut self, now: Duration) {
+        self.prefixes
             .retain(|_, holders| holders.iter().any(|holder| holder.is_fresh(now)));
-        if self.parts.len() >= MOST_PARTS {
-            self.parts.clear();
+        if self.prefixes.len() >= MAX_PREFIXES {
+            self.prefixes.clear();
         }
     }
 }
 
 impl Holder {
     fn is_fresh(&self, now: Duration) -> bool {
-        now < self.used_at + KEPT_FOR
+        now < self.used_at + CACHE_LIFETIME
     }
 }
--- a/crates/routing/src/check.rs
+++ b/crates/routing/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks a route table before it is taken.
+//! Checks a route table before it is accepted.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::error::Error;
@@ -6,7 +6,7 @@
 
 use hinge_schema::routing::{Route, RouteTable};
 
-/// Says why a route table can't be taken.
+/// The reason why a route table is not valid.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TableError {
     /// A route names a service that the table lacks.
@@ -89,10 +89,10 @@
         .iter()
         .map(|service| &*service.name)
         .collect();
-    let mut places = BTreeSet::new();
+    let mut seen = BTreeSet::new();
     for route in &table.routes {
         check_route(route, &services)?;
-        if !places.insert((&route.host, &route.path_prefix)) {
+        if !seen.insert((&route.host, &route.path_prefix)) {
             return Err(TableError::SameRoute {
                 route: route.name.clone(),
             });
--- a/crates/routing/src/choose.rs
+++ b/crates/routing/src/choose.rs
@@ -1,9 +1,10 @@
-//! Chooses the endpoint of a request by where the parts of its prompt are cached, by load, and by data centre.
+//! Chooses the endpoint of a request by its cached prompt prefix, by load, and by data centre.
 //!
-//! The load pattern: prompts share long parts, and reading one again costs an engine more than everything else that a
-//! request does. Many gateways choose at once and don't see each other's choices. So each shared part has a few *homes*,
-//! which every gateway computes alike from the endpoints' ids (rendezvous hashing); a request goes to the cheapest home
-//! and leaves them only where their load costs more than reading the part anew.
+//! Prompts share long prefixes, and prefilling one again costs an engine more than everything else that a
+//! request does. Many gateways choose at once without seeing each other's choices. Each shared prefix
+//! therefore has a few *homes*, which every gateway computes alike from the ids of the endpoints (rendezvous
+//! hashing). A request goes to the cheapest home, and elsewhere only where the load of the homes costs more
+//! than prefilling the prefix again.
 
 use std::time::Duration;
 
@@ -11,23 +12,23 @@
 
 use crate::usage_lag::{Backlog, BacklogLimits, UsageLag};
 
-/// Describes one part of a prompt.
+/// One part of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Number of the part; equal numbers are equal text.
+    /// Identifier of the text; parts with equal identifiers have equal text.
     pub id: u64,
-    /// Its length, in tokens.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
-/// Describes a request's prompt and answer.
+/// The prompt of a request, and the limit of its answer.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// Its parts, in order; the last one is the request's own.
+    /// Parts in order; the last one is specific to the request.
     pub parts: SmallVec<[PromptPart; 4]>,
     /// Tokens of the whole prompt.
     pub prompt_tokens: u32,
-    /// Most tokens of the answer.
+    /// Highest number of tokens in the answer.
     pub max_answer_tokens: u32,
 }
 
@@ -38,14 +39,14 @@
         self.parts.split_last().map_or(&[], |(_own, shared)| shared)
     }
 
-    /// Returns the tokens that no other request shares.
+    /// Returns the number of tokens that no other request shares.
     #[must_use]
     pub fn unshared_tokens(&self) -> u32 {
         let shared = self.shared_parts().iter().map(|part| part.tokens).sum();
         self.prompt_tokens.saturating_sub(shared)
     }
 
-    /// Returns the number that stands for the shared parts, and their tokens; none without shared parts.
+    /// Returns the key of the shared prefix and its length in tokens, or `None` without shared parts.
     #[must_use]
     pub fn shared_key(&self) -> Option<(u64, u32)> {
         let shared = self.shared_parts();
@@ -58,37 +59,37 @@
     }
 }
 
-/// Describes an endpoint that could take the request.
+/// An endpoint that could take the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Candidate {
-    /// Number that stands for the endpoint's id, the same at every gateway.
+    /// Hash of the endpoint's id, the same at every gateway.
     pub hash: u64,
-    /// Requests that run or wait there, as far as is known.
+    /// Requests known to run or wait there.
     pub running: u32,
-    /// Requests that it runs at once.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Prompt tokens that it has before it.
+    /// Prompt tokens queued there.
     pub backlog: Backlog,
     /// Whether it is in this gateway's data centre.
     pub is_local: bool,
-    /// Whether it has read the shared parts lately, as far as this gateway has seen.
+    /// Whether it has processed the shared prefix recently, as far as this gateway has seen.
     pub has_cached_prefix: bool,
 }
 
-/// Sets what the choice weighs; costs are in microseconds of an engine's time.
+/// The weights of the choice; costs are in microseconds of an engine's time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ChoiceRules {
-    /// Endpoints that keep a shared part.
+    /// Number of homes of a shared prefix.
     pub home_count: usize,
-    /// Cost of one token that has to be read first.
+    /// Cost of one queued token, which is prefilled first.
     pub backlog_token_us: u64,
-    /// Cost of one token that would have to be read anew.
+    /// Cost of one token of the shared prefix that would have to be prefilled again.
     pub missing_token_us: u64,
-    /// Cost of one request that runs already: every step takes longer, and its prompt may be read first.
+    /// Cost of one running request: it slows down every step, and its prompt may be prefilled first.
     pub running_us: u64,
     /// Cost of a request that would have to wait for a slot.
     pub waiting_us: u64,
-    /// Cost of leaving the data centre: its round trip.
+    /// Cost of leaving the data centre: one round trip.
     pub remote_us: u64,
     /// Cost of a kilobyte that leaves the data centre.
     pub remote_kb_us: u64,
@@ -97,11 +98,13 @@
 impl Default for ChoiceRules {
     /// Returns the defaults.
     ///
-    /// An engine reads some 25 to 45 tokens in a millisecond: 40 µs a token. A part that is read again costs its other
-    /// callers as well, and the most were on time from 100 µs on. A second home would halve the load of a hot part, but
-    /// memory turns over before either home uses the part again. A running request adds some
-    /// 2 ms; beyond the slots a request waits for another to end. Leaving the data centre costs its round trip and
-    /// its bytes, which the users weigh: a kilobyte about as much as 30 tokens that are read again.
+    /// An engine prefills some 25 to 45 tokens per millisecond, hence 40 µs per queued token. Prefilling a
+    /// prefix again delays other callers of the engine as well, and the most requests were on time with a
+    /// cost of 100 µs or more per missing token. A second home would halve the load of a hot prefix, but the
+    /// cache memory is reused before either home sees the prefix again. A running request adds some 2 ms;
+    /// beyond the slots, a request waits for another one to end. Leaving the data centre costs a round trip
+    /// and the bytes sent, weighted by what users pay for them: a kilobyte counts about as much as 30 tokens
+    /// that are prefilled again.
     fn default() -> Self {
         Self {
             home_count: 1,
@@ -116,7 +119,7 @@
 }
 
 impl ChoiceRules {
-    /// Returns how many tokens an engine reads in some time, as the choice weighs them.
+    /// Returns how many tokens an engine prefills in a given time, by the cost of a queued token.
     #[must_use]
     pub fn prefillable_tokens(&self, time: Duration) -> u32 {
         let tokens = time.as_micros() / u128::from(self.backlog_token_us.max(1));
@@ -124,30 +127,32 @@
     }
 }
 
-/// Returns the rank of an endpoint as a home of a shared part; the highest ones are its homes.
+/// Returns the rank of an endpoint as a home of a shared prefix; the endpoints with the highest ranks are its
+/// homes.
 #[must_use]
 pub fn home_rank(key: u64, endpoint: u64) -> u64 {
     mix(key ^ mix(endpoint))
 }
 
-/// Chooses an endpoint, and returns its place among the candidates; none if there are no candidates.
+/// Returns the index of the cheapest candidate, or `None` if there are no candidates.
 ///
-/// `far_bytes` are the bytes that leave the data centre with it; `draw` decides between equal ones.
+/// `remote_bytes` is the number of bytes that would leave the data centre; `draw` breaks ties.
 #[must_use]
 pub fn choose_endpoint(
     candidates: &[Candidate],
     prompt: Option<&Prompt>,
-    far_bytes: u64,
+    remote_bytes: u64,
     rules: &ChoiceRules,
     draw: u64,
 ) -> Option<usize> {
     let shared = prompt.and_then(Prompt::shared_key);
     let homes = shared.map(|(key, _)| homes_of(candidates, key, rules.home_count + 1));
-    let costs = candidates.iter().enumerate().map(|(place, candidate)| {
+    let costs = candidates.iter().enumerate().map(|(index, candidate)| {
         let tokens = shared.map_or(0, |(_, tokens)| u64::from(tokens));
         let homes = homes.as_ref();
-        let rank = homes.and_then(|homes| homes.iter().position(|home| *home == place));
-        // Requests that leave the homes go to the next one in rank, so that it has the part the next time.
+        let rank = homes.and_then(|homes| homes.iter().position(|home| *home == index));
+        // Requests that leave the homes go to the next endpoint in rank, so that it has the prefix cached the
+        // next time.
         let missing = match rank {
             _ if candidate.has_cached_prefix => 0,
             Some(rank) if rank < rules.home_count => 0,
@@ -155,39 +160,41 @@
             None => tokens,
         };
         let cost = load_us(candidate, rules)
-            + far_us(candidate, far_bytes, rules)
+            + remote_us(candidate, remote_bytes, rules)
             + missing * rules.missing_token_us;
-        (cost, mix(draw ^ candidate.hash), place)
+        (cost, mix(draw ^ candidate.hash), index)
     });
-    costs.min().map(|(_, _, place)| place)
+    costs.min().map(|(_, _, index)| index)
 }
 
-/// Chooses an endpoint for a request that another one refused, among those that may be asked; none if there are none.
+/// Returns the index of the endpoint to try after another one refused a request, or `None` if none may be
+/// tried.
 ///
-/// The load pattern: a long prompt keeps the endpoint busy that has the shared parts, and a request of a team that has had less than
-/// the others can't wait for it. The next in rank is often as busy, while some endpoint is idle at every moment, or has only asks of
-/// those others waiting. Reading the shared parts anew takes the place of others, so only a team that is behind leaves the next in rank.
+/// A long prompt keeps the endpoint busy that has its prefix cached, and a request of a team with less usage
+/// than the others can't wait for it. The next endpoint in rank is often as busy, while at any moment some
+/// endpoint is idle or has only requests of those other teams waiting. Prefilling the prefix there takes
+/// capacity from others, so only a team that is behind may skip the next endpoint in rank.
 #[must_use]
 pub fn choose_after_refusal(
     candidates: &[Candidate],
     prompt: Option<&Prompt>,
-    far_bytes: u64,
+    remote_bytes: u64,
     rules: &ChoiceRules,
     lag: UsageLag,
-    room: BacklogLimits,
+    limits: BacklogLimits,
     draw: u64,
 ) -> Option<usize> {
     if lag == UsageLag::Even {
-        let chosen = choose_endpoint(candidates, prompt, far_bytes, rules, draw)?;
+        let chosen = choose_endpoint(candidates, prompt, remote_bytes, rules, draw)?;
         return lag
-            .may_ask(candidates[chosen].backlog, room)
+            .may_try(candidates[chosen].backlog, limits)
             .then_some(chosen);
     }
-    let places = candidates.iter().copied().enumerate();
-    let asked = places.filter(|(_, candidate)| lag.may_ask(candidate.backlog, room));
-    let (places, asked): (Vec<usize>, Vec<Candidate>) = asked.unzip();
-    let chosen = choose_endpoint(&asked, prompt, far_bytes, rules, draw)?;
-    Some(places[chosen])
+    let indexes = candidates.iter().copied().enumerate();
+    let eligible = indexes.filter(|(_, candidate)| lag.may_try(candidate.backlog, limits));
+    let (indexes, eligible): (Vec<usize>, Vec<Candidate>) = eligible.unzip();
+    let chosen = choose_endpoint(&eligible, prompt, remote_bytes, rules, draw)?;
+    Some(indexes[chosen])
 }
 
 fn load_us(candidate: &Candidate, rules: &ChoiceRules) -> u64 {
@@ -201,7 +208,7 @@
         + u64::from(candidate.backlog.tokens()) * rules.backlog_token_us
 }
 
-fn far_us(candidate: &Candidate, bytes: u64, rules: &ChoiceRules) -> u64 {
+fn remote_us(candidate: &Candidate, bytes: u64, rules: &ChoiceRules) -> u64 {
     if candidate.is_local {
         0
     } else {
@@ -212,13 +219,13 @@
 fn homes_of(candidates: &[Candidate], key: u64, count: usize) -> SmallVec<[usize; 4]> {
     let ranked = candidates.iter().enumerate();
     let mut ranked: SmallVec<[(u64, usize); 16]> = ranked
-        .map(|(place, candidate)| (home_rank(key, candidate.hash), place))
+        .map(|(index, candidate)| (home_rank(key, candidate.hash), index))
         .collect();
     ranked.sort_unstable_by(|a, b| b.cmp(a));
-    ranked.iter().take(count).map(|(_, place)| *place).collect()
+    ranked.iter().take(count).map(|(_, index)| *index).collect()
 }
 
-/// Spreads the bits of a number (the finaliser of `SplitMix64`).
+/// Mixes the bits of a number (the finaliser of `SplitMix64`).
 fn mix(value: u64) -> u64 {
     let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/routing/src/circuit_breaker.rs
+++ b/crates/routing/src/circuit_breaker.rs
@@ -1,26 +1,27 @@
-//! Keeps an endpoint out that fails, and lets it back step by step.
+//! Ejects an endpoint that fails, and lets it back step by step.
 //!
-//! The load pattern: an endpoint dies or fails a part of its requests while it still reports itself. It is held out for
-//! a short time that doubles with each further failure, and comes back with one request at a time.
+//! An endpoint can crash or fail a part of its requests while it still reports itself. It is ejected for a
+//! short time that doubles with each further failure, and comes back with one request at a time.
 
 use std::time::Duration;
 
-/// Sets when an endpoint is held out.
+/// The settings of a [`CircuitBreaker`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CircuitBreakerRules {
-    /// Failures in a row that hold it out.
+    /// Consecutive failures after which an endpoint is ejected.
     pub consecutive_failures: u32,
-    /// First time for which it is held out.
+    /// Duration of the first ejection.
     pub min_ejection: Duration,
-    /// Longest time for which it is held out.
+    /// Longest duration of an ejection.
     pub max_ejection: Duration,
 }
 
 impl Default for CircuitBreakerRules {
     /// Returns 2 failures, 0.5 s and 4 s.
     ///
-    /// One failure may be a connection that was closed while idle; two in a row of an endpoint that fails one request in
-    /// fifty are a 1 in 2,500 event, and cost it half a second. Longer than 4 s is what a restart takes.
+    /// A single failure may be a connection that was closed while idle. Two in a row of an endpoint that
+    /// fails one request in fifty happen once in 2,500 requests and cost it half a second. A restart takes up
+    /// to 4 s.
     fn default() -> Self {
         Self {
             consecutive_failures: 2,
@@ -30,52 +31,52 @@
     }
 }
 
-/// Judges one endpoint by what became of the requests that it was sent.
+/// A circuit breaker for one endpoint, by the outcome of the requests sent to it.
 #[derive(Debug, Clone, Default)]
 pub struct CircuitBreaker {
     failures: u32,
-    held_until: Option<Duration>,
-    /// Whether one request is under way that tries the endpoint again.
-    is_trying: bool,
+    ejected_until: Option<Duration>,
+    /// Whether a request is in flight that probes the endpoint after an ejection.
+    is_probing: bool,
 }
 
 impl CircuitBreaker {
-    /// Notes an answer.
+    /// Records a response, which ends the ejection.
     pub fn record_success(&mut self) {
         *self = Self::default();
     }
 
-    /// Notes a failure, and returns for how long the endpoint is held out if it begins now.
+    /// Records a failure, and returns the duration of the ejection if one begins now.
     pub fn record_failure(
         &mut self,
         now: Duration,
         rules: &CircuitBreakerRules,
     ) -> Option<Duration> {
         self.failures = self.failures.saturating_add(1);
-        self.is_trying = false;
-        let beyond = self.failures.checked_sub(rules.consecutive_failures)?;
-        let hold = rules.min_ejection * 2_u32.saturating_pow(beyond.min(16));
-        let hold = hold.min(rules.max_ejection);
-        self.held_until = Some(now + hold);
-        Some(hold)
+        self.is_probing = false;
+        let repeats = self.failures.checked_sub(rules.consecutive_failures)?;
+        let ejection = rules.min_ejection * 2_u32.saturating_pow(repeats.min(16));
+        let ejection = ejection.min(rules.max_ejection);
+        self.ejected_until = Some(now + ejection);
+        Some(ejection)
     }
 
     /// Returns whether the endpoint may be sent a request now.
     #[must_use]
     pub fn allows_request(&self, now: Duration) -> bool {
-        match self.held_until {
+        match self.ejected_until {
             None => true,
-            Some(until) => now >= until && !self.is_trying,
+            Some(until) => now >= until && !self.is_probing,
         }
     }
 
-    /// Notes that a request is sent; while the endpoint is tried again, no second one is.
+    /// Records that a request is sent; while it probes the endpoint, no second one is sent.
     pub fn record_sent(&mut self) {
-        self.is_trying = self.held_until.is_some();
+        self.is_probing = self.ejected_until.is_some();
     }
 
-    /// Notes that a request ended without word on the endpoint, such as when its caller left.
+    /// Records that a request ended without an outcome, for example because its caller left.
     pub fn record_abandoned(&mut self) {
-        self.is_trying = false;
+        self.is_probing = false;
     }
 }
--- a/crates/routing/src/connection_limit.rs
+++ b/crates/routing/src/connection_limit.rs
@@ -1,145 +1,159 @@
-//! Bounds the connections that a gateway takes while its processor does not keep up.
+//! Limits the connections that a gateway accepts while its processor does not keep up.
 //!
-//! The load pattern: a caller brings hundreds of connections a second to a gateway with a small part of a core. To take each of them
-//! and refuse its request costs the processor what could be served or handed off. So the gateway listens only for as many as it can do
-//! something for; any other attempt to connect fails at once and costs it nothing.
+//! A caller can open hundreds of connections a second to a gateway with a small fraction of a core. Accepting
+//! each of them and refusing its request takes processor time from requests that could be served or handed
+//! off. The gateway therefore listens only for as many connections as it can do something for; any other
+//! attempt to connect fails at once and costs it nothing.
 
 use std::time::Duration;
 
-/// Standing lag from which on fewer connections are taken. A request waits for it several times before its answer begins: to be accepted,
-/// to be read, and with the head and the first piece of the answer.
+/// Standing lag above which fewer connections are accepted. A request waits for it several times before its
+/// response begins: when it is accepted, when it is read, and with the head and the first chunk of the
+/// response.
 const HIGH_LAG: Duration = Duration::from_millis(20);
 
-/// Lag below which the processor has time left.
+/// Standing lag below which the processor has time to spare.
 const LOW_LAG: Duration = Duration::from_millis(5);
 
-/// Times the high lag from which on far fewer are taken.
-const STEEP_TIMES: u32 = 2;
+/// Multiple of `HIGH_LAG` above which the limit falls steeply.
+const STEEP_LAG_FACTOR: u32 = 2;
 
-/// Part that remains after a window of high lag, in thousandths: up to some times it, and beyond.
-const FALL_PERMILLE: u32 = 850;
-const STEEP_FALL_PERMILLE: u32 = 500;
+/// Fraction of the limit that remains after a window of high lag, in thousandths: up to `STEEP_LAG_FACTOR`
+/// times `HIGH_LAG`, and above it.
+const DECREASE_PERMILLE: u32 = 850;
+const STEEP_DECREASE_PERMILLE: u32 = 500;
 
-/// Part of the lag of the window before below which it falls, in thousandths.
-const FALLING_PERMILLE: u32 = 900;
+/// Fraction of the previous window's lag up to which the lag counts as falling, in thousandths.
+const FALLING_LAG_PERMILLE: u32 = 900;
 
-/// What is gained after any other window, in thousandths: with some lag, and with less than the low one.
-const RISE_PERMILLE: u32 = 100;
-const STEEP_RISE_PERMILLE: u32 = 250;
+/// Increase of the limit after any other window, in thousandths: with some lag, and below `LOW_LAG`.
+const INCREASE_PERMILLE: u32 = 100;
+const STEEP_INCREASE_PERMILLE: u32 = 250;
 
-/// Part of the requests of a window of high lag whose connections are closed in the next one, as a divisor.
+/// Connections closed after a window of high lag, as a divisor of the requests served or handed off in it.
 const CLOSE_DIVISOR: u32 = 4;
 
-/// Connections that may be taken in a window: at first and at most, and at least.
-const MOST: u32 = 1_000;
-const LEAST: u32 = 8;
+/// Connections that may be accepted in a window: the upper bound, which is also the initial limit, and the
+/// lower bound.
+const MAX_PER_WINDOW: u32 = 1_000;
+const MIN_PER_WINDOW: u32 = 8;
 
-/// Part of a window for which nobody listens that counts as most of it, in thousandths.
-const MOSTLY_PERMILLE: u32 = 600;
+/// Fraction of a window without listening from which the listener counts as mostly closed, in thousandths.
+const MOSTLY_CLOSED_PERMILLE: u32 = 600;
 
-/// Says what a window was like.
+/// Whether the gateway was listening for connections during a window.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Window {
-    /// Every connection could be taken.
+pub(crate) enum ListenerState {
+    /// The listener was open throughout.
     Open,
-    /// For a part of it nobody listened.
-    PartlyShut,
-    /// For most of it nobody listened.
-    MostlyShut,
+    /// The listener was closed for a part of the window.
+    PartlyClosed,
+    /// The listener was closed for most of the window.
+    MostlyClosed,
 }
 
-/// Counts the connections of a window.
+/// An adaptive limit of the connections accepted in a window.
 #[derive(Debug)]
-pub(crate) struct Intake {
-    allowed: u32,
-    taken: u32,
-    /// Standing lag of the last window.
+pub(crate) struct ConnectionLimit {
+    limit: u32,
+    accepted: u32,
+    /// Standing lag of the previous window.
     lag: Duration,
     ticks: u32,
-    shut_ticks: u32,
-    /// Connections that are still to close in this window.
+    closed_ticks: u32,
+    /// Connections that remain to be closed in this window.
     to_close: u32,
 }
 
-impl Intake {
+impl ConnectionLimit {
     pub(crate) fn new() -> Self {
         Self {
-            allowed: MOST,
-            taken: 0,
+            limit: MAX_PER_WINDOW,
+            accepted: 0,
             lag: Duration::ZERO,
             ticks: 0,
-            shut_ticks: 0,
+            closed_ticks: 0,
             to_close: 0,
         }
     }
 
-    /// Notes that a connection was taken.
-    pub(crate) fn connected(&mut self) {
-        self.taken += 1;
+    /// Records an accepted connection.
+    pub(crate) fn record_accepted(&mut self) {
+        self.accepted += 1;
     }
 
-    /// Returns whether the connection of an answer should close after it.
-    pub(crate) fn closes_one(&mut self) -> bool {
+    /// Returns whether the connection of a response should close after it, and if so counts it as closed.
+    pub(crate) fn should_close_connection(&mut self) -> bool {
         let closes = self.to_close > 0;
         self.to_close -= u32::from(closes);
         closes
     }
 
-    /// Returns whether no further connection is taken in this window.
-    pub(crate) fn is_shut(&self) -> bool {
-        self.taken >= self.allowed
+    /// Returns whether no further connection is accepted in this window.
+    pub(crate) fn is_closed(&self) -> bool {
+        self.accepted >= self.limit
     }
 
-    /// Notes the passing of a part of the window.
-    pub(crate) fn ticked(&mut self) {
+    /// Records a tick, of which a window has several.
+    pub(crate) fn record_tick(&mut self) {
         self.ticks += 1;
-        self.shut_ticks += u32::from(self.is_shut());
+        self.closed_ticks += u32::from(self.is_closed());
     }
 
-    /// Ends a window with its standing lag, in which so many requests were served or handed off; `is_wasted` says that others were
+    /// Ends a window and adapts the limit to its standing lag.
+    ///
+    /// `useful` is the number of requests served or handed off in it; `is_wasted` tells that others were
     /// refused while there was a lag.
-    pub(crate) fn end_window(&mut self, lag: Duration, useful: u32, is_wasted: bool) -> Window {
+    pub(crate) fn end_window(
+        &mut self,
+        lag: Duration,
+        useful: u32,
+        is_wasted: bool,
+    ) -> ListenerState {
         let ticks = std::mem::take(&mut self.ticks);
-        let shut_ticks = std::mem::take(&mut self.shut_ticks);
-        let taken = std::mem::take(&mut self.taken);
-        let was_shut = taken >= self.allowed;
-        let before = std::mem::replace(&mut self.lag, lag);
-        // Those that are open bring their next requests past the limit of new ones.
+        let closed_ticks = std::mem::take(&mut self.closed_ticks);
+        let accepted = std::mem::take(&mut self.accepted);
+        let was_closed = accepted >= self.limit;
+        let previous_lag = std::mem::replace(&mut self.lag, lag);
+        // Open connections bring their next requests regardless of the limit of new ones.
         self.to_close = if lag > HIGH_LAG {
             useful / CLOSE_DIVISOR
         } else {
             0
         };
-        // A single window may be that of a new table, which takes a small processor as long; and what was taken before may still wait.
-        let stays_high =
-            lag > HIGH_LAG && before > HIGH_LAG && lag > before * FALLING_PERMILLE / 1000;
+        // The limit stays after a single window of high lag, since applying a new route table keeps a small
+        // processor busy for as long, and while the lag falls, since connections accepted earlier may still
+        // be queued.
+        let stays_high = lag > HIGH_LAG
+            && previous_lag > HIGH_LAG
+            && lag > previous_lag * FALLING_LAG_PERMILLE / 1000;
         if stays_high {
-            let left_permille = if lag > HIGH_LAG * STEEP_TIMES {
-                STEEP_FALL_PERMILLE
+            let remaining_permille = if lag > HIGH_LAG * STEEP_LAG_FACTOR {
+                STEEP_DECREASE_PERMILLE
             } else {
-                FALL_PERMILLE
+                DECREASE_PERMILLE
             };
-            let left = self.allowed.min(taken) * left_permille / 1000;
-            self.allowed = left.max(LEAST);
+            let remaining = self.limit.min(accepted) * remaining_permille / 1000;
+            self.limit = remaining.max(MIN_PER_WINDOW);
         } else if is_wasted {
-            self.allowed = useful.clamp(LEAST, self.allowed.max(LEAST));
+            self.limit = useful.clamp(MIN_PER_WINDOW, self.limit.max(MIN_PER_WINDOW));
         } else if lag > HIGH_LAG {
-            // It falls.
+            // The lag is new or falling, so the limit stays.
         } else {
             let permille = if lag < LOW_LAG {
-                STEEP_RISE_PERMILLE
+                STEEP_INCREASE_PERMILLE
             } else {
-                RISE_PERMILLE
+                INCREASE_PERMILLE
             };
-            let rise = (self.allowed * permille / 1000).max(1);
-            self.allowed = (self.allowed + rise).min(MOST);
+            let increase = (self.limit * permille / 1000).max(1);
+            self.limit = (self.limit + increase).min(MAX_PER_WINDOW);
         }
-        if shut_ticks * 1000 >= ticks.max(1) * MOSTLY_PERMILLE {
-            Window::MostlyShut
-        } else if was_shut {
-            Window::PartlyShut
+        if closed_ticks * 1000 >= ticks.max(1) * MOSTLY_CLOSED_PERMILLE {
+            ListenerState::MostlyClosed
+        } else if was_closed {
+            ListenerState::PartlyClosed
         } else {
-            Window::Open
+            ListenerState::Open
         }
     }
 }
--- a/crates/routing/src/control_instances.rs
+++ b/crates/routing/src/control_instances.rs
@@ -1,40 +1,45 @@
-//! Decides which control instances a gateway asks.
+//! Selects the control instances that a gateway queries.
 //!
-//! The load pattern: instances are lost two at a time, and a gateway that tries the others one after the other, each until
-//! it times out, misses changes for seconds. So it follows one, and when that one fails it asks some others at once.
+//! Instances are lost two at a time, and a gateway that tries the others one after the other, each until its
+//! timeout, misses changes for seconds. It therefore follows one instance, and when that fails it queries
+//! several others at once.
 
 use smallvec::SmallVec;
 
 /// Address of a control instance.
 pub type Address = Box<str>;
 
-/// Instances that are asked at once while none is followed: one more than may be lost at once in deployments of today.
-const ASKED_AT_ONCE: usize = 3;
+/// Instances queried at once while none is followed: one more than present deployments may lose at once.
+const QUERIED_AT_ONCE: usize = 3;
 
-/// Holds the known control instances, and which one is followed.
+/// The known control instances, and which one is followed.
 #[derive(Debug, Clone)]
 pub struct ControlInstances {
     known: Vec<Address>,
-    /// Where the next question goes among the known ones.
+    /// Index of the first known instance to query.
     next: usize,
-    is_followed: bool,
+    is_following: bool,
 }
 
 impl ControlInstances {
-    /// Starts with some addresses; `draw` spreads gateways over them.
+    /// Creates a list of known addresses; `draw` spreads gateways over them.
     #[must_use]
     pub fn new(seeds: &[Address], draw: usize) -> Self {
         Self {
             known: seeds.to_vec(),
             next: draw % seeds.len().max(1),
-            is_followed: false,
+            is_following: false,
         }
     }
 
-    /// Returns the instances to ask now: the one that is followed, or some others at once.
+    /// Returns the instances to query now: the one that is followed, or several others at once.
     #[must_use]
-    pub fn to_query(&self) -> SmallVec<[Address; ASKED_AT_ONCE]> {
-        let count = if self.is_followed { 1 } else { ASKED_AT_ONCE };
+    pub fn to_query(&self) -> SmallVec<[Address; QUERIED_AT_ONCE]> {
+        let count = if self.is_following {
+            1
+        } else {
+            QUERIED_AT_ONCE
+        };
         let from_next = self.known.iter().cycle().skip(self.next);
         from_next
             .take(count.min(self.known.len()))
@@ -42,40 +47,40 @@
             .collect()
     }
 
-    /// Notes that one instance answered, with the ones that it knows; it is followed from now on.
+    /// Records that an instance answered with the ones that it knows, and follows it from now on.
     pub fn record_answer(&mut self, address: &str, known: &[Address], seeds: &[Address]) {
-        self.learn(known, seeds);
+        self.update_known(known, seeds);
         if !self.known.iter().any(|other| **other == *address) {
             self.known.push(address.into());
         }
-        let place = self.known.iter().position(|other| **other == *address);
-        self.next = place.unwrap_or_default();
-        self.is_followed = true;
+        let index = self.known.iter().position(|other| **other == *address);
+        self.next = index.unwrap_or_default();
+        self.is_following = true;
     }
 
-    /// Notes that none that were asked answered; the next ones are asked then.
+    /// Records that no queried instance answered; the following ones are queried next.
     pub fn record_failure(&mut self, seeds: &[Address]) {
-        let asked = self.to_query().len();
-        self.is_followed = false;
-        self.next = (self.next + asked) % self.known.len().max(1);
+        let queried = self.to_query().len();
+        self.is_following = false;
+        self.next = (self.next + queried) % self.known.len().max(1);
         let known = self.known.clone();
-        self.learn(&known, seeds);
+        self.update_known(&known, seeds);
     }
 
-    /// Returns all instances that are known.
+    /// Returns all known instances.
     #[must_use]
     pub fn known(&self) -> &[Address] {
         &self.known
     }
 
-    /// Returns whether one is followed.
+    /// Returns whether an instance is followed.
     #[must_use]
-    pub fn is_followed(&self) -> bool {
-        self.is_followed
+    pub fn is_following(&self) -> bool {
+        self.is_following
     }
 
-    /// Keeps the addresses from the log and those of the settings; either may be out of date.
-    fn learn(&mut self, known: &[Address], seeds: &[Address]) {
+    /// Replaces the known addresses by those from the log and from the settings; either may be out of date.
+    fn update_known(&mut self, known: &[Address], seeds: &[Address]) {
         let mut all: Vec<Address> = known.to_vec();
         for seed in seeds {
             if !all.contains(seed) {
--- a/crates/routing/src/counts.rs
+++ b/crates/routing/src/counts.rs
@@ -1,15 +1,15 @@
-//! Counts what a gateway takes and turns away, by the limit that binds.
+//! Counts the connections and requests that a gateway takes and refuses, by the limit that applied.
 
 use std::time::Duration;
 
-/// Says which limit a request met.
+/// A limit that a request can reach.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitKind {
-    /// The limit of all requests under way.
+    /// The limit of all requests in flight.
     All,
-    /// The part of it that teams may fill which ask for far more than an even share.
+    /// The share of that limit for hot teams, which send far more than an even share of the requests.
     HotTeams,
-    /// The part of it that the other teams may fill beside those.
+    /// The share of that limit for the other teams while there are hot ones.
     OtherTeams,
     /// The standing lag, which alone would make a plain request late.
     Lag,
@@ -19,7 +19,7 @@
     /// All limits.
     pub const ALL: [Self; 4] = [Self::All, Self::HotTeams, Self::OtherTeams, Self::Lag];
 
-    /// Returns the name under which it is logged and counted.
+    /// Returns the name used in logs and metrics.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -31,41 +31,41 @@
     }
 }
 
-/// Holds the counts since they were last taken.
+/// Counts since they were last taken.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct OverloadCounts {
-    /// Connections that were taken.
+    /// Connections accepted.
     pub connections: u32,
-    /// Requests to model engines that began.
+    /// Requests to model engines that were started.
     pub begun: u32,
     /// Requests that other gateways took from this one.
     pub handed_off: u32,
     /// Requests that this gateway took from others.
     pub taken_over: u32,
-    /// Requests of other gateways that found no room here.
+    /// Requests of other gateways that this one had no capacity for.
     pub declined: u32,
     refused: [u32; LimitKind::ALL.len()],
-    /// Time for which nobody listened for connections; attempts in it fail and are not seen here.
+    /// Time without listening for connections; attempts to connect fail in it and are not seen here.
     pub closed_time: Duration,
 }
 
 impl OverloadCounts {
-    /// Counts a request that is turned away.
-    pub(crate) fn refuse(&mut self, bound: LimitKind) {
-        self.refused[bound as usize] += 1;
+    /// Counts a refused request.
+    pub(crate) fn record_refusal(&mut self, kind: LimitKind) {
+        self.refused[kind as usize] += 1;
     }
 
-    /// Returns how many requests were turned away at a limit.
+    /// Returns how many requests were refused by a limit.
     #[must_use]
-    pub fn refused_at(&self, bound: LimitKind) -> u32 {
-        self.refused[bound as usize]
+    pub fn refused_at(&self, kind: LimitKind) -> u32 {
+        self.refused[kind as usize]
     }
 
-    /// Returns whether something was turned away or passed between gateways, as far as it can be seen.
+    /// Returns whether any request was refused or passed between gateways, or the listener was closed.
     #[must_use]
     pub fn has_excess(&self) -> bool {
-        let passed = self.handed_off + self.taken_over + self.declined;
+        let handed_over = self.handed_off + self.taken_over + self.declined;
         let refused: u32 = self.refused.iter().sum();
-        passed + refused > 0 || !self.closed_time.is_zero()
+        handed_over + refused > 0 || !self.closed_time.is_zero()
     }
 }
--- a/crates/routing/src/kv_source.rs
+++ b/crates/routing/src/kv_source.rs
@@ -1,29 +1,31 @@
-//! Chooses the engine from which another one copies the shared parts of a prompt, in place of reading them again.
+//! Chooses the engine from which another one copies the KV cache of a shared prompt prefix, instead of
+//! prefilling it again.
 //!
-//! The load pattern: the home of a part is busy, held out or has refused, and its requests go to engines that have never
-//! read the part. Reading is what limits the engines under load, and a copy takes a tenth of its time or less.
+//! When the home of a prefix is busy, ejected or has refused, its requests go to engines that have never
+//! processed the prefix. Prefilling is the bottleneck of the engines under load, and a copy takes a tenth of
+//! its time or less.
 
 use std::time::Duration;
 
 use crate::cached_prefixes::IncarnationHash;
 use crate::choose::{Prompt, home_rank};
 
-/// Time in which an engine reads a token under load: 25 to 45 tokens in a millisecond were measured.
-const READ_TOKEN: Duration = Duration::from_micros(25);
+/// Time in which an engine prefills a token under load, at 25 to 45 tokens per millisecond.
+const PREFILL_TIME_PER_TOKEN: Duration = Duration::from_micros(25);
 
-/// Time that a copy takes whatever its size: the way there and back, and a step of either engine.
+/// Time that a copy takes whatever its size: a round trip and a step of each engine.
 const COPY_SETUP: Duration = Duration::from_millis(6);
 
-/// Describes an engine that may keep the shared parts of a prompt.
+/// An engine that may have a shared prefix cached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KvSource {
-    /// Number that stands for the endpoint's id, the same at every gateway.
+    /// Hash of the endpoint's id, the same at every gateway.
     pub hash: u64,
-    /// Number that stands for its present incarnation.
+    /// Hash of its current incarnation.
     pub incarnation: IncarnationHash,
 }
 
-/// Returns the time in which one token's memory goes from one engine to another, by the size of a token and the link.
+/// Returns the time to copy the KV cache of one token, by its size and the bandwidth of the link.
 #[must_use]
 pub fn token_copy_time(token_bytes: u64, link_mbps: u64) -> Option<Duration> {
     let bits = token_bytes.checked_mul(8)?;
@@ -31,10 +33,11 @@
     (bits > 0).then(|| Duration::from_nanos(picoseconds / 1_000))
 }
 
-/// Returns the place of the source from which the shared parts are copied; none where reading them is as quick.
+/// Returns the index of the source to copy the shared prefix from, or `None` where prefilling it is as quick.
 ///
-/// `holders` read the parts lately, the last one first; it is the one to keep them if any does. Where nobody is known to have read
-/// them, the first in rank is asked, which is their home. A source that no longer keeps them costs the setup alone.
+/// `holders` processed the prefix recently, most recent use first; the first one is the most likely to still
+/// have it. Where no holder is known, the source is the first endpoint in rank, which is the prefix's home. A
+/// source that no longer has the prefix costs only the setup of the copy.
 #[must_use]
 pub fn choose_kv_source(
     sources: &[KvSource],
@@ -43,18 +46,18 @@
     copy_token: Duration,
 ) -> Option<usize> {
     let (key, tokens) = prompt.shared_key()?;
-    let saved = READ_TOKEN.saturating_sub(copy_token) * tokens;
+    let saved = PREFILL_TIME_PER_TOKEN.saturating_sub(copy_token) * tokens;
     if saved <= COPY_SETUP {
         return None;
     }
-    let place_of = |holder: &IncarnationHash| {
+    let index_of = |holder: &IncarnationHash| {
         let mut sources = sources.iter();
         sources.position(|source| source.incarnation == *holder)
     };
     let home = || {
         let ranked = sources.iter().enumerate();
         let best = ranked.max_by_key(|(_, source)| home_rank(key, source.hash));
-        best.map(|(place, _)| place)
+        best.map(|(index, _)| index)
     };
-    holders.iter().find_map(place_of).or_else(home)
+    holders.iter().find_map(index_of).or_else(home)
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,12 +1,18 @@
 //! Decides where a request goes, without any I/O and with the time as an argument.
 //!
-//! [`RouteIndex`] finds the route and the team of a request. [`choose_endpoint`] ranks the endpoints that may take it. [`RetryBudget`]
-//! bounds how often requests are sent a second time, and [`CircuitBreaker`] keeps endpoints out that fail. [`load_interval`]
-//! says how often a gateway wants to hear of their loads, [`CachedPrefixes`] and [`choose_kv_source`] where the parts of a prompt are kept,
-//! [`UsageLag`] where a refused request may still ask, and [`OverloadControl`] which requests a gateway turns away because it is itself too busy;
-//! [`PeerGateways`] chooses another gateway for them.
-//! [`ControlInstances`] names the control instances that it asks. [`CrashTracker`] tells which requests an endpoint took with it when it ended, by
-//! their [`RequestKey`], and [`Suspects`] which of those ends its endpoints.
+//! - [`RouteIndex`] finds the route and the team of a request, in a table that [`check_table`] accepts.
+//! - [`choose_endpoint`] chooses the endpoint of a request, and [`choose_after_refusal`] another one if that
+//!   refuses.
+//! - [`UsageLag`] decides which endpoints a refused request may still try.
+//! - [`CachedPrefixes`] remembers which endpoints have a prompt prefix cached, and [`choose_kv_source`] where
+//!   to copy it from.
+//! - [`load_interval`] limits how often a gateway receives the loads of endpoints.
+//! - [`RetryBudget`] limits retries, and [`CircuitBreaker`] ejects endpoints that fail.
+//! - [`OverloadControl`] decides which requests an overloaded gateway refuses, and [`PeerGateways`] chooses
+//!   another gateway for them.
+//! - [`ControlInstances`] selects the control instances that a gateway queries.
+//! - [`CrashTracker`] tells which requests, named by their [`RequestKey`], an endpoint was running when it
+//!   crashed, and [`Suspects`] which of them crash their endpoints.
 
 mod cached_prefixes;
 mod check;
--- a/crates/routing/src/overload.rs
+++ b/crates/routing/src/overload.rs
@@ -1,47 +1,50 @@
-//! Decides which requests a gateway turns away because it is itself short of processor time.
+//! Decides which requests a gateway refuses because it is short of processor time.
 //!
-//! The load pattern: connections are spread over the gateways by a hash of the caller, so that one caller with ten times
-//! its usual load falls upon one gateway. A gateway that takes all of it passes every stream on late, and in the end
-//! answers nobody. One that refuses at once what it can't bear serves the rest.
+//! A load balancer spreads connections over the gateways by a hash of the caller, so that one caller with ten
+//! times its usual load hits a single gateway. A gateway that takes all of it delays every stream, and in the
+//! end completes none. One that refuses at once what it can't handle serves the rest.
 //!
-//! What finds no room is handed off to another gateway of the data centre, or refused where none takes it. Both cost processor time,
-//! and a caller's next attempt may fall upon the same gateway. So one that goes on refusing asks the balancer for no new connections
-//! until it has had room for a while, and asks those that it refuses to connect anew. New connections are bounded by what it keeps up
-//! with (`Intake`).
+//! A request without capacity is handed off to another gateway of the data centre, or refused where none
+//! takes it. Both cost processor time, and a caller's next attempt may reach the same gateway. A gateway that
+//! keeps refusing therefore asks the load balancer for no new connections until it has had capacity for a
+//! while, and asks the callers that it refuses to reconnect. New connections are limited to what it keeps up
+//! with (`ConnectionLimit`).
 //!
-//! The sign of overload is a *standing* lag: tasks that are ready wait, and go on waiting over a whole window. The
-//! least lag of a window tells that from a burst or from a processor that is handed out in slices, which the greatest lag
-//! would not. The number of requests under way is the limit that follows it, since streams go on costing for seconds.
+//! The sign of overload is a *standing* lag: tasks that are ready to run wait throughout a whole window. The
+//! minimum lag of a window tells that from a burst or from a processor whose quota is handed out in slices,
+//! which the maximum lag would not. The limit of the requests in flight follows the lag, since streams go on
+//! costing processor time for seconds.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-use crate::connection_limit::{Intake, Window};
+use crate::connection_limit::{ConnectionLimit, ListenerState};
 use crate::counts::{LimitKind, OverloadCounts};
-use crate::team_demand::Asked;
+use crate::team_demand::TeamDemand;
 
-/// Sets when a gateway turns requests away.
+/// The settings of an [`OverloadControl`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OverloadRules {
-    /// Standing lag from which on the limit falls.
+    /// Standing lag above which the limit falls.
     pub target_lag: Duration,
-    /// Standing lag from which on plain requests are turned away as well.
+    /// Standing lag above which plain requests are refused as well.
     pub plain_lag: Duration,
-    /// Time over which the least lag is taken.
+    /// Time over which the minimum lag is taken.
     pub window: Duration,
-    /// Least and greatest limit.
+    /// Lowest limit of requests in flight.
     pub min_limit: u32,
-    /// Greatest limit: memory for requests under way.
+    /// Highest limit, for which memory has to suffice.
     pub max_limit: u32,
 }
 
 impl Default for OverloadRules {
     /// Returns the defaults.
     ///
-    /// 10 ms is a tenth of the pause that a stream bears on its way, and more than a tick of a busy but able process
-    /// is late by; a plain request is worth serving until the lag is a large part of its 100 ms. In 200 ms a processor that is
-    /// handed out in tenths of a second begins anew at least once. Some 24 streams are less than half of the smallest
-    /// gateway of today, beside as many refusals, and 700 hold some 40 MB with their bodies.
+    /// 10 ms is a tenth of the pause that a stream tolerates on its way, and more than a tick is late by in a
+    /// process that is busy but keeps up. A plain request is worth serving until the lag is a large part of
+    /// its 100 ms. In 200 ms, a processor whose quota is handed out in tenths of a second starts a new slice
+    /// at least once. 24 streams use less than half of the smallest gateway, beside as many refusals, and 700
+    /// take some 40 MB with their bodies.
     fn default() -> Self {
         Self {
             target_lag: Duration::from_millis(10),
@@ -53,115 +56,121 @@
     }
 }
 
-/// Part of the limit that remains after a window of overload, in thousandths: as long as the lag is a few times the target,
-/// and beyond.
-const FALL_PERMILLE: u32 = 850;
-const STEEP_FALL_PERMILLE: u32 = 500;
+/// Fraction of the limit that remains after a window of overload, in thousandths: up to `STEEP_LAG_FACTOR`
+/// times the target lag, and above it.
+const DECREASE_PERMILLE: u32 = 850;
+const STEEP_DECREASE_PERMILLE: u32 = 500;
 
-/// Times the target from which on the limit falls steeply. A gateway that a hot caller falls upon takes a second's work
-/// in its first window, and every window at that limit adds to it.
-const STEEP_TIMES: u32 = 8;
+/// Multiple of the target lag above which the limit falls steeply. A gateway that a hot caller hits takes a
+/// second's work in its first window, and every window at that limit adds to it.
+const STEEP_LAG_FACTOR: u32 = 8;
 
-/// Part of the limit by which it rises after a window without, in thousandths, while it is used or requests are refused: where tasks
-/// had to wait, and where none did, so that the limit is far below what the gateway can bear.
-const RISE_PERMILLE: u32 = 80;
-const IDLE_RISE_PERMILLE: u32 = 200;
+/// Increase of the limit after a window without overload, in thousandths, while it is used or requests are
+/// refused: where tasks had to wait, and where none did, so that the limit is far below the capacity of the
+/// gateway.
+const INCREASE_PERMILLE: u32 = 80;
+const IDLE_INCREASE_PERMILLE: u32 = 200;
 
-/// Part of the target below which a standing lag counts as none, in thousandths.
+/// Fraction of the target lag below which a standing lag counts as none, in thousandths.
 const IDLE_LAG_PERMILLE: u32 = 200;
 
-/// Most and least part of the limit that hot teams may fill, in thousandths; the rest is for the others. It falls while
-/// one of these is turned away, and rises while none is.
-const SHARED_PERMILLE: u32 = 750;
-const LEAST_SHARED_PERMILLE: u32 = 150;
+/// Upper and lower bound of the share of the limit for hot teams, in thousandths; the rest is for the other
+/// teams. The share falls while one of these is refused, and rises while none is.
+const MAX_HOT_PERMILLE: u32 = 750;
+const MIN_HOT_PERMILLE: u32 = 150;
 
-/// Part of it that remains after a window in which another team was turned away, and what it gains after one in which none
-/// was, in thousandths.
-const SHARED_FALL_PERMILLE: u32 = 600;
-const SHARED_RISE_PERMILLE: u32 = 30;
+/// Fraction of that share that remains after a window in which another team was refused, and its increase
+/// after a window in which none was, in thousandths.
+const HOT_DECREASE_PERMILLE: u32 = 600;
+const HOT_INCREASE_PERMILLE: u32 = 30;
 
-/// What the others may fill of the limit, in thousandths: a little more than all of it, since hot teams brought it down.
-const OTHERS_PERMILLE: u32 = 1_250;
+/// Share of the limit for the other teams, in thousandths: a little more than all of it, since hot teams
+/// lowered it.
+const OTHER_TEAMS_PERMILLE: u32 = 1_250;
 
-/// Windows in a row with many requests turned away, after which new connections are asked to go elsewhere.
+/// Consecutive windows with many refusals after which new connections are asked to go elsewhere.
 const FULL_AFTER_WINDOWS: u32 = 2;
 
-/// Part of the requests of a window that must be turned away to count as many, in thousandths. A gateway that serves the
-/// larger part is where its callers are served best: the next one may have a third of its processor time.
-const MANY_PERMILLE: u32 = 600;
+/// Fraction of the requests of a window that must be refused to count as many, in thousandths. The callers of
+/// a gateway that serves the larger part are served best there: the next gateway may have a third of its
+/// processor time.
+const MANY_REFUSALS_PERMILLE: u32 = 600;
 
-/// Windows in a row without overload, without refusals and with room, after which new connections are welcome again the
-/// first time: two seconds, in which the balancer asks twice.
-const ROOM_AFTER_WINDOWS: u32 = 10;
+/// Consecutive windows with spare capacity, without overload and refusals, after which new connections are
+/// welcome again the first time: two seconds, in which the load balancer probes twice.
+const SPARE_WINDOWS: u32 = 10;
 
-/// Most windows of that kind. Callers are spread by a hash, so that a hot one comes back as soon as it may: each time
-/// it does, it has to stay away for twice as long.
-const LONGEST_ROOM_WINDOWS: u32 = 80;
+/// Upper bound of that number. Callers are spread by a hash, so that a hot one comes back as soon as it may:
+/// each time it does, it has to stay away for twice as long.
+const MAX_SPARE_WINDOWS: u32 = 80;
 
-/// Windows without overload after which the first time counts again.
-const FORGET_AFTER_WINDOWS: u32 = 150;
+/// Consecutive windows with spare capacity after which that number is `SPARE_WINDOWS` again.
+const RESET_AFTER_WINDOWS: u32 = 150;
 
-/// Windows after which the balancer knows that a gateway is full: it asks once a second, and believes the second answer.
+/// Windows after which the load balancer knows that a gateway is full: it probes once a second and acts on
+/// the second answer.
 const BALANCER_WINDOWS: u32 = 10;
 
-/// Part of the limit that may be in use when there is room, in thousandths.
-const ROOM_PERMILLE: u32 = 700;
+/// Fraction of the limit that may be in use in a window with spare capacity, in thousandths.
+const SPARE_PERMILLE: u32 = 700;
 
-/// Says why a request is turned away.
+/// The reason why there is no capacity for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Overloaded {
-    /// Limit that there was no room within.
+    /// Limit that was reached.
     pub limit_kind: LimitKind,
-    /// Requests under way, and how many there may be.
+    /// Requests in flight.
     pub running: u32,
-    /// Limit at the moment.
+    /// Current limit of requests in flight.
     pub limit: u32,
-    /// Requests of the team under way.
+    /// Requests of the team in flight.
     pub team_running: u32,
     /// Standing lag of the last whole window.
     pub lag: Duration,
 }
 
-/// Limits the requests under way at one gateway.
+/// An adaptive limit of the requests in flight at one gateway.
 #[derive(Debug)]
 pub struct OverloadControl {
     rules: OverloadRules,
     limit: u32,
     running: u32,
     teams: HashMap<Box<str>, u32>,
-    /// Most requests under way in this window.
-    used: u32,
-    /// Least lag in this window.
-    least_lag: Option<Duration>,
+    /// Most requests in flight in this window.
+    peak_running: u32,
+    /// Minimum lag in this window.
+    min_lag: Option<Duration>,
     window_ends: Duration,
     /// Standing lag of the last whole window.
     lag: Duration,
-    /// Requests that began here or elsewhere, those of them that other gateways took, and those turned away, in this window.
+    /// Requests started here or elsewhere in this window, those of them that other gateways took, and those
+    /// refused.
     begun: u32,
     handed_off: u32,
     refused: u32,
-    /// Those of teams that are not hot turned away in this window.
+    /// Refused requests of teams that are not hot, in this window.
     refused_others: u32,
-    /// Part of the limit that hot teams may fill now, in thousandths.
-    shared_permille: u32,
-    asked: Asked,
-    /// Windows in a row that were full, or had room.
+    /// Current share of the limit for hot teams, in thousandths.
+    hot_permille: u32,
+    demand: TeamDemand,
+    /// Consecutive windows that were full, and that had spare capacity.
     full_windows: u32,
-    room_windows: u32,
-    /// Windows with room that are needed after the next time.
-    room_needed: u32,
+    spare_windows: u32,
+    /// Consecutive windows with spare capacity after which a full gateway is no longer full.
+    spare_windows_needed: u32,
     is_full: bool,
-    /// Windows since it became full.
-    windows_full: u32,
-    /// Windows that are left of those after one in which nobody listened for a part of it.
-    guarded_windows: u32,
-    intake: Intake,
-    tally: OverloadCounts,
-    ticked_at: Duration,
+    /// Windows since the gateway became full.
+    windows_since_full: u32,
+    /// Remaining windows for which callers are still asked to reconnect after the listener was closed for a
+    /// time.
+    limited_windows: u32,
+    connection_limit: ConnectionLimit,
+    counts: OverloadCounts,
+    last_tick_at: Duration,
 }
 
 impl OverloadControl {
-    /// Starts at the greatest limit.
+    /// Creates a control that starts at the highest limit.
     #[must_use]
     pub fn new(rules: OverloadRules) -> Self {
         Self {
@@ -169,122 +178,135 @@
             rules,
             running: 0,
             teams: HashMap::new(),
-            used: 0,
-            least_lag: None,
+            peak_running: 0,
+            min_lag: None,
             window_ends: rules.window,
             lag: Duration::ZERO,
             begun: 0,
             handed_off: 0,
             refused: 0,
             refused_others: 0,
-            shared_permille: SHARED_PERMILLE,
-            asked: Asked::default(),
+            hot_permille: MAX_HOT_PERMILLE,
+            demand: TeamDemand::default(),
             full_windows: 0,
-            room_windows: 0,
-            room_needed: ROOM_AFTER_WINDOWS,
+            spare_windows: 0,
+            spare_windows_needed: SPARE_WINDOWS,
             is_full: false,
-            windows_full: 0,
-            guarded_windows: 0,
-            intake: Intake::new(),
-            tally: OverloadCounts::default(),
-            ticked_at: Duration::ZERO,
+            windows_since_full: 0,
+            limited_windows: 0,
+            connection_limit: ConnectionLimit::new(),
+            counts: OverloadCounts::default(),
+            last_tick_at: Duration::ZERO,
         }
     }
 
-    /// Notes how late a tick came.
+    /// Records a tick and how late it came, and adapts the limits at the end of a window.
     pub fn record_tick(&mut self, now: Duration, lag: Duration) {
         if self.refuses_connections() {
-            self.tally.closed_time += now.saturating_sub(self.ticked_at);
+            self.counts.closed_time += now.saturating_sub(self.last_tick_at);
         }
-        self.ticked_at = now;
-        self.intake.ticked();
-        self.least_lag = Some(self.least_lag.map_or(lag, |least| least.min(lag)));
+        self.last_tick_at = now;
+        self.connection_limit.record_tick();
+        self.min_lag = Some(self.min_lag.map_or(lag, |min| min.min(lag)));
         if now < self.window_ends {
             return;
         }
-        self.lag = self.least_lag.take().unwrap_or_default();
+        self.lag = self.min_lag.take().unwrap_or_default();
         self.window_ends = now + self.rules.window;
-        let (used, limit) = (self.used, self.limit);
-        self.used = self.running;
+        let (peak_running, limit) = (self.peak_running, self.limit);
+        self.peak_running = self.running;
         let has_refused = self.refused > 0;
         let handed_off = std::mem::take(&mut self.handed_off);
         let is_wasted = has_refused && self.is_overloaded();
-        let intake = self.intake.end_window(self.lag, self.begun, is_wasted);
-        self.note_window(used, intake);
+        let listener = self
+            .connection_limit
+            .end_window(self.lag, self.begun, is_wasted);
+        self.end_window(peak_running, listener);
         if self.is_overloaded() {
-            // A limit far above what is under way would take many windows to bite.
-            let from = limit.min(used.max(self.rules.min_limit));
-            let is_steep = self.lag > self.rules.target_lag * STEEP_TIMES;
-            let left = if is_steep {
-                STEEP_FALL_PERMILLE
+            // A limit far above the requests in flight would take many windows to have an effect.
+            let from = limit.min(peak_running.max(self.rules.min_limit));
+            let is_steep = self.lag > self.rules.target_lag * STEEP_LAG_FACTOR;
+            let remaining = if is_steep {
+                STEEP_DECREASE_PERMILLE
             } else {
-                FALL_PERMILLE
+                DECREASE_PERMILLE
             };
-            self.limit = (from * left / 1000).max(self.rules.min_limit);
-        } else if intake != Window::Open && handed_off > 0 {
-            // What is handed off costs less than what is served here, and more of it would come.
-        } else if used >= limit * SHARED_PERMILLE / 1000 || (has_refused && self.is_idle()) {
-            // Rounded as the room of a hot team is, which may be all that asks.
-            // After a burst that is over, a limit that rose slowly would turn a team away for seconds beside an idle processor.
+            self.limit = (from * remaining / 1000).max(self.rules.min_limit);
+        } else if listener != ListenerState::Open && handed_off > 0 {
+            // The limit stays: a request handed off costs less than one served here, and more of them would
+            // come.
+        } else if peak_running >= limit * MAX_HOT_PERMILLE / 1000 || (has_refused && self.is_idle())
+        {
+            // Rounded like the share of a hot team, which may be the only one that sends requests. After a
+            // burst, a limit that rises slowly would refuse a team for seconds beside an idle processor.
             let permille = if self.is_idle() {
-                IDLE_RISE_PERMILLE
+                IDLE_INCREASE_PERMILLE
             } else {
-                RISE_PERMILLE
+                INCREASE_PERMILLE
             };
-            let rise = (limit * permille / 1000).max(1);
-            self.limit = (limit + rise).min(self.rules.max_limit);
+            let increase = (limit * permille / 1000).max(1);
+            self.limit = (limit + increase).min(self.rules.max_limit);
         }
     }
 
-    /// Notes whether the last window was full or had room, and follows it after some windows in a row.
-    fn note_window(&mut self, used: u32, intake: Window) {
+    /// Ends a window, and changes whether the gateway is full after several windows of a kind in a row.
+    fn end_window(&mut self, peak_running: u32, listener: ListenerState) {
         let refused = std::mem::take(&mut self.refused);
-        self.asked.fade();
-        self.shared_permille = if std::mem::take(&mut self.refused_others) > 0 {
-            (self.shared_permille * SHARED_FALL_PERMILLE / 1000).max(LEAST_SHARED_PERMILLE)
+        self.demand.decay();
+        self.hot_permille = if std::mem::take(&mut self.refused_others) > 0 {
+            (self.hot_permille * HOT_DECREASE_PERMILLE / 1000).max(MIN_HOT_PERMILLE)
         } else {
-            (self.shared_permille + SHARED_RISE_PERMILLE).min(SHARED_PERMILLE)
+            (self.hot_permille + HOT_INCREASE_PERMILLE).min(MAX_HOT_PERMILLE)
         };
-        let asked = refused + std::mem::take(&mut self.begun);
-        let has_room = !self.is_overloaded()
+        let requests = refused + std::mem::take(&mut self.begun);
+        let has_spare_capacity = !self.is_overloaded()
             && refused == 0
-            && intake == Window::Open
-            && used * 1000 <= self.limit * ROOM_PERMILLE;
-        self.room_windows = if has_room { self.room_windows + 1 } else { 0 };
-        let are_many = (refused > 0 && refused * 1000 >= asked * MANY_PERMILLE)
-            || intake == Window::MostlyShut;
-        self.full_windows = if are_many { self.full_windows + 1 } else { 0 };
-        self.windows_full = if self.is_full {
-            self.windows_full + 1
+            && listener == ListenerState::Open
+            && peak_running * 1000 <= self.limit * SPARE_PERMILLE;
+        self.spare_windows = if has_spare_capacity {
+            self.spare_windows + 1
         } else {
             0
         };
-        self.guarded_windows = if intake == Window::Open {
-            self.guarded_windows.saturating_sub(1)
+        let has_many_refusals = (refused > 0
+            && refused * 1000 >= requests * MANY_REFUSALS_PERMILLE)
+            || listener == ListenerState::MostlyClosed;
+        self.full_windows = if has_many_refusals {
+            self.full_windows + 1
+        } else {
+            0
+        };
+        self.windows_since_full = if self.is_full {
+            self.windows_since_full + 1
+        } else {
+            0
+        };
+        self.limited_windows = if listener == ListenerState::Open {
+            self.limited_windows.saturating_sub(1)
         } else {
             BALANCER_WINDOWS
         };
         if self.full_windows >= FULL_AFTER_WINDOWS {
             self.is_full = true;
-        } else if self.is_full && self.room_windows >= self.room_needed {
+        } else if self.is_full && self.spare_windows >= self.spare_windows_needed {
             self.is_full = false;
-            self.room_needed = (self.room_needed * 2).min(LONGEST_ROOM_WINDOWS);
-        } else if self.room_windows >= FORGET_AFTER_WINDOWS {
-            self.room_needed = ROOM_AFTER_WINDOWS;
+            self.spare_windows_needed = (self.spare_windows_needed * 2).min(MAX_SPARE_WINDOWS);
+        } else if self.spare_windows >= RESET_AFTER_WINDOWS {
+            self.spare_windows_needed = SPARE_WINDOWS;
         }
     }
 
-    /// Lets a request of a team begin, unless there is no room for it.
+    /// Starts a request of a team if there is capacity for it.
     ///
     /// # Errors
     ///
-    /// Returns what there was no room for; the request is then handed off or refused.
+    /// Returns the limit that was reached; the request is then handed off or refused.
     pub fn try_begin(&mut self, team: &str) -> Result<(), Overloaded> {
         let team_running = self.teams.get(team).copied().unwrap_or_default();
-        let is_hot = self.asked.note(team);
-        let (limit_kind, permille) = match (is_hot, self.asked.has_hot) {
-            (true, _) => (LimitKind::HotTeams, self.shared_permille),
-            (false, true) => (LimitKind::OtherTeams, OTHERS_PERMILLE),
+        let is_hot = self.demand.record(team);
+        let (limit_kind, permille) = match (is_hot, self.demand.has_hot_team) {
+            (true, _) => (LimitKind::HotTeams, self.hot_permille),
+            (false, true) => (LimitKind::OtherTeams, OTHER_TEAMS_PERMILLE),
             (false, false) => (LimitKind::All, 1_000),
         };
         let room = self.limit * permille / 1000;
@@ -301,26 +323,28 @@
         Ok(())
     }
 
-    /// Lets a request of a team begin that another gateway hands off, and returns whether there is room for it.
+    /// Starts a request that another gateway hands off if there is capacity for it, and returns whether there
+    /// is.
     ///
-    /// It has the room that hot teams share, and only while this gateway keeps up, so that its own callers don't wait for it.
+    /// It may use the share of the limit for hot teams, and only while this gateway keeps up, so that its own
+    /// callers don't wait for it.
     pub fn try_take_over(&mut self, team: &str) -> bool {
-        let room = self.limit * self.shared_permille / 1000;
-        let may = !self.is_overloaded() && !self.is_full && self.running < room;
-        if may {
+        let room = self.limit * self.hot_permille / 1000;
+        let is_taken = !self.is_overloaded() && !self.is_full && self.running < room;
+        if is_taken {
             self.begin(team);
-            self.tally.taken_over += 1;
+            self.counts.taken_over += 1;
         } else {
-            self.tally.declined += 1;
+            self.counts.declined += 1;
         }
-        may
+        is_taken
     }
 
     fn begin(&mut self, team: &str) {
         self.running += 1;
         self.begun += 1;
-        self.tally.begun += 1;
-        self.used = self.used.max(self.running);
+        self.counts.begun += 1;
+        self.peak_running = self.peak_running.max(self.running);
         if let Some(count) = self.teams.get_mut(team) {
             *count += 1;
         } else {
@@ -328,41 +352,44 @@
         }
     }
 
-    /// Notes that a gateway took a request that was handed off.
+    /// Records that another gateway took a request that was handed off.
     pub fn record_handoff(&mut self) {
         self.begun += 1;
         self.handed_off += 1;
-        self.tally.handed_off += 1;
+        self.counts.handed_off += 1;
     }
 
-    /// Notes that a request that found no room is refused.
+    /// Records that a request without capacity is refused.
     pub fn record_refusal(&mut self, overloaded: &Overloaded) {
-        self.tally.refuse(overloaded.limit_kind);
-        // A plain request that the lag would make late says nothing of the room for others.
+        self.counts.record_refusal(overloaded.limit_kind);
+        // A plain request that the lag would make late says nothing about the capacity for others.
         if overloaded.limit_kind != LimitKind::Lag {
             self.refused += 1;
             self.refused_others += u32::from(overloaded.limit_kind != LimitKind::HotTeams);
         }
     }
 
-    /// Notes that a request that had begun has ended.
+    /// Records that a started request has ended.
     ///
     /// # Panics
     ///
-    /// Panics when no request of the team is under way, which is a broken invariant.
+    /// Panics when no request of the team is in flight, which is a broken invariant.
     pub fn request_ended(&mut self, team: &str) {
         self.running -= 1;
         let count = self
             .teams
             .get_mut(team)
-            .expect("the team's request had begun");
+            .expect("the team has a request in flight");
         *count -= 1;
         if *count == 0 {
             self.teams.remove(team);
         }
     }
 
-    /// Lets a plain request pass, unless the lag alone would make it late; it costs little and is over at once.
+    /// Accepts a plain request unless the lag alone would make it late.
+    ///
+    /// Plain requests go to services without model engines; they cost little and are short, so no limit
+    /// applies to them.
     ///
     /// # Errors
     ///
@@ -380,7 +407,7 @@
         })
     }
 
-    /// Returns whether the last whole window was one of overload.
+    /// Returns whether the standing lag of the last whole window was above its target.
     #[must_use]
     pub fn is_overloaded(&self) -> bool {
         self.lag > self.rules.target_lag
@@ -397,42 +424,45 @@
         self.is_full
     }
 
-    /// Notes that a connection was taken.
+    /// Records an accepted connection.
     pub fn record_connection(&mut self) {
-        self.intake.connected();
-        self.tally.connections += 1;
+        self.connection_limit.record_accepted();
+        self.counts.connections += 1;
     }
 
-    /// Takes the counts since they were last taken.
+    /// Returns the counts since the last call, and resets them.
     pub fn take_counts(&mut self) -> OverloadCounts {
-        std::mem::take(&mut self.tally)
+        std::mem::take(&mut self.counts)
     }
 
-    /// Returns whether the connection of an answer should close after it, since there are more than the processor keeps up with.
+    /// Returns whether the connection of a response should close after it, since more are open than the
+    /// processor keeps up with.
     pub fn should_close_connection(&mut self) -> bool {
-        self.intake.closes_one()
+        self.connection_limit.should_close_connection()
     }
 
-    /// Returns whether connections were refused lately, since the processor did not keep up.
+    /// Returns whether connections were refused recently because the processor did not keep up.
     #[must_use]
     pub fn limits_connections(&self) -> bool {
-        self.guarded_windows > 0
+        self.limited_windows > 0
     }
 
-    /// Returns whether no new connection is taken now.
+    /// Returns whether no new connection is accepted now.
     #[must_use]
     pub fn refuses_connections(&self) -> bool {
-        self.intake.is_shut()
+        self.connection_limit.is_closed()
     }
 
-    /// Returns whether callers that are turned away should connect anew: the balancer knows by then that this gateway is
-    /// full, and a connection before that would come back here, unless none is taken.
+    /// Returns whether callers that are refused should reconnect.
+    ///
+    /// They should once the load balancer knows that this gateway is full, since an earlier connection would
+    /// come back here, or while the gateway limits its connections.
     #[must_use]
     pub fn should_reconnect(&self) -> bool {
-        self.windows_full >= BALANCER_WINDOWS || self.limits_connections()
+        self.windows_since_full >= BALANCER_WINDOWS || self.limits_connections()
     }
 
-    /// Returns how many requests may be under way.
+    /// Returns the current limit of requests in flight.
     #[must_use]
     pub fn limit(&self) -> u32 {
         self.limit
--- a/crates/routing/src/peer_gateways.rs
+++ b/crates/routing/src/peer_gateways.rs
@@ -1,96 +1,100 @@
-//! Chooses the gateway that takes a request for which another one has no room.
+//! Chooses another gateway for a request that this one has no capacity for.
 //!
-//! The load pattern: all callers of one team come to one small gateway, again when they are refused, while the other gateways of the
-//! data centre are nearly idle. To pass a request and its answer on costs a gateway far less than to serve it.
+//! All callers of one team can reach the same small gateway, also with their retries, while the other
+//! gateways of the data centre are nearly idle. Forwarding a request and its response costs a gateway far
+//! less than serving it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time for which a gateway is known after it was named last: control instances name it for as long.
-const REMEMBER: Duration = Duration::from_mins(3);
+/// Time for which a gateway stays known after it was last listed; control instances list it for as long.
+const LISTED_TTL: Duration = Duration::from_mins(3);
 
 #[derive(Debug)]
-struct Known {
+struct Peer {
     address: SocketAddr,
-    named_at: Duration,
-    /// Requests that this gateway has handed off to it and that have not ended.
-    under_way: u32,
-    rests_until: Duration,
+    listed_at: Duration,
+    /// Requests handed off to it that have not ended.
+    in_flight: u32,
+    suspended_until: Duration,
 }
 
-/// Holds the other gateways of the data centre.
+/// The other gateways of the data centre.
 #[derive(Debug, Default)]
 pub struct PeerGateways {
-    known: Vec<Known>,
+    peers: Vec<Peer>,
 }
 
 impl PeerGateways {
-    /// Takes in the addresses of gateways that run.
+    /// Records the addresses of running gateways, and forgets peers that are no longer listed and have no
+    /// requests in flight.
     pub fn record_listed(&mut self, now: Duration, addresses: &[SocketAddr]) {
         for address in addresses {
             match self.find(*address) {
-                Some(known) => known.named_at = now,
-                None => self.known.push(Known {
+                Some(peer) => peer.listed_at = now,
+                None => self.peers.push(Peer {
                     address: *address,
-                    named_at: now,
-                    under_way: 0,
-                    rests_until: Duration::ZERO,
+                    listed_at: now,
+                    in_flight: 0,
+                    suspended_until: Duration::ZERO,
                 }),
             }
         }
-        self.known
-            .retain(|known| known.under_way > 0 || now < known.named_at + REMEMBER);
+        self.peers
+            .retain(|peer| peer.in_flight > 0 || now < peer.listed_at + LISTED_TTL);
     }
 
-    /// Chooses a gateway for a request, which is under way there until [`PeerGateways::ended`]: of two that are drawn the one with fewer requests
-    /// of this gateway, so that a slow one gets less.
+    /// Chooses a gateway for a request, which counts as in flight there until
+    /// [`PeerGateways::request_ended`].
+    ///
+    /// Of two gateways drawn at random, it takes the one with fewer requests from this gateway, so that a
+    /// slow one gets fewer.
     pub fn choose(
         &mut self,
         now: Duration,
-        except: &[SocketAddr],
+        excluded: &[SocketAddr],
         mut draw: impl FnMut() -> usize,
     ) -> Option<SocketAddr> {
-        let usable = self
-            .known
-            .iter()
-            .enumerate()
-            .filter(|(_, known)| known.rests_until <= now && !except.contains(&known.address));
-        let usable: Vec<usize> = usable.map(|(place, _)| place).collect();
+        let usable =
+            self.peers.iter().enumerate().filter(|(_, peer)| {
+                peer.suspended_until <= now && !excluded.contains(&peer.address)
+            });
+        let usable: Vec<usize> = usable.map(|(index, _)| index).collect();
         let mut drawn = || usable.get(draw() % usable.len().max(1)).copied();
         let (first, second) = (drawn()?, drawn()?);
-        let is_less = self.known[second].under_way < self.known[first].under_way;
-        let chosen = &mut self.known[if is_less { second } else { first }];
-        chosen.under_way += 1;
+        let prefers_second = self.peers[second].in_flight < self.peers[first].in_flight;
+        let chosen = &mut self.peers[if prefers_second { second } else { first }];
+        chosen.in_flight += 1;
         Some(chosen.address)
     }
 
-    /// Notes that a request that was handed off has ended.
+    /// Records that a request that was handed off has ended.
     pub fn request_ended(&mut self, address: SocketAddr) {
-        if let Some(known) = self.find(address) {
-            known.under_way -= 1;
+        if let Some(peer) = self.find(address) {
+            peer.in_flight -= 1;
         }
     }
 
-    /// Leaves a gateway out for some time.
-    pub fn suspend(&mut self, now: Duration, address: SocketAddr, rest: Duration) {
-        if let Some(known) = self.find(address) {
-            known.rests_until = now + rest;
+    /// Excludes a gateway from the choice for some time.
+    pub fn suspend(&mut self, now: Duration, address: SocketAddr, duration: Duration) {
+        if let Some(peer) = self.find(address) {
+            peer.suspended_until = now + duration;
         }
     }
 
-    /// Returns how many requests are under way at other gateways.
+    /// Returns the number of requests in flight at other gateways.
     #[must_use]
     pub fn in_flight(&self) -> u32 {
-        self.known.iter().map(|known| known.under_way).sum()
+        self.peers.iter().map(|peer| peer.in_flight).sum()
     }
 
     /// Returns whether a gateway is known.
     #[must_use]
     pub fn contains(&self, address: SocketAddr) -> bool {
-        self.known.iter().any(|known| known.address == address)
+        self.peers.iter().any(|peer| peer.address == address)
     }
 
-    fn find(&mut self, address: SocketAddr) -> Option<&mut Known> {
-        self.known.iter_mut().find(|known| known.address == address)
+    fn find(&mut self, address: SocketAddr) -> Option<&mut Peer> {
+        self.peers.iter_mut().find(|peer| peer.address == address)
     }
 }
--- a/crates/routing/src/request_key.rs
+++ b/crates/routing/src/request_key.rs
@@ -1,4 +1,4 @@
-//! Names a request by what it asks, whatever number its caller gives an attempt at it.
+//! Identifies a request by its content, whatever request id its caller gives to an attempt.
 
 use std::error::Error;
 use std::fmt;
@@ -7,22 +7,23 @@
 use serde_with::{DeserializeFromStr, SerializeDisplay};
 use sha2::{Digest, Sha256};
 
-/// Bytes of a key.
+/// Length of a key in bytes.
 const KEY_BYTES: usize = 16;
 
-/// Stands for a request's method, path, team and body; the same for each attempt of its caller, at every gateway.
+/// Hash of a request's method, path, team and body; the same for each attempt of its caller, at every
+/// gateway.
 #[derive(
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, SerializeDisplay, DeserializeFromStr,
 )]
 pub struct RequestKey(u128);
 
 impl RequestKey {
-    /// Returns the key of a request; `path` holds the query as well, and no team stands for a route without keys.
+    /// Returns the key of a request; `path` includes the query, and `team` is `None` on a route without keys.
     #[must_use]
     pub fn of(method: &str, path: &str, team: Option<&str>, body: &[u8]) -> Self {
         let mut hash = Sha256::new();
         for part in [method, path, team.unwrap_or_default()] {
-            // A length before each part keeps two splits of the same bytes apart.
+            // A length before each part distinguishes two splits of the same bytes.
             hash.update((part.len() as u64).to_be_bytes());
             hash.update(part);
         }
@@ -47,13 +48,13 @@
     }
 }
 
-/// Says that a text is not the key of a request.
+/// The error for a text that is not a request key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestKeyError;
 
 impl fmt::Display for RequestKeyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the key of a request has {} hex digits", 2 * KEY_BYTES)
+        write!(f, "a request key has {} hexadecimal digits", 2 * KEY_BYTES)
     }
 }
 
--- a/crates/routing/src/retry_budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -1,46 +1,46 @@
-//! Bounds how often requests are sent a second time.
+//! Limits how often requests are retried.
 //!
-//! The load pattern: endpoints fail or refuse many requests at once, and every repeat adds load where there is too much
-//! already. The whole fleet may repeat a part of the requests of a sliding window. Each gateway keeps to that part of its
-//! own requests, so that all together keep to it without knowing of each other.
+//! Endpoints can fail or refuse many requests at once, and every retry adds load where there is too much
+//! already. The whole fleet may retry a fraction of the requests in a sliding window. Each gateway keeps to
+//! that fraction of its own requests, so that the fleet keeps to it without coordination.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Parts of the window that are counted together; finer ones would cost memory and gain a few repeats at most.
-const PARTS: u32 = 20;
+/// Buckets of the sliding window; finer ones would cost memory and allow a few more retries at most.
+const BUCKETS: u32 = 20;
 
-/// Gateways that share the burst of the whole fleet. A gateway isn't told how many there are; 16 is twice the number of
-/// today's deployments.
-const SHARERS: u32 = 16;
+/// Number of gateways that share the burst of the whole fleet. A gateway isn't told how many there are; 16 is
+/// twice the number in present deployments.
+const ASSUMED_GATEWAYS: u32 = 16;
 
-/// Part of the allowed repeats that is used, in thousandths; requests that a gateway counts late or that are cut on
-/// their way to it don't count in the fleet's total.
+/// Fraction of the allowed retries that is used, in thousandths. Requests that a gateway counts late, or that
+/// are lost on their way to it, don't count in the total of the fleet.
 const USED_PERMILLE: u64 = 800;
 
-/// Sets the budget of the whole fleet.
+/// The retry budget of the whole fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RetryBudgetRules {
-    /// Repeats per thousand requests.
+    /// Retries per thousand requests.
     pub retry_permille: u32,
-    /// Repeats in a window beyond that.
+    /// Retries in a window beyond that.
     pub burst_retries: u32,
     /// Window over which both are counted.
     pub window: Duration,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Part {
-    began: Duration,
+struct Bucket {
+    start: Duration,
     requests: u64,
-    repeats: u64,
+    retries: u64,
 }
 
-/// Counts the requests and repeats of one service at one gateway.
+/// The retry budget of one service at one gateway.
 #[derive(Debug)]
 pub struct RetryBudget {
     rules: RetryBudgetRules,
-    parts: VecDeque<Part>,
+    buckets: VecDeque<Bucket>,
 }
 
 impl RetryBudget {
@@ -49,51 +49,51 @@
     pub fn new(rules: RetryBudgetRules) -> Self {
         Self {
             rules,
-            parts: VecDeque::new(),
+            buckets: VecDeque::new(),
         }
     }
 
     /// Counts a request.
     pub fn record_request(&mut self, now: Duration) {
-        self.part(now).requests += 1;
+        self.bucket(now).requests += 1;
     }
 
-    /// Counts a repeat if the budget has one left, and returns whether it may be sent.
+    /// Counts a retry if the budget has one left, and returns whether it may be sent.
     pub fn try_retry(&mut self, now: Duration) -> bool {
-        self.part(now);
-        let requests: u64 = self.parts.iter().map(|part| part.requests).sum();
-        let repeats: u64 = self.parts.iter().map(|part| part.repeats).sum();
+        self.bucket(now);
+        let requests: u64 = self.buckets.iter().map(|bucket| bucket.requests).sum();
+        let retries: u64 = self.buckets.iter().map(|bucket| bucket.retries).sum();
         let permille = u64::from(self.rules.retry_permille) * USED_PERMILLE / 1000;
-        let burst = u64::from(self.rules.burst_retries / SHARERS);
-        let may = repeats < requests * permille / 1000 + burst;
-        if may {
-            self.part(now).repeats += 1;
+        let burst = u64::from(self.rules.burst_retries / ASSUMED_GATEWAYS);
+        let is_allowed = retries < requests * permille / 1000 + burst;
+        if is_allowed {
+            self.bucket(now).retries += 1;
         }
-        may
+        is_allowed
     }
 
-    fn part(&mut self, now: Duration) -> &mut Part {
-        let length = self.rules.window / PARTS;
+    fn bucket(&mut self, now: Duration) -> &mut Bucket {
+        let length = self.rules.window / BUCKETS;
         while self
-            .parts
+            .buckets
             .front()
-            .is_some_and(|part| part.began + self.rules.window <= now)
+            .is_some_and(|bucket| bucket.start + self.rules.window <= now)
         {
-            self.parts.pop_front();
+            self.buckets.pop_front();
         }
         let is_over = self
-            .parts
+            .buckets
             .back()
-            .is_none_or(|part| part.began + length <= now);
+            .is_none_or(|bucket| bucket.start + length <= now);
         if is_over {
-            self.parts.push_back(Part {
-                began: now,
+            self.buckets.push_back(Bucket {
+                start: now,
                 requests: 0,
-                repeats: 0,
+                retries: 0,
             });
         }
-        self.parts
+        self.buckets
             .back_mut()
-            .expect("a part was just pushed if there was none")
+            .expect("a bucket was just pushed if there was none")
     }
 }
--- a/crates/routing/src/route_index.rs
+++ b/crates/routing/src/route_index.rs
@@ -4,15 +4,15 @@
 
 use hinge_schema::routing::{Route, RouteTable, Service, Target, TeamKeys};
 
-/// Holds a route table with its indexes.
+/// A route table with indexes for its lookups.
 #[derive(Debug)]
 pub struct RouteIndex {
     table: RouteTable,
-    /// Places in `table.routes`, longest prefix first.
+    /// Indexes into `table.routes`, longest path prefix first.
     by_host: HashMap<Box<str>, Vec<usize>>,
-    /// Places in `table.teams`.
+    /// Indexes into `table.teams`.
     by_key: HashMap<Box<str>, usize>,
-    /// Places in `table.services`.
+    /// Indexes into `table.services`.
     by_service: HashMap<Box<str>, usize>,
 }
 
@@ -21,19 +21,19 @@
     #[must_use]
     pub fn new(table: RouteTable) -> Self {
         let mut by_host: HashMap<Box<str>, Vec<usize>> = HashMap::new();
-        for (place, route) in table.routes.iter().enumerate() {
-            by_host.entry(route.host.clone()).or_default().push(place);
+        for (index, route) in table.routes.iter().enumerate() {
+            by_host.entry(route.host.clone()).or_default().push(index);
         }
-        for places in by_host.values_mut() {
-            places.sort_by_key(|place| std::cmp::Reverse(table.routes[*place].path_prefix.len()));
+        for indexes in by_host.values_mut() {
+            indexes.sort_by_key(|index| std::cmp::Reverse(table.routes[*index].path_prefix.len()));
         }
         let keys = table.teams.iter().enumerate();
         let by_key = keys
-            .flat_map(|(place, team)| team.keys.iter().map(move |key| (key.clone(), place)))
+            .flat_map(|(index, team)| team.keys.iter().map(move |key| (key.clone(), index)))
             .collect();
         let services = table.services.iter().enumerate();
         let by_service = services
-            .map(|(place, service)| (service.name.clone(), place))
+            .map(|(index, service)| (service.name.clone(), index))
             .collect();
         Self {
             table,
@@ -49,14 +49,15 @@
         &self.table
     }
 
-    /// Returns the route of a request: of its host's routes, the one with the longest prefix that begins the path.
+    /// Returns the route of a request: of its host's routes, the one with the longest prefix that matches the
+    /// path.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
-        let places = match self.by_host.get(host) {
-            Some(places) => places,
+        let indexes = match self.by_host.get(host) {
+            Some(indexes) => indexes,
             None => self.by_host.get(&*host.to_ascii_lowercase())?,
         };
-        let routes = places.iter().map(|place| &self.table.routes[*place]);
+        let routes = indexes.iter().map(|index| &self.table.routes[*index]);
         routes
             .into_iter()
             .find(|route| path.starts_with(&*route.path_prefix))
@@ -65,14 +66,14 @@
     /// Returns the team that holds a key.
     #[must_use]
     pub fn team(&self, key: &str) -> Option<&TeamKeys> {
-        self.by_key.get(key).map(|place| &self.table.teams[*place])
+        self.by_key.get(key).map(|index| &self.table.teams[*index])
     }
 
     /// Returns a service by its name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Service> {
-        let place = self.by_service.get(name)?;
-        Some(&self.table.services[*place])
+        let index = self.by_service.get(name)?;
+        Some(&self.table.services[*index])
     }
 
     /// Returns whether requests of non-public routes need a key.
@@ -81,7 +82,8 @@
         !self.table.teams.is_empty()
     }
 
-    /// Returns the target of a route for a draw; draws that are spread evenly give each target its share.
+    /// Returns the target of a route for a random number; evenly distributed numbers give each target its
+    /// weight.
     #[must_use]
     pub fn pick_target(route: &Route, draw: u64) -> Option<&Target> {
         let total: u64 = route
@@ -89,12 +91,12 @@
             .iter()
             .map(|target| u64::from(target.weight))
             .sum();
-        let mut rest = draw.checked_rem(total)?;
+        let mut remaining = draw.checked_rem(total)?;
         route.targets.iter().find(|target| {
             let weight = u64::from(target.weight);
-            let is_hit = rest < weight;
-            rest = rest.saturating_sub(weight);
-            is_hit
+            let is_picked = remaining < weight;
+            remaining = remaining.saturating_sub(weight);
+            is_picked
         })
     }
 }
--- a/crates/routing/src/usage_lag.rs
+++ b/crates/routing/src/usage_lag.rs
@@ -1,64 +1,68 @@
-//! Decides how far a request that an admission refused may look for another engine, by what its team has had.
+//! Decides how many and which engines a refused request may try, by the recent usage of its team.
 //!
-//! The load pattern: engines have more before them than they read in time, and at every moment some place is free. Whoever asks at
-//! more engines finds it more often, and who asks at one, where its shared parts are kept, hardly ever. A request of a team that has had
-//! less than another one therefore asks at engines that are not idle as well: there it is put before the other team's.
+//! Under load, engines have more prompt tokens queued than they can prefill in time, while at any moment some
+//! engine has a free slot. A request that tries more engines finds that slot more often; one that tries only
+//! the engine with its prefix cached hardly ever does. A request of a team with less usage than another team
+//! may therefore try engines that are not idle as well: their queues place it ahead of the other team's
+//! requests.
 
-/// Holds the prompt tokens that an engine has before it.
+/// The prompt tokens queued at an engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Backlog {
-    /// Tokens that are granted and not read: they come before every ask.
+    /// Tokens of granted requests that are not prefilled yet; they precede every new request.
     pub unread_tokens: u32,
-    /// Tokens of asks that wait, which the queue may put behind an ask of a team that has had less.
+    /// Tokens of requests that wait to be granted; the queue may place a request of a team with less usage
+    /// ahead of them.
     pub waiting_tokens: u32,
 }
 
 impl Backlog {
-    /// Returns all of them.
+    /// Returns the sum of both.
     #[must_use]
     pub fn tokens(self) -> u32 {
         self.unread_tokens.saturating_add(self.waiting_tokens)
     }
 }
 
-/// Sets up to which backlog an engine is of use to a request that another one refused.
+/// The backlog up to which an engine is worth trying for a request that another engine refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BacklogLimits {
-    /// Prompt tokens that make an engine nearly idle.
+    /// Backlog up to which an engine counts as nearly idle.
     pub idle_tokens: u32,
-    /// Prompt tokens that an engine reads before the answer must begin.
+    /// Prompt tokens that an engine can prefill before the answer must begin.
     pub prefillable_tokens: u32,
 }
 
-/// Says how far a team's use lags behind that of the team with the most.
+/// How far a team's usage lags behind that of the team with the highest usage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum UsageLag {
-    /// It has had about as much.
+    /// Its usage is about the same.
     Even,
-    /// It has had so much less that the queues before engines put it first.
+    /// Its usage is so much lower that the queues of engines put it first.
     Behind,
-    /// It has had a small part of it.
+    /// Its usage is a small fraction of the highest one.
     FarBehind,
 }
 
-/// Part of the most use below which a team is behind, in thousandths: that below which a queue lets its asks stay for longer.
+/// Fraction of the highest usage below which a team is behind, in thousandths; the same threshold below which
+/// a queue lets the requests of a team wait longer.
 const BEHIND_PERMILLE: u128 = 750;
 
-/// Part below which it is far behind, in thousandths.
+/// Fraction of the highest usage below which a team is far behind, in thousandths.
 const FAR_BEHIND_PERMILLE: u128 = 250;
 
-/// Admissions that are asked for one request: the best one, and another one.
-const MAX_ASKED: usize = 2;
+/// Admissions that are tried for one request: the best one and one more.
+const MAX_ADMISSIONS: usize = 2;
 
-/// Admissions that are asked for a request of a team that is far behind.
-const MAX_ASKED_FAR_BEHIND: usize = 3;
+/// Admissions that are tried for a request of a team that is far behind.
+const MAX_ADMISSIONS_FAR_BEHIND: usize = 3;
 
 impl UsageLag {
-    /// Compares a team's use with that of the team with the most.
+    /// Compares the usage of a team with the highest usage of any team.
     #[must_use]
-    pub fn compare(used_tokens: u64, most_tokens: u64) -> Self {
+    pub fn compare(used_tokens: u64, max_used_tokens: u64) -> Self {
         let used = u128::from(used_tokens) * 1000;
-        let most = u128::from(most_tokens);
+        let most = u128::from(max_used_tokens);
         if used < most * FAR_BEHIND_PERMILLE {
             Self::FarBehind
         } else if used < most * BEHIND_PERMILLE {
@@ -68,23 +72,25 @@
         }
     }
 
-    /// Returns how many admissions may be asked for a request.
+    /// Returns how many admissions may be tried for one request.
     #[must_use]
     pub fn max_admissions(self) -> usize {
         match self {
-            Self::Even | Self::Behind => MAX_ASKED,
-            Self::FarBehind => MAX_ASKED_FAR_BEHIND,
+            Self::Even | Self::Behind => MAX_ADMISSIONS,
+            Self::FarBehind => MAX_ADMISSIONS_FAR_BEHIND,
         }
     }
 
-    /// Returns whether an engine may be asked after another one refused, by what it reads before the ask: the asks that wait as well,
-    /// unless the queue puts this one before them.
+    /// Returns whether an engine may be tried after another one refused, by the tokens that it prefills
+    /// before the request.
+    ///
+    /// Requests that wait there count as well, unless the queue puts this one ahead of them.
     #[must_use]
-    pub fn may_ask(self, backlog: Backlog, room: BacklogLimits) -> bool {
+    pub fn may_try(self, backlog: Backlog, limits: BacklogLimits) -> bool {
         match self {
-            Self::Even => backlog.tokens() <= room.idle_tokens,
+            Self::Even => backlog.tokens() <= limits.idle_tokens,
             Self::Behind | Self::FarBehind => {
-                backlog.unread_tokens <= room.idle_tokens.max(room.prefillable_tokens)
+                backlog.unread_tokens <= limits.idle_tokens.max(limits.prefillable_tokens)
             }
         }
     }
--- a/crates/routing/tests/crash_model/mod.rs
+++ b/crates/routing/tests/crash_model/mod.rs
@@ -1,7 +1,9 @@
-//! Models engines with tens of running requests each, and fatal requests that come back again and again.
+//! A model of engines with tens of running requests each, and of poison requests that are sent again and
+//! again.
 //!
-//! An engine ends soon after it has begun to run a fatal request, takes all its requests with it, and is back after some seconds.
-//! An innocent request is repeated at once by the service, and after a second by its caller, in turn.
+//! An engine crashes soon after it has started a poison request, breaks off all its requests, and is back
+//! after some seconds. An innocent request is retried alternately by the service at once and by its caller
+//! after a second.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,47 +12,47 @@
 use rand::{RngExt, SeedableRng};
 
 const STEP_MS: u64 = 20;
-const PLAY_MS: u64 = 40_000;
+const DURATION_MS: u64 = 40_000;
 
-/// Time until an engine that runs a fatal request ends.
-const FATAL_AFTER_MS: u64 = 100;
+/// Time until an engine that runs a poison request crashes.
+const CRASH_AFTER_MS: u64 = 100;
 
-/// Time until an engine that has ended is back.
+/// Time until a crashed engine is back.
 const RESTART_MS: u64 = 3_000;
 
-/// Time until a caller comes back whose request broke off.
-const CALLER_AFTER_MS: u64 = 1_000;
+/// Time until a caller retries a request that broke off.
+const CALLER_RETRY_MS: u64 = 1_000;
 
-/// Time after the third end in which a fatal request may still be sent to engines.
-const CONTACT_MS: u64 = 3_000;
+/// Time after the third crash in which a poison request may still be sent to engines.
+const HOLD_DEADLINE_MS: u64 = 3_000;
 
-/// Retries that may be sent after that.
-const LATE_RETRIES: usize = 3;
+/// Requests that may be sent after that.
+const MAX_LATE_REQUESTS: usize = 3;
 
-/// Describes a load.
+/// A load to simulate.
 #[derive(Debug, Clone, Copy)]
 pub struct Load {
     pub engines: usize,
-    /// Requests that run at each engine.
+    /// Requests running at each engine.
     pub running: usize,
-    /// Fatal requests.
-    pub fatal: u64,
-    /// Time between two visits of each fatal request.
-    pub visit_ms: u64,
-    /// Time from an end or a completion until every gateway knows of it.
-    pub lag_ms: u64,
-    /// Runs that a request has at most.
-    pub most_runs: u32,
+    /// Number of poison requests.
+    pub poison: u64,
+    /// Average time between two attempts of each poison request.
+    pub poison_interval_ms: u64,
+    /// Time from a crash or a completion until every gateway knows of it.
+    pub notice_lag_ms: u64,
+    /// Highest number of runs of one request.
+    pub max_runs: u32,
 }
 
-/// Counts what came of a play.
+/// The outcome of a simulation.
 #[derive(Debug, Default)]
-pub struct Played {
-    /// Innocent requests that were at an engine when it ended.
-    pub in_company: usize,
-    /// Those of them that were turned away.
-    pub innocent_held: usize,
-    /// Fatal requests that were sent too often too late.
+pub struct Outcome {
+    /// Innocent requests that were at an engine when it crashed.
+    pub bystanders: usize,
+    /// Those of them that were refused.
+    pub bystanders_held: usize,
+    /// Poison requests that were sent too often too late.
     pub late: usize,
 }
 
@@ -64,83 +66,89 @@
 
 #[derive(Debug, Default)]
 struct Engine {
-    start: IncarnationHash,
-    is_back_at: u64,
-    dies_at: Option<u64>,
+    incarnation: IncarnationHash,
+    up_at: u64,
+    crashes_at: Option<u64>,
     runs: Vec<Run>,
 }
 
-/// Holds one moment of a play; fatal requests have the lowest numbers.
-struct World {
+/// The state of a simulation; poison requests have the lowest numbers.
+struct Simulation {
     load: Load,
-    draws: StdRng,
+    rng: StdRng,
     now: u64,
     engines: Vec<Engine>,
-    next_start: IncarnationHash,
+    next_incarnation: IncarnationHash,
     next_number: u64,
-    /// Requests that wait to be sent, by time.
+    /// Requests to be sent, by time.
     waiting: BTreeMap<u64, Vec<Run>>,
     suspects: Suspects,
-    /// Ends and completions that are not known yet, by the time at which they are.
-    ends: BTreeMap<u64, Vec<(RequestKey, IncarnationHash)>>,
-    completed: BTreeMap<u64, Vec<RequestKey>>,
-    ended_under: BTreeMap<u64, BTreeSet<IncarnationHash>>,
-    third_end_at: BTreeMap<u64, u64>,
+    /// Crashes and completions that are not known yet, by the time at which they will be.
+    pending_crashes: BTreeMap<u64, Vec<(RequestKey, IncarnationHash)>>,
+    pending_completions: BTreeMap<u64, Vec<RequestKey>>,
+    crashes_under: BTreeMap<u64, BTreeSet<IncarnationHash>>,
+    third_crash_at: BTreeMap<u64, u64>,
     late: BTreeMap<u64, usize>,
-    in_company: BTreeSet<u64>,
-    turned_away: BTreeSet<u64>,
+    bystanders: BTreeSet<u64>,
+    refused: BTreeSet<u64>,
 }
 
 fn key(number: u64) -> RequestKey {
     RequestKey::of("POST", "/", None, &number.to_be_bytes())
 }
 
-/// Plays a load.
-pub fn play(load: Load, seed: u64) -> Played {
-    let mut world = World {
+/// Simulates a load.
+pub fn simulate(load: Load, seed: u64) -> Outcome {
+    let mut simulation = Simulation {
         load,
-        draws: StdRng::seed_from_u64(seed),
+        rng: StdRng::seed_from_u64(seed),
         now: 0,
         engines: (1..=load.engines as u64)
-            .map(|start| Engine {
-                start,
+            .map(|incarnation| Engine {
+                incarnation,
                 ..Engine::default()
             })
             .collect(),
-        next_start: load.engines as u64 + 1,
-        next_number: load.fatal,
+        next_incarnation: load.engines as u64 + 1,
+        next_number: load.poison,
         waiting: BTreeMap::new(),
         suspects: Suspects::default(),
-        ends: BTreeMap::new(),
-        completed: BTreeMap::new(),
-        ended_under: BTreeMap::new(),
-        third_end_at: BTreeMap::new(),
+        pending_crashes: BTreeMap::new(),
+        pending_completions: BTreeMap::new(),
+        crashes_under: BTreeMap::new(),
+        third_crash_at: BTreeMap::new(),
         late: BTreeMap::new(),
-        in_company: BTreeSet::new(),
-        turned_away: BTreeSet::new(),
+        bystanders: BTreeSet::new(),
+        refused: BTreeSet::new(),
     };
-    while world.now < PLAY_MS {
-        world.step();
+    while simulation.now < DURATION_MS {
+        simulation.step();
     }
-    let too_late = world.late.values().filter(|count| **count > LATE_RETRIES);
-    Played {
-        in_company: world.in_company.len(),
-        innocent_held: world.turned_away.range(load.fatal..).count(),
+    let too_late = simulation
+        .late
+        .values()
+        .filter(|count| **count > MAX_LATE_REQUESTS);
+    Outcome {
+        bystanders: simulation.bystanders.len(),
+        bystanders_held: simulation.refused.range(load.poison..).count(),
         late: too_late.count(),
     }
 }
 
-impl World {
+impl Simulation {
     fn step(&mut self) {
-        self.hear();
-        for place in 0..self.engines.len() {
-            if self.engines[place].dies_at.is_some_and(|at| at <= self.now) {
-                self.end(place);
+        self.deliver_notices();
+        for index in 0..self.engines.len() {
+            if self.engines[index]
+                .crashes_at
+                .is_some_and(|at| at <= self.now)
+            {
+                self.crash_engine(index);
             }
-            self.complete(place);
+            self.complete_runs(index);
         }
-        self.bring_fatal();
-        self.bring_innocent();
+        self.send_poison();
+        self.send_bystanders();
         let due = self.waiting.remove(&self.now).unwrap_or_default();
         for run in due {
             self.send(run);
@@ -148,55 +156,58 @@
         self.now += STEP_MS;
     }
 
-    fn hear(&mut self) {
-        let ends = self.ends.remove(&self.now).unwrap_or_default();
-        let completed = self.completed.remove(&self.now).unwrap_or_default();
+    fn deliver_notices(&mut self) {
+        let crashes = self.pending_crashes.remove(&self.now).unwrap_or_default();
+        let completions = self
+            .pending_completions
+            .remove(&self.now)
+            .unwrap_or_default();
         let version = self.suspects.version() + 1;
-        self.suspects.record(version, &ends, &completed);
+        self.suspects.record(version, &crashes, &completions);
     }
 
-    /// Ends an engine with all its requests.
-    fn end(&mut self, place: usize) {
+    /// Crashes an engine with all its requests.
+    fn crash_engine(&mut self, index: usize) {
         let next = Engine {
-            start: self.next_start,
-            is_back_at: self.now + RESTART_MS,
+            incarnation: self.next_incarnation,
+            up_at: self.now + RESTART_MS,
             ..Engine::default()
         };
-        self.next_start += 1;
-        let ended = std::mem::replace(&mut self.engines[place], next);
-        let known_at = self.now + self.load.lag_ms;
+        self.next_incarnation += 1;
+        let ended = std::mem::replace(&mut self.engines[index], next);
+        let notice_at = self.now + self.load.notice_lag_ms;
         for run in ended.runs {
-            let known = self.ends.entry(known_at).or_default();
-            known.push((key(run.number), ended.start));
-            if run.number < self.load.fatal {
-                let ends = self.ended_under.entry(run.number).or_default();
-                if ends.insert(ended.start) && ends.len() == 3 {
-                    self.third_end_at.insert(run.number, self.now);
+            let notices = self.pending_crashes.entry(notice_at).or_default();
+            notices.push((key(run.number), ended.incarnation));
+            if run.number < self.load.poison {
+                let crashes = self.crashes_under.entry(run.number).or_default();
+                if crashes.insert(ended.incarnation) && crashes.len() == 3 {
+                    self.third_crash_at.insert(run.number, self.now);
                 }
                 continue;
             }
-            self.in_company.insert(run.number);
-            if run.runs < self.load.most_runs {
-                let is_callers = run.runs.is_multiple_of(2);
-                let wait = if is_callers { CALLER_AFTER_MS } else { 0 };
+            self.bystanders.insert(run.number);
+            if run.runs < self.load.max_runs {
+                let is_caller_retry = run.runs.is_multiple_of(2);
+                let wait = if is_caller_retry { CALLER_RETRY_MS } else { 0 };
                 self.waiting.entry(self.now + wait).or_default().push(run);
             }
         }
     }
 
-    fn complete(&mut self, place: usize) {
-        let (now, known_at) = (self.now, self.now + self.load.lag_ms);
-        let runs = &mut self.engines[place].runs;
+    fn complete_runs(&mut self, index: usize) {
+        let (now, notice_at) = (self.now, self.now + self.load.notice_lag_ms);
+        let runs = &mut self.engines[index].runs;
         for run in runs.extract_if(.., |run| run.ends_at <= now) {
-            let known = self.completed.entry(known_at).or_default();
-            known.push(key(run.number));
+            let notices = self.pending_completions.entry(notice_at).or_default();
+            notices.push(key(run.number));
         }
     }
 
-    fn bring_fatal(&mut self) {
-        for number in 0..self.load.fatal {
-            let comes = self.draws.random_range(0..self.load.visit_ms) < STEP_MS;
-            if comes {
+    fn send_poison(&mut self) {
+        for number in 0..self.load.poison {
+            let is_sent = self.rng.random_range(0..self.load.poison_interval_ms) < STEP_MS;
+            if is_sent {
                 let run = Run {
                     number,
                     runs: 0,
@@ -207,7 +218,7 @@
         }
     }
 
-    fn bring_innocent(&mut self) {
+    fn send_bystanders(&mut self) {
         let running: usize = self.engines.iter().map(|engine| engine.runs.len()).sum();
         for _ in running..self.up().len() * self.load.running {
             let run = Run {
@@ -221,42 +232,42 @@
     }
 
     fn up(&self) -> Vec<usize> {
-        let places = 0..self.engines.len();
-        places
-            .filter(|place| self.engines[*place].is_back_at <= self.now)
+        let indexes = 0..self.engines.len();
+        indexes
+            .filter(|index| self.engines[*index].up_at <= self.now)
             .collect()
     }
 
     fn send(&mut self, mut run: Run) {
         if self.suspects.is_held(&key(run.number)) {
-            self.turned_away.insert(run.number);
+            self.refused.insert(run.number);
             return;
         }
         let up = self.up();
         if up.is_empty() {
             return;
         }
-        let place = up[self.draws.random_range(0..up.len())];
-        if run.number < self.load.fatal {
-            let third_end_at = self.third_end_at.get(&run.number);
-            if third_end_at.is_some_and(|at| self.now > at + CONTACT_MS) {
+        let index = up[self.rng.random_range(0..up.len())];
+        if run.number < self.load.poison {
+            let third_crash_at = self.third_crash_at.get(&run.number);
+            if third_crash_at.is_some_and(|at| self.now > at + HOLD_DEADLINE_MS) {
                 *self.late.entry(run.number).or_default() += 1;
             }
-            let dies_at = &mut self.engines[place].dies_at;
-            dies_at.get_or_insert(self.now + FATAL_AFTER_MS);
+            let crashes_at = &mut self.engines[index].crashes_at;
+            crashes_at.get_or_insert(self.now + CRASH_AFTER_MS);
         } else {
-            run.ends_at = self.now + self.length_ms();
+            run.ends_at = self.now + self.run_time_ms();
         }
         run.runs += 1;
-        self.engines[place].runs.push(run);
+        self.engines[index].runs.push(run);
     }
 
-    /// Returns for how long an innocent request runs: a short answer, or a stream of seconds.
-    fn length_ms(&mut self) -> u64 {
-        if self.draws.random_bool(0.5) {
-            self.draws.random_range(200..800)
+    /// Returns how long an innocent request runs: a short answer, or a stream of some seconds.
+    fn run_time_ms(&mut self) -> u64 {
+        if self.rng.random_bool(0.5) {
+            self.rng.random_range(200..800)
         } else {
-            self.draws.random_range(1_000..5_000)
+            self.rng.random_range(1_000..5_000)
         }
     }
 }
--- a/crates/routing/tests/data_center/model.rs
+++ b/crates/routing/tests/data_center/model.rs
@@ -1,7 +1,8 @@
-//! Models the gateways of one data centre with unequal processors, and the balancer before them.
+//! A model of the gateways of one data centre with unequal processors, and of the load balancer before them.
 //!
-//! The balancer gives every caller the gateways in an order of its own, and a new connection the first of them in rotation. It asks
-//! each gateway once a second whether it is ready, and takes one out after two refusals. Engines have room for everything.
+//! The load balancer orders the gateways differently for every caller, and gives a new connection to the
+//! first one in rotation. It probes the readiness of each gateway once a second, and takes one out of
+//! rotation after two failed probes. Engines have capacity for everything.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -9,52 +10,54 @@
 
 use hinge_routing::{OverloadControl, OverloadRules, PeerGateways};
 
-/// Processor time of a small gateway and of a large one in a millisecond, in microseconds.
+/// Processor time of a small and of a large gateway per millisecond, in microseconds.
 pub const SMALL_US_PER_MS: u64 = 90;
 pub const LARGE_US_PER_MS: u64 = 320;
 
-/// Processor time of a request that is served, in its beginning and in each step of its stream; and of one that is refused.
-const BEGIN_US: u64 = 340;
+/// Processor time of a request that is served, for its start and for each step of its stream, and of one that
+/// is refused.
+const START_US: u64 = 340;
 const STEP_US: u64 = 4;
 const REFUSE_US: u64 = 100;
 
-/// The same of one that is handed off, beside the steps of its stream.
+/// Processor time of a request that is handed off, beside the steps of its stream.
 const HAND_OFF_US: u64 = 100;
 
-/// Gateways that are asked to take one request, and the time for which one that has no room is left out.
-const MOST_ASKED: usize = 2;
-const NO_ROOM_REST: Duration = Duration::from_millis(200);
+/// Peers that are tried for one request, and the time for which one without capacity is suspended.
+const MAX_TRIED_PEERS: usize = 2;
+const NO_CAPACITY_SUSPENSION: Duration = Duration::from_millis(200);
 
 /// Duration of a stream, and the time between two of its steps.
 const STREAM_MS: u64 = 800;
 const STEP_MS: u64 = 32;
 
-/// Time between two looks of a gateway at its lag.
+/// Time between two measurements of a gateway's lag.
 const TICK_MS: u64 = 40;
 
-/// Connections that wait to be accepted at most, and that are looked at before other tasks go on.
-const MOST_ARRIVED: usize = 1_024;
-const LOOKED_AT_ONCE: usize = 100;
+/// Highest number of connections that wait to be accepted, and of those processed before other tasks run.
+const MAX_BACKLOG: usize = 1_024;
+const ACCEPTED_AT_ONCE: usize = 100;
 
-/// Time after which a caller tries again what was refused, and how often it does.
+/// Time after which a caller retries a refused request, and how often it does.
 const RETRY_MS: u64 = 110;
 const RETRIES: u32 = 1;
 
-/// Time between two questions of the balancer, and refusals in a row that take a gateway out.
-const ASK_READY_MS: u64 = 1_000;
-const MISSES: u32 = 2;
+/// Time between two probes of the load balancer, and the consecutive failed probes that take a gateway out of
+/// rotation.
+const PROBE_MS: u64 = 1_000;
+const MAX_FAILED_PROBES: u32 = 2;
 
-/// Time over which the shares of two teams are compared.
+/// Window in which the shares of two teams are compared.
 const WINDOW_MS: u64 = 6_000;
 
-/// Seed of the drawn orders.
+/// Seed of the random orders.
 const SEED: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Draws numbers (xorshift).
+/// A random number generator (xorshift).
 #[derive(Debug)]
-struct Draw(u64);
+struct Rng(u64);
 
-impl Draw {
+impl Rng {
     fn next(&mut self) -> usize {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
@@ -63,19 +66,19 @@
     }
 }
 
-/// Returns the address that stands for a gateway.
-fn address_of(place: usize) -> SocketAddr {
-    let port = u16::try_from(place).expect("gateways are few");
+/// Returns the address that identifies a gateway.
+fn address_of(index: usize) -> SocketAddr {
+    let port = u16::try_from(index).expect("gateways are few");
     (Ipv4Addr::LOCALHOST, port).into()
 }
 
-/// Describes a team whose callers ask at an even pace, from a moment on.
+/// A team whose callers send requests at an even rate from a point in time on.
 #[derive(Debug, Clone, Copy)]
 pub struct Team {
     pub name: &'static str,
-    pub from_ms: u64,
+    pub start_ms: u64,
     pub requests_per_s: u64,
-    /// Callers, each with an order of gateways of its own.
+    /// Callers, each with its own order of the gateways.
     pub callers: usize,
 }
 
@@ -83,7 +86,7 @@
 struct Request {
     team: usize,
     caller: usize,
-    tries: u32,
+    attempts: u32,
 }
 
 #[derive(Debug)]
@@ -96,15 +99,15 @@
 struct Gateway {
     overload: OverloadControl,
     us_per_ms: u64,
-    /// Processor time that is owed to what has begun.
-    owed_us: u64,
-    arrived: VecDeque<Request>,
+    /// Processor time that started work still needs.
+    pending_us: u64,
+    backlog: VecDeque<Request>,
     streams: VecDeque<Stream>,
-    nearby: PeerGateways,
-    /// When requests end that were handed off, and the gateways that have them.
+    peers: PeerGateways,
+    /// Handed-off requests: when they end, and the peers that serve them.
     handed_off: VecDeque<(u64, SocketAddr)>,
     is_in_rotation: bool,
-    misses: u32,
+    failed_probes: u32,
 }
 
 impl Gateway {
@@ -112,63 +115,63 @@
         Self {
             overload: OverloadControl::new(OverloadRules::default()),
             us_per_ms,
-            owed_us: 0,
-            arrived: VecDeque::new(),
+            pending_us: 0,
+            backlog: VecDeque::new(),
             streams: VecDeque::new(),
-            nearby: PeerGateways::default(),
+            peers: PeerGateways::default(),
             handed_off: VecDeque::new(),
             is_in_rotation: true,
-            misses: 0,
+            failed_probes: 0,
         }
     }
 
-    /// Takes a connection with a request, unless nobody listens.
+    /// Accepts a connection with a request, unless the listener is closed.
     fn connect(&mut self, request: Request) -> bool {
-        if self.overload.refuses_connections() || self.arrived.len() == MOST_ARRIVED {
+        if self.overload.refuses_connections() || self.backlog.len() == MAX_BACKLOG {
             return false;
         }
         self.overload.record_connection();
-        self.arrived.push_back(request);
+        self.backlog.push_back(request);
         true
     }
 
     fn lag_ms(&self) -> u64 {
-        let looked_at = self.arrived.len().min(LOOKED_AT_ONCE) as u64;
-        (self.owed_us + looked_at * REFUSE_US) / self.us_per_ms
+        let examined = self.backlog.len().min(ACCEPTED_AT_ONCE) as u64;
+        (self.pending_us + examined * REFUSE_US) / self.us_per_ms
     }
 
-    fn ask_ready(&mut self) {
-        self.misses = if self.overload.is_full() {
-            self.misses + 1
+    fn probe(&mut self) {
+        self.failed_probes = if self.overload.is_full() {
+            self.failed_probes + 1
         } else {
             0
         };
-        self.is_in_rotation = self.misses < MISSES;
+        self.is_in_rotation = self.failed_probes < MAX_FAILED_PROBES;
     }
 }
 
-/// Holds the gateways, and what became of the teams' requests.
+/// The gateways, and the outcome of the teams' requests.
 pub struct DataCenter {
     teams: Vec<Team>,
     gateways: Vec<Gateway>,
-    /// Order of the gateways for each team's callers.
+    /// Order of the gateways for each caller of each team.
     orders: Vec<Vec<Vec<usize>>>,
     retries: BTreeMap<u64, Vec<Request>>,
-    draw: Draw,
-    /// Requests that came, retries among them, and that began, by team and second.
-    asked: Vec<BTreeMap<u64, u64>>,
+    rng: Rng,
+    /// Requests sent, including retries, and requests started, by team and second.
+    requested: Vec<BTreeMap<u64, u64>>,
     begun: Vec<BTreeMap<u64, u64>>,
     now_ms: u64,
 }
 
 impl DataCenter {
-    /// Creates gateways with so much processor time each, and teams before them.
+    /// Creates gateways with the given processor time each, and the teams that use them.
     pub fn new(us_per_ms: &[u64], teams: &[Team]) -> Self {
-        let mut draw = Draw(SEED);
+        let mut rng = Rng(SEED);
         let mut order = || {
             let mut order: Vec<usize> = (0..us_per_ms.len()).collect();
-            for place in (1..order.len()).rev() {
-                order.swap(place, draw.next() % (place + 1));
+            for index in (1..order.len()).rev() {
+                order.swap(index, rng.next() % (index + 1));
             }
             order
         };
@@ -177,16 +180,16 @@
             .map(|team| (0..team.callers).map(|_| order()).collect());
         let orders = orders.collect();
         let mut gateways: Vec<Gateway> = us_per_ms.iter().map(|us| Gateway::new(*us)).collect();
-        for (place, gateway) in gateways.iter_mut().enumerate() {
-            let others = (0..us_per_ms.len()).filter(|other| *other != place);
+        for (index, gateway) in gateways.iter_mut().enumerate() {
+            let others = (0..us_per_ms.len()).filter(|other| *other != index);
             let others: Vec<SocketAddr> = others.map(address_of).collect();
-            gateway.nearby.record_listed(Duration::ZERO, &others);
+            gateway.peers.record_listed(Duration::ZERO, &others);
         }
         Self {
             orders,
             gateways,
-            draw,
-            asked: vec![BTreeMap::new(); teams.len()],
+            rng,
+            requested: vec![BTreeMap::new(); teams.len()],
             begun: vec![BTreeMap::new(); teams.len()],
             teams: teams.to_vec(),
             retries: BTreeMap::new(),
@@ -194,90 +197,93 @@
         }
     }
 
-    /// Plays until a moment.
-    pub fn play(&mut self, until_ms: u64) {
+    /// Runs until a point in time.
+    pub fn run(&mut self, until_ms: u64) {
         while self.now_ms < until_ms {
             self.now_ms += 1;
-            self.arrive();
-            for place in 0..self.gateways.len() {
-                self.work(place);
+            self.send_requests();
+            for index in 0..self.gateways.len() {
+                self.run_gateway(index);
             }
         }
     }
 
-    fn arrive(&mut self) {
+    fn send_requests(&mut self) {
         for team in 0..self.teams.len() {
-            let described = self.teams[team];
-            let Some(since) = self.now_ms.checked_sub(described.from_ms) else {
+            let config = self.teams[team];
+            let Some(since) = self.now_ms.checked_sub(config.start_ms) else {
                 continue;
             };
-            let by_now = since * described.requests_per_s / 1_000;
-            let before = since.saturating_sub(1) * described.requests_per_s / 1_000;
+            let by_now = since * config.requests_per_s / 1_000;
+            let before = since.saturating_sub(1) * config.requests_per_s / 1_000;
             for number in before..by_now {
                 let number = usize::try_from(number).expect("requests are few");
-                let caller = number % described.callers;
-                self.ask(Request {
+                let caller = number % config.callers;
+                self.send(Request {
                     team,
                     caller,
-                    tries: 0,
+                    attempts: 0,
                 });
             }
         }
         for request in self.retries.remove(&self.now_ms).unwrap_or_default() {
-            self.ask(request);
+            self.send(request);
         }
     }
 
-    fn ask(&mut self, request: Request) {
-        *self.asked[request.team]
+    fn send(&mut self, request: Request) {
+        *self.requested[request.team]
             .entry(self.now_ms / 1_000)
             .or_default() += 1;
         let order = &self.orders[request.team][request.caller];
-        let in_rotation = |place: &&usize| self.gateways[**place].is_in_rotation;
-        let place = order.iter().find(in_rotation).unwrap_or(&order[0]);
-        if !self.gateways[*place].connect(request) {
+        let in_rotation = |index: &&usize| self.gateways[**index].is_in_rotation;
+        let index = order.iter().find(in_rotation).unwrap_or(&order[0]);
+        if !self.gateways[*index].connect(request) {
             self.retry(request);
         }
     }
 
     fn retry(&mut self, request: Request) {
-        if request.tries < RETRIES {
-            let tries = request.tries + 1;
-            let at = self.now_ms + RETRY_MS;
-            let request = Request { tries, ..request };
-            self.retries.entry(at).or_default().push(request);
+        if request.attempts < RETRIES {
+            let attempts = request.attempts + 1;
+            let due_ms = self.now_ms + RETRY_MS;
+            let request = Request {
+                attempts,
+                ..request
+            };
+            self.retries.entry(due_ms).or_default().push(request);
         }
     }
 
-    /// Lets a gateway do what a millisecond of its processor allows.
-    fn work(&mut self, place: usize) {
-        self.end_streams(place);
-        let gateway = &mut self.gateways[place];
+    /// Runs a gateway for a millisecond of its processor time.
+    fn run_gateway(&mut self, index: usize) {
+        self.end_streams(index);
+        let gateway = &mut self.gateways[index];
         let streams = gateway.streams.iter().map(|stream| stream.ends_ms);
         let handed_off = gateway.handed_off.iter().map(|(ends_ms, _)| *ends_ms);
-        let passed_on = streams.chain(handed_off);
-        let steps = passed_on.filter(|ends_ms| (ends_ms - self.now_ms).is_multiple_of(STEP_MS));
-        gateway.owed_us += steps.count() as u64 * STEP_US;
-        while self.gateways[place].owed_us < self.gateways[place].us_per_ms {
-            let Some(request) = self.gateways[place].arrived.pop_front() else {
+        let forwarded = streams.chain(handed_off);
+        let steps = forwarded.filter(|ends_ms| (ends_ms - self.now_ms).is_multiple_of(STEP_MS));
+        gateway.pending_us += steps.count() as u64 * STEP_US;
+        while self.gateways[index].pending_us < self.gateways[index].us_per_ms {
+            let Some(request) = self.gateways[index].backlog.pop_front() else {
                 break;
             };
-            self.decide(place, request);
+            self.decide(index, request);
         }
         let now = Duration::from_millis(self.now_ms);
-        let gateway = &mut self.gateways[place];
-        gateway.owed_us = gateway.owed_us.saturating_sub(gateway.us_per_ms);
+        let gateway = &mut self.gateways[index];
+        gateway.pending_us = gateway.pending_us.saturating_sub(gateway.us_per_ms);
         if self.now_ms.is_multiple_of(TICK_MS) {
             let lag = Duration::from_millis(gateway.lag_ms());
             gateway.overload.record_tick(now, lag);
         }
-        if self.now_ms.is_multiple_of(ASK_READY_MS) {
-            gateway.ask_ready();
+        if self.now_ms.is_multiple_of(PROBE_MS) {
+            gateway.probe();
         }
     }
 
-    fn end_streams(&mut self, place: usize) {
-        let gateway = &mut self.gateways[place];
+    fn end_streams(&mut self, index: usize) {
+        let gateway = &mut self.gateways[index];
         while let Some(stream) = gateway
             .streams
             .pop_front_if(|stream| stream.ends_ms <= self.now_ms)
@@ -288,60 +294,60 @@
             .handed_off
             .pop_front_if(|(ends_ms, _)| *ends_ms <= self.now_ms)
         {
-            gateway.nearby.request_ended(address);
+            gateway.peers.request_ended(address);
         }
     }
 
-    fn decide(&mut self, place: usize, request: Request) {
+    fn decide(&mut self, index: usize, request: Request) {
         let team = self.teams[request.team].name;
-        let Err(overloaded) = self.gateways[place].overload.try_begin(team) else {
-            self.begin(place, request);
+        let Err(overloaded) = self.gateways[index].overload.try_begin(team) else {
+            self.begin(index, request);
             return;
         };
-        if self.hand_off(place, request) {
-            let gateway = &mut self.gateways[place];
+        if self.hand_off(index, request) {
+            let gateway = &mut self.gateways[index];
             gateway.overload.record_handoff();
-            gateway.owed_us += HAND_OFF_US;
+            gateway.pending_us += HAND_OFF_US;
             return;
         }
-        let gateway = &mut self.gateways[place];
+        let gateway = &mut self.gateways[index];
         gateway.overload.record_refusal(&overloaded);
-        gateway.owed_us += REFUSE_US;
+        gateway.pending_us += REFUSE_US;
         self.retry(request);
     }
 
-    /// Hands a request off, and returns whether another gateway takes it.
-    fn hand_off(&mut self, place: usize, request: Request) -> bool {
+    /// Hands a request off, and returns whether a peer takes it.
+    fn hand_off(&mut self, index: usize, request: Request) -> bool {
         let now = Duration::from_millis(self.now_ms);
         let team = self.teams[request.team].name;
-        let mut asked = Vec::new();
-        while asked.len() < MOST_ASKED {
-            let draw = &mut self.draw;
-            let nearby = &mut self.gateways[place].nearby;
-            let Some(address) = nearby.choose(now, &asked, || draw.next()) else {
+        let mut tried = Vec::new();
+        while tried.len() < MAX_TRIED_PEERS {
+            let rng = &mut self.rng;
+            let peers = &mut self.gateways[index].peers;
+            let Some(address) = peers.choose(now, &tried, || rng.next()) else {
                 return false;
             };
-            asked.push(address);
+            tried.push(address);
             let other = usize::from(address.port());
             if self.gateways[other].overload.try_take_over(team) {
                 self.begin(other, request);
                 let ends_ms = self.now_ms + STREAM_MS;
-                let handed_off = &mut self.gateways[place].handed_off;
+                let handed_off = &mut self.gateways[index].handed_off;
                 handed_off.push_back((ends_ms, address));
                 return true;
             }
-            self.gateways[other].owed_us += REFUSE_US;
-            let gateway = &mut self.gateways[place];
-            gateway.nearby.request_ended(address);
-            gateway.nearby.suspend(now, address, NO_ROOM_REST);
-            gateway.owed_us += HAND_OFF_US;
+            self.gateways[other].pending_us += REFUSE_US;
+            let gateway = &mut self.gateways[index];
+            gateway.peers.request_ended(address);
+            gateway.peers.suspend(now, address, NO_CAPACITY_SUSPENSION);
+            gateway.pending_us += HAND_OFF_US;
         }
         false
     }
 
-    fn begin(&mut self, place: usize, request: Request) {
-        let gateway = &mut self.gateways[place];
-        gateway.owed_us += BEGIN_US;
+    fn begin(&mut self, index: usize, request: Request) {
+        let gateway = &mut self.gateways[index];
+        gateway.pending_us += START_US;
         gateway.streams.push_back(Stream {
             team: request.team,
             ends_ms: self.now_ms + STREAM_MS,
@@ -355,31 +361,34 @@
         sum(&self.begun[team], from_s)
     }
 
-    /// Checks that in each window each team has half of what it asked for or the best served one had, whichever is less, second by
-    /// second.
-    pub fn check_owed(&self, from_s: u64) {
+    /// Checks that in each window, each team started at least half of its fair share: in each second, what it
+    /// requested or what the best-served team started, whichever is less.
+    pub fn check_fair_shares(&self, from_s: u64) {
         let windows = from_s..=(self.now_ms - WINDOW_MS) / 1_000;
         for from in windows {
             let teams = 0..self.teams.len();
-            let best = teams.clone().max_by_key(|team| self.begun_by(*team, from));
-            let best = best.expect("there are teams");
+            let best_team = teams.clone().max_by_key(|team| self.begun_by(*team, from));
+            let best_team = best_team.expect("there are teams");
             for team in teams {
                 let seconds = from..from + WINDOW_MS / 1_000;
-                let owed: u64 = seconds
-                    .map(|second| at(&self.asked[team], second).min(at(&self.begun[best], second)))
+                let fair: u64 = seconds
+                    .map(|second| {
+                        count_at(&self.requested[team], second)
+                            .min(count_at(&self.begun[best_team], second))
+                    })
                     .sum();
                 let begun = self.begun_by(team, from);
-                let (name, best) = (self.teams[team].name, self.teams[best].name);
+                let (name, best_team) = (self.teams[team].name, self.teams[best_team].name);
                 assert!(
-                    begun * 2 >= owed,
-                    "{name} from {from} s: began {begun} of {owed} beside {best}"
+                    begun * 2 >= fair,
+                    "{name} from {from} s: began {begun} of {fair} beside {best_team}"
                 );
             }
         }
     }
 }
 
-fn at(seconds: &BTreeMap<u64, u64>, second: u64) -> u64 {
+fn count_at(seconds: &BTreeMap<u64, u64>, second: u64) -> u64 {
     seconds.get(&second).copied().unwrap_or_default()
 }
 
--- a/crates/routing/tests/kv_source.rs
+++ b/crates/routing/tests/kv_source.rs
@@ -1,4 +1,4 @@
-//! Checks from which engine the shared parts of a prompt are copied.
+//! Checks from which engine a shared prompt prefix is copied.
 
 use std::time::Duration;
 
@@ -40,15 +40,15 @@
 }
 
 cases! {
-    the_time_of_a_copy_follows_from_the_size_of_a_token_and_the_link => {
+    the_copy_time_depends_on_token_size_and_bandwidth => {
         assert_eq!(token_copy_time(18_432, 130_000), Some(COPY_TOKEN));
         assert_eq!(token_copy_time(163_840, 260_000), Some(Duration::from_nanos(5_041)));
         assert_eq!(token_copy_time(18_432, 0), None);
         assert_eq!(token_copy_time(0, 130_000), None);
         assert_eq!(token_copy_time(u64::MAX, 1), None);
     }
-    a_prompt_that_leaves_its_busy_home_is_copied_from_there => {
-        // All requests of one part come at once, and its home has no room for most of them.
+    a_prompt_that_leaves_its_busy_home_copies_the_prefix_from_it => {
+        // All requests with one prefix arrive at once, and its home has no capacity for most of them.
         let sources = sources(9);
         let prompt = prompt(5, 5_382);
         let mut candidates: Vec<Candidate> = sources
@@ -69,72 +69,73 @@
         assert_ne!(other, home);
         assert_eq!(choose_kv_source(&sources, &[], &prompt, COPY_TOKEN), Some(home));
     }
-    a_home_that_has_lost_the_part_copies_it_from_where_it_was_read_last => {
-        // The home ended and came back empty; in between the part was read at the next in rank, and then at a third engine.
+    a_home_without_the_prefix_copies_it_from_its_last_holder => {
+        // The home restarted with an empty cache; meanwhile the prefix was used at the next engine in rank,
+        // and then at a third one.
         let sources = sources(9);
         let prompt = prompt(5, 5_382);
         let home = choose_kv_source(&sources, &[], &prompt, COPY_TOKEN).expect("there are engines");
         let (next, third) = ((home + 1) % 9, (home + 2) % 9);
-        let mut kept = CachedPrefixes::default();
+        let mut cached = CachedPrefixes::default();
         let (key, _) = prompt.shared_key().expect("it shares parts");
-        kept.record(Duration::from_secs(1), key, sources[next].hash);
-        kept.record(Duration::from_secs(2), key, sources[third].hash);
-        let holders = kept.holders(Duration::from_secs(3), key);
+        cached.record(Duration::from_secs(1), key, sources[next].hash);
+        cached.record(Duration::from_secs(2), key, sources[third].hash);
+        let holders = cached.holders(Duration::from_secs(3), key);
         assert_eq!(choose_kv_source(&sources, &holders, &prompt, COPY_TOKEN), Some(third));
-        // One that is held out is no source, and the one before it is.
+        // An ejected holder is no source; the holder before it is.
         let left: Vec<KvSource> = sources
             .iter()
             .copied()
             .filter(|source| source.hash != sources[third].hash)
             .collect();
-        let place = choose_kv_source(&left, &holders, &prompt, COPY_TOKEN).expect("there are engines");
-        assert_eq!(left[place], sources[next]);
+        let index = choose_kv_source(&left, &holders, &prompt, COPY_TOKEN).expect("there are engines");
+        assert_eq!(left[index], sources[next]);
     }
-    an_engine_that_has_started_again_keeps_nothing_and_stays_the_home => {
+    a_restarted_engine_has_nothing_cached_and_stays_the_home => {
         let mut sources = sources(9);
         let prompt = prompt(5, 5_382);
         let home = choose_kv_source(&sources, &[], &prompt, COPY_TOKEN).expect("there are engines");
         let next = (home + 1) % 9;
         let (key, _) = prompt.shared_key().expect("it shares parts");
-        let mut kept = CachedPrefixes::default();
-        kept.record(Duration::from_secs(1), key, sources[next].incarnation);
-        kept.record(Duration::from_secs(2), key, sources[home].incarnation);
+        let mut cached = CachedPrefixes::default();
+        cached.record(Duration::from_secs(1), key, sources[next].incarnation);
+        cached.record(Duration::from_secs(2), key, sources[home].incarnation);
         sources[home].incarnation += 1;
-        let holders = kept.holders(Duration::from_secs(3), key);
+        let holders = cached.holders(Duration::from_secs(3), key);
         assert!(!holders.contains(&sources[home].incarnation));
         assert_eq!(choose_kv_source(&sources, &holders, &prompt, COPY_TOKEN), Some(next));
         assert_eq!(choose_kv_source(&sources, &[], &prompt, COPY_TOKEN), Some(home));
     }
-    a_part_that_was_not_used_for_long_counts_as_gone => {
-        let mut kept = CachedPrefixes::default();
-        kept.record(Duration::ZERO, 7, 1);
-        assert_eq!(kept.holders(Duration::from_millis(5_999), 7).as_slice(), [1]);
-        assert!(kept.holders(Duration::from_secs(6), 7).is_empty());
-        assert!(kept.holders(Duration::ZERO, 8).is_empty());
+    a_prefix_that_was_not_used_for_long_counts_as_evicted => {
+        let mut cached = CachedPrefixes::default();
+        cached.record(Duration::ZERO, 7, 1);
+        assert_eq!(cached.holders(Duration::from_millis(5_999), 7).as_slice(), [1]);
+        assert!(cached.holders(Duration::from_secs(6), 7).is_empty());
+        assert!(cached.holders(Duration::ZERO, 8).is_empty());
     }
-    the_parts_and_their_holders_that_are_remembered_are_bounded => {
-        let mut kept = CachedPrefixes::default();
+    remembered_prefixes_and_holders_are_bounded => {
+        let mut cached = CachedPrefixes::default();
         for endpoint in 0..9 {
-            kept.record(Duration::ZERO, 7, endpoint);
+            cached.record(Duration::ZERO, 7, endpoint);
         }
-        assert_eq!(kept.holders(Duration::ZERO, 7).as_slice(), [8, 7, 6, 5]);
-        let mut kept = CachedPrefixes::default();
+        assert_eq!(cached.holders(Duration::ZERO, 7).as_slice(), [8, 7, 6, 5]);
+        let mut cached = CachedPrefixes::default();
         for key in 0..20_000_u64 {
             let now = Duration::from_micros(key);
-            kept.record(now, key, 1);
-            assert_eq!(kept.holders(now, key).as_slice(), [1], "the newest is always remembered");
+            cached.record(now, key, 1);
+            assert_eq!(cached.holders(now, key).as_slice(), [1], "the newest is always remembered");
         }
-        assert!(kept.len() <= 4_096);
+        assert!(cached.len() <= 4_096);
     }
-    a_short_part_is_read_again_since_the_setup_of_a_copy_takes_as_long => {
+    a_short_prefix_is_prefilled_again_rather_than_copied => {
         assert_eq!(choose_kv_source(&sources(9), &[], &prompt(5, 198), COPY_TOKEN), None);
         assert!(choose_kv_source(&sources(9), &[], &prompt(5, 568), COPY_TOKEN).is_some());
     }
-    a_part_is_read_again_where_the_link_is_slower_than_the_engine => {
+    a_prefix_is_prefilled_again_where_the_link_is_slow => {
         let slow = Duration::from_micros(40);
         assert_eq!(choose_kv_source(&sources(9), &[], &prompt(5, 5_382), slow), None);
     }
-    nothing_is_copied_where_no_engine_is_sound_or_nothing_is_shared => {
+    nothing_is_copied_without_sources_or_a_shared_prefix => {
         assert_eq!(choose_kv_source(&[], &[], &prompt(5, 5_382), COPY_TOKEN), None);
         assert_eq!(choose_kv_source(&sources(9), &[], &Prompt::default(), COPY_TOKEN), None);
     }
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -1,4 +1,4 @@
-//! Checks which route tables are taken, and which route a request gets.
+//! Checks which route tables are valid, and which route a request gets.
 
 use hinge_cases::cases;
 use hinge_routing::{RouteIndex, TableError, check_table};
@@ -66,7 +66,7 @@
 
 type Expected = fn(&TableError) -> bool;
 
-fn refuses((change, is_expected): (Change, Expected)) {
+fn rejects((change, is_expected): (Change, Expected)) {
     let mut changed = route("r", "/a/");
     change(&mut changed);
     let error = check_table(&table(vec![changed], Vec::new())).expect_err("the route is not valid");
@@ -74,7 +74,7 @@
 }
 
 cases! {
-    refuses:
+    rejects:
     an_unknown_service => (|r| r.targets[0].service = "two".into(), |e| matches!(e, TableError::UnknownService { .. })),
     weights_of_zero => (|r| r.targets[0].weight = 0, |e| matches!(e, TableError::NoWeight { .. })),
     no_targets => (|r| r.targets.clear(), |e| matches!(e, TableError::NoWeight { .. })),
@@ -83,19 +83,19 @@
 }
 
 cases! {
-    two_routes_at_one_place_are_refused => {
+    two_routes_with_one_host_and_prefix_are_rejected => {
         let error = check_table(&table(vec![route("r", "/a/"), route("s", "/a/")], Vec::new()));
         assert_eq!(error, Err(TableError::SameRoute { route: "s".into() }));
     }
-    one_key_of_two_teams_is_refused => {
+    one_key_of_two_teams_is_rejected => {
         let error = check_table(&table(Vec::new(), vec![team("a", "key"), team("b", "key")]));
         assert_eq!(error, Err(TableError::SharedKey { team: "b".into() }));
     }
-    a_key_that_a_team_names_twice_is_taken => {
+    a_key_listed_twice_by_one_team_is_accepted => {
         let twice = TeamKeys { keys: vec!["key".into(), "key".into()], ..team("a", "key") };
         assert_eq!(check_table(&table(Vec::new(), vec![twice])), Ok(()));
     }
-    the_longest_prefix_goes_first => {
+    the_longest_prefix_wins => {
         let lookup = RouteIndex::new(table(vec![route("short", "/a/"), route("long", "/a/b/")], Vec::new()));
         let name = |path| lookup.route("a.example", path).map(|route| &*route.name);
         assert_eq!(name("/a/b/c"), Some("long"));
@@ -104,7 +104,7 @@
         assert!(lookup.route("b.example", "/a/").is_none());
         assert!(lookup.route("A.Example", "/a/").is_some());
     }
-    targets_get_their_shares => {
+    targets_are_picked_by_weight => {
         let mut shared = route("r", "/a/");
         shared.targets = vec![target("one", 3), target("none", 0), target("two", 1)];
         let draws = (0..400).filter_map(|draw| RouteIndex::pick_target(&shared, draw));
--- a/crates/routing/tests/usage_lag.rs
+++ b/crates/routing/tests/usage_lag.rs
@@ -1,9 +1,9 @@
-//! Checks how far a refused request may look for another engine.
+//! Checks which engines a refused request may try, and how many.
 
 use hinge_cases::cases;
 use hinge_routing::{Backlog, BacklogLimits, UsageLag};
 
-/// Tokens that make an engine nearly idle, and those that it reads in time.
+/// Backlog of a nearly idle engine, and the tokens that an engine prefills in time.
 const IDLE: u32 = 3_000;
 const READABLE: u32 = 12_500;
 
@@ -19,37 +19,37 @@
     }
 }
 
-/// Returns the most tokens that are granted and not read with which an engine may be asked.
-fn most_unread(lag: UsageLag, room: BacklogLimits) -> Option<u32> {
+/// Returns the highest number of granted tokens without prefill at which an engine may be tried.
+fn max_unread(lag: UsageLag, limits: BacklogLimits) -> Option<u32> {
     (0..=READABLE * 2)
         .rev()
-        .find(|tokens| lag.may_ask(unread(*tokens), room))
+        .find(|tokens| lag.may_try(unread(*tokens), limits))
 }
 
 cases! {
-    a_team_with_as_much_as_any_other_asks_an_idle_engine_only => {
+    an_even_team_tries_only_idle_engines => {
         let lag = UsageLag::compare(750, 1_000);
-        assert_eq!((lag, lag.max_admissions(), most_unread(lag, ROOM)), (UsageLag::Even, 2, Some(IDLE)));
+        assert_eq!((lag, lag.max_admissions(), max_unread(lag, ROOM)), (UsageLag::Even, 2, Some(IDLE)));
     }
-    a_team_that_has_had_less_asks_where_it_is_read_in_time => {
+    a_team_behind_tries_engines_that_prefill_it_in_time => {
         let lag = UsageLag::compare(749, 1_000);
-        assert_eq!((lag, lag.max_admissions(), most_unread(lag, ROOM)), (UsageLag::Behind, 2, Some(READABLE)));
-        // Little time is left: only an idle engine is of use.
+        assert_eq!((lag, lag.max_admissions(), max_unread(lag, ROOM)), (UsageLag::Behind, 2, Some(READABLE)));
+        // With little time left, only an idle engine is of use.
         let late = BacklogLimits { prefillable_tokens: 100, ..ROOM };
-        assert_eq!(most_unread(lag, late), Some(IDLE));
+        assert_eq!(max_unread(lag, late), Some(IDLE));
     }
-    a_team_that_has_had_next_to_nothing_asks_once_more => {
+    a_team_far_behind_tries_one_more_admission => {
         let lag = UsageLag::compare(0, 1_000);
-        assert_eq!((lag, lag.max_admissions(), most_unread(lag, ROOM)), (UsageLag::FarBehind, 3, Some(READABLE)));
+        assert_eq!((lag, lag.max_admissions(), max_unread(lag, ROOM)), (UsageLag::FarBehind, 3, Some(READABLE)));
         assert!(UsageLag::FarBehind > UsageLag::Behind);
     }
-    what_waits_is_before_a_team_with_as_much_as_any_other_only => {
+    waiting_requests_precede_only_an_even_team => {
         let backlog = Backlog { unread_tokens: 2_000, waiting_tokens: 14_000 };
-        assert!(!UsageLag::Even.may_ask(backlog, ROOM));
-        assert!(UsageLag::Behind.may_ask(backlog, ROOM));
-        assert!(UsageLag::FarBehind.may_ask(backlog, ROOM));
+        assert!(!UsageLag::Even.may_try(backlog, ROOM));
+        assert!(UsageLag::Behind.may_try(backlog, ROOM));
+        assert!(UsageLag::FarBehind.may_try(backlog, ROOM));
     }
-    where_nobody_has_had_anything_all_are_even => {
+    without_any_usage_all_teams_are_even => {
         assert_eq!(UsageLag::compare(0, 0), UsageLag::Even);
         assert_eq!(UsageLag::compare(u64::MAX, u64::MAX), UsageLag::Even);
     }
