--- a/crates/routing/src/choose.rs
+++ b/crates/routing/src/choose.rs
@@ -103,7 +103,7 @@
     /// cost of 100 µs or more per missing token. A second home would halve the load of a hot prefix, but the
     /// cache memory is reused before either home sees the prefix again. A running request adds some 2 ms;
     /// beyond the slots, a request waits for another one to end. Leaving the data centre costs a round trip
-    /// and the bytes sent, weighted by what users pay for them: a kilobyte counts about as much as 30 tokens
+    /// and the bytes sent, to which users give weight: a kilobyte counts about as much as 30 tokens
     /// that are prefilled again.
     fn default() -> Self {
         Self {
--- a/crates/routing/src/circuit_breaker.rs
+++ b/crates/routing/src/circuit_breaker.rs
@@ -20,8 +20,8 @@
     /// Returns 2 failures, 0.5 s and 4 s.
     ///
     /// A single failure may be a connection that was closed while idle. Two in a row of an endpoint that
-    /// fails one request in fifty happen once in 2,500 requests and cost it half a second. A restart takes up
-    /// to 4 s.
+    /// fails one request in fifty happen once in 2,500 requests and cost it half a second. Only a restart
+    /// takes longer than 4 s.
     fn default() -> Self {
         Self {
             consecutive_failures: 2,
--- a/crates/routing/tests/choose.rs
+++ b/crates/routing/tests/choose.rs
@@ -200,7 +200,7 @@
         assert!(!breaker.allows_request(at(509)));
         assert!(breaker.allows_request(at(510)));
         breaker.record_sent();
-        assert!(!breaker.allows_request(at(511)), "one request attempts it, not all");
+        assert!(!breaker.allows_request(at(511)), "only one request probes it");
         assert_eq!(breaker.record_failure(at(600), &rules), Some(at(1_000)));
         assert!(!breaker.allows_request(at(1_599)));
         breaker.record_sent();
--- a/crates/routing/tests/usage_lag.rs
+++ b/crates/routing/tests/usage_lag.rs
@@ -5,11 +5,11 @@
 
 /// Backlog of a nearly idle engine, and the tokens that an engine prefills in time.
 const IDLE: u32 = 3_000;
-const READABLE: u32 = 12_500;
+const PREFILLABLE: u32 = 12_500;
 
 const ROOM: BacklogLimits = BacklogLimits {
     idle_tokens: IDLE,
-    prefillable_tokens: READABLE,
+    prefillable_tokens: PREFILLABLE,
 };
 
 fn unread(unread_tokens: u32) -> Backlog {
@@ -21,7 +21,7 @@
 
 /// Returns the highest number of granted tokens without prefill at which an engine may be tried.
 fn max_unread(lag: UsageLag, limits: BacklogLimits) -> Option<u32> {
-    (0..=READABLE * 2)
+    (0..=PREFILLABLE * 2)
         .rev()
         .find(|tokens| lag.may_try(unread(*tokens), limits))
 }
@@ -33,14 +33,14 @@
     }
     a_team_behind_tries_engines_that_prefill_it_in_time => {
         let lag = UsageLag::compare(749, 1_000);
-        assert_eq!((lag, lag.max_admissions(), max_unread(lag, ROOM)), (UsageLag::Behind, 2, Some(READABLE)));
+        assert_eq!((lag, lag.max_admissions(), max_unread(lag, ROOM)), (UsageLag::Behind, 2, Some(PREFILLABLE)));
         // With little time left, only an idle engine is of use.
         let late = BacklogLimits { prefillable_tokens: 100, ..ROOM };
         assert_eq!(max_unread(lag, late), Some(IDLE));
     }
     a_team_far_behind_tries_one_more_admission => {
         let lag = UsageLag::compare(0, 1_000);
-        assert_eq!((lag, lag.max_admissions(), max_unread(lag, ROOM)), (UsageLag::FarBehind, 3, Some(READABLE)));
+        assert_eq!((lag, lag.max_admissions(), max_unread(lag, ROOM)), (UsageLag::FarBehind, 3, Some(PREFILLABLE)));
         assert!(UsageLag::FarBehind > UsageLag::Behind);
     }
     waiting_requests_precede_only_an_even_team => {
