--- a/crates/routing/src/cached_prefixes.rs
+++ b/crates/routing/src/cached_prefixes.rs
@@ -9,15 +9,14 @@
 
 use smallvec::SmallVec;
 
-/// Time for which a prefix counts as cached after its last use: the memory of a busy engine turns over in
+/// Time for which a prefix counts as cached after its last use; the memory of a busy engine turns over in
 /// some seven seconds.
 const CACHE_LIFETIME: Duration = Duration::from_secs(6);
 
 /// Engines remembered for each prefix; a hot prefix is spread over a few.
 const MAX_HOLDERS: usize = 4;
 
-/// Highest number of prefixes remembered: those of some ten seconds at 400 requests a second, which take 400
-/// KB.
+/// Highest number of prefixes remembered: those of some ten seconds at 400 requests a second, taking 400 KB.
 const MAX_PREFIXES: usize = 4_096;
 
 /// Hash of one incarnation of an endpoint; a restarted endpoint has nothing cached from before.
--- a/crates/routing/src/choose.rs
+++ b/crates/routing/src/choose.rs
@@ -99,12 +99,12 @@
     /// Returns the defaults.
     ///
     /// An engine prefills some 25 to 45 tokens per millisecond, hence 40 µs per queued token. Prefilling a
-    /// prefix again delays other callers of the engine as well, and the most requests were on time with a
-    /// cost of 100 µs or more per missing token. A second home would halve the load of a hot prefix, but the
-    /// cache memory is reused before either home sees the prefix again. A running request adds some 2 ms;
-    /// beyond the slots, a request waits for another one to end. Leaving the data centre costs a round trip
-    /// and the bytes sent, to which users give weight: a kilobyte counts about as much as 30 tokens
-    /// that are prefilled again.
+    /// prefix again delays other callers of the engine as well, and the most requests are on time with a cost
+    /// of 100 µs or more per missing token. A second home would halve the load of a hot prefix, but the cache
+    /// memory is reused before either home sees the prefix again. A running request adds some 2 ms; beyond
+    /// the slots, a request waits for another one to end. Leaving the data centre costs a round trip and the
+    /// bytes sent, to which users give weight: a kilobyte counts about as much as 30 tokens that are
+    /// prefilled again.
     fn default() -> Self {
         Self {
             home_count: 1,
@@ -127,8 +127,7 @@
     }
 }
 
-/// Returns the rank of an endpoint as a home of a shared prefix; the endpoints with the highest ranks are its
-/// homes.
+/// Returns the rank of an endpoint for a shared prefix; the endpoints with the highest ranks are its homes.
 #[must_use]
 pub fn home_rank(key: u64, endpoint: u64) -> u64 {
     mix(key ^ mix(endpoint))
@@ -167,8 +166,7 @@
     costs.min().map(|(_, _, index)| index)
 }
 
-/// Returns the index of the endpoint to try after another one refused a request, or `None` if none may be
-/// tried.
+/// Returns the index of the endpoint to try after a refusal by another one, or `None` if none may be tried.
 ///
 /// A long prompt keeps the endpoint busy that has its prefix cached, and a request of a team with less usage
 /// than the others can't wait for it. The next endpoint in rank is often as busy, while at any moment some
--- a/crates/routing/src/peer_gateways.rs
+++ b/crates/routing/src/peer_gateways.rs
@@ -1,6 +1,6 @@
 //! Chooses another gateway for a request that this one has no capacity for.
 //!
-//! All callers of one team can reach the same small gateway, also with their retries, while the other
+//! All callers of one team can reach the same small gateway, including their retries, while the other
 //! gateways of the data centre are nearly idle. Forwarding a request and its response costs a gateway far
 //! less than serving it.
 
@@ -26,8 +26,9 @@
 }
 
 impl PeerGateways {
-    /// Records the addresses of running gateways, and forgets peers that are no longer listed and have no
-    /// requests in flight.
+    /// Records the addresses of running gateways.
+    ///
+    /// Forgets peers that are no longer listed and have no requests in flight.
     pub fn record_listed(&mut self, now: Duration, addresses: &[SocketAddr]) {
         for address in addresses {
             match self.find(*address) {
@@ -44,8 +45,9 @@
             .retain(|peer| peer.in_flight > 0 || now < peer.listed_at + LISTED_TTL);
     }
 
-    /// Chooses a gateway for a request, which counts as in flight there until
-    /// [`PeerGateways::request_ended`].
+    /// Chooses a gateway for a request.
+    ///
+    /// The request counts as in flight there until [`PeerGateways::request_ended`].
     ///
     /// Of two gateways drawn at random, it takes the one with fewer requests from this gateway, so that a
     /// slow one gets fewer.
--- a/crates/routing/src/request_key.rs
+++ b/crates/routing/src/request_key.rs
@@ -10,8 +10,9 @@
 /// Length of a key in bytes.
 const KEY_BYTES: usize = 16;
 
-/// Hash of a request's method, path, team and body; the same for each attempt of its caller, at every
-/// gateway.
+/// Hash of a request's method, path, team and body.
+///
+/// It is the same for each attempt of its caller, at every gateway.
 #[derive(
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, SerializeDisplay, DeserializeFromStr,
 )]
--- a/crates/routing/src/route_index.rs
+++ b/crates/routing/src/route_index.rs
@@ -49,8 +49,7 @@
         &self.table
     }
 
-    /// Returns the route of a request: of its host's routes, the one with the longest prefix that matches the
-    /// path.
+    /// Returns the route of a request: the one of its host with the longest prefix that matches the path.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let indexes = match self.by_host.get(host) {
@@ -82,8 +81,7 @@
         !self.table.teams.is_empty()
     }
 
-    /// Returns the target of a route for a random number; evenly distributed numbers give each target its
-    /// weight.
+    /// Returns the target of a route for a random number, which gives each target its weight.
     #[must_use]
     pub fn pick_target(route: &Route, draw: u64) -> Option<&Target> {
         let total: u64 = route
