--- a/crates/control/src/routing_calls.rs
+++ b/crates/control/src/routing_calls.rs
@@ -389,7 +389,7 @@
 fn newer_suspects(routing: &Routing, message: &WatchRoutes) -> Option<SuspectList> {
     // Versions that don't know suspected requests send no version.
     let held = message.suspects_version?;
-    routing.suspects().newer_than(held)
+    routing.suspects().changes_since(held)
 }
 
 fn other_gateways(core: &Core, message: &WatchRoutes) -> Vec<Box<str>> {
--- a/crates/control/src/suspect_calls.rs
+++ b/crates/control/src/suspect_calls.rs
@@ -102,8 +102,10 @@
     };
     command
         .ends
-        .retain(|(request, endpoint)| !known.has_end(request, *endpoint));
-    command.completed.retain(|request| known.ends(request) > 0);
+        .retain(|(request, endpoint)| !known.has_crash(request, *endpoint));
+    command
+        .completed
+        .retain(|request| known.crash_count(request) > 0);
     Ok(command)
 }
 
