--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -162,7 +162,7 @@
         let _first_and_only = state_cell.set(Arc::clone(&core));
         let metrics = Metrics::register(registry);
         let tasks = vec![
-            tokio::spawn(run_as_leader(Arc::clone(&core), metrics)),
+            tokio::spawn(run_ticks(Arc::clone(&core), metrics)),
             tokio::spawn(follow::run(Arc::clone(&core))),
             tokio::spawn(join::run(Arc::clone(&core))),
         ];
@@ -237,7 +237,7 @@
 }
 
 /// Maintains the soft state and, on the leader, runs the periodic tasks.
-async fn run_as_leader(core: Arc<Core>, metrics: Metrics) {
+async fn run_ticks(core: Arc<Core>, metrics: Metrics) {
     let mut node_status = core.driver.node_status.clone();
     let mut ticks = interval(TICK);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
--- a/crates/control/src/routing_calls.rs
+++ b/crates/control/src/routing_calls.rs
@@ -40,7 +40,7 @@
 /// Path of a watch of routes and endpoints.
 pub const WATCH_ROUTES_PATH: &str = "/v1/routes/watch";
 
-/// An error that no instance could answer: there is no leader, or it did not answer in time.
+/// The error that no instance could answer: there is no leader, or it did not reply in time.
 ///
 /// The change may have taken effect all the same, and is safe to send again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/control/tests/roles/partition.rs
+++ b/crates/control/tests/roles/partition.rs
@@ -48,7 +48,7 @@
 }
 
 /// Sends a table to both sides of the partition, as an operator may, and returns whether any instance accepted it.
-async fn is_table_accepted(fleet: &Fleet, number: u64) -> bool {
+async fn put_table_anywhere(fleet: &Fleet, number: u64) -> bool {
     for _ in 0..MAX_ATTEMPTS {
         for name in fleet.running.keys() {
             if fleet.try_put_table(name, number).await {
@@ -76,16 +76,16 @@
 async_cases! { real
     a_change_takes_effect_on_the_larger_side => {
         let fleet = start_seven().await;
-        assert!(is_table_accepted(&fleet, 1).await, "control accepts a table before the partition");
+        assert!(put_table_anywhere(&fleet, 1).await, "control accepts a table before the partition");
         let smaller = leader_and_two_voters(&fleet).await;
         let all = || fleet.running.keys().map(|name| &**name);
         let larger: Vec<&str> = all().filter(|name| !smaller.contains(*name)).collect();
         assert_eq!((smaller.len(), larger.len()), (3, 4));
         fleet.net.split(&smaller);
-        assert!(is_table_accepted(&fleet, 2).await, "one side accepts a table");
+        assert!(put_table_anywhere(&fleet, 2).await, "one side accepts a table");
         assert!(is_table_served(&fleet, &larger, 2).await, "the larger side serves the accepted table");
         fleet.net.split(&BTreeSet::new());
-        assert!(is_table_accepted(&fleet, 3).await, "control accepts a table after the partition");
+        assert!(put_table_anywhere(&fleet, 3).await, "control accepts a table after the partition");
         for name in all() {
             assert!(is_table_served(&fleet, &[name], 3).await, "{name} serves the table");
         }
