--- a/crates/daemon/src/roles/sidecar.rs
+++ b/crates/daemon/src/roles/sidecar.rs
@@ -73,7 +73,7 @@
         listen: context.settings.peer_listen.to_string().into(),
         kind: match given.kind {
             EndpointKind::Model => PoolKind::Model(UnitWeights::default()),
-            EndpointKind::Service => PoolKind::Plain { busy_ms_units: 1 },
+            EndpointKind::Service => PoolKind::Service { busy_ms_units: 1 },
         },
         slots: given.slots,
         kv_tokens: given.kv_tokens,
--- a/crates/sidecar/src/core.rs
+++ b/crates/sidecar/src/dispatch.rs
@@ -15,10 +15,12 @@
 use hinge_placement::slots::{Availability, Demand, EngineReport, SlotRules, Slots};
 use hinge_schema::messages::NotRunReason;
 
-pub use self::offers::{Action, Asked, HandOverCost, Load, Refusal, RequestKey, TeamRules, Ticket};
+pub use self::offers::{
+    Action, HandOverCost, Load, NewOffer, OfferId, Refusal, RequestKey, TeamRules,
+};
 pub use self::waiting::WaitingChange;
 
-pub(crate) use self::offers::ELSEWHERE;
+pub(crate) use self::offers::RETRY_ELSEWHERE_DELAY;
 use self::tracked::{Spending, Tracked};
 use self::waiting::Waiting;
 
@@ -26,23 +28,23 @@
 
 /// Holds the queue, the slots and the runs of one endpoint.
 #[derive(Debug)]
-pub struct Core {
+pub struct Dispatcher {
     slots: Slots,
     queue: Queue<()>,
     runs: RunTable,
-    tracked: HashMap<Ticket, Tracked>,
-    by_request: HashMap<RequestKey, Ticket>,
-    by_claim: HashMap<ClaimId, Ticket>,
+    tracked: HashMap<OfferId, Tracked>,
+    by_request: HashMap<RequestKey, OfferId>,
+    by_claim: HashMap<ClaimId, OfferId>,
     /// Picked offers whose KV cache use does not fit yet, the first to be granted first.
-    parked: Vec<Ticket>,
+    parked: Vec<OfferId>,
     waiting: Waiting,
-    next_ticket: Ticket,
+    next_offer_id: OfferId,
     is_leaving: bool,
     is_ejected: bool,
     actions: Vec<Action>,
 }
 
-impl Core {
+impl Dispatcher {
     /// Returns an empty core.
     #[must_use]
     pub fn new(rules: SlotRules, limits: Limits) -> Self {
@@ -55,7 +57,7 @@
             by_claim: HashMap::new(),
             parked: Vec::new(),
             waiting: Waiting::default(),
-            next_ticket: 1,
+            next_offer_id: 1,
             is_leaving: false,
             is_ejected: false,
             actions: Vec::new(),
@@ -114,45 +116,45 @@
     pub fn offer(
         &mut self,
         now: Duration,
-        asked: Asked,
+        new_offer: NewOffer,
         own_version: u64,
-    ) -> Result<Ticket, Refusal> {
-        self.may_take(&asked, own_version)?;
-        if let Some(rules) = asked.rules {
+    ) -> Result<OfferId, Refusal> {
+        self.may_take(&new_offer, own_version)?;
+        if let Some(rules) = new_offer.rules {
             let queue = &mut self.queue;
-            let index = queue.set_team(&asked.team, rules.share, rules.max_waiting);
+            let index = queue.set_team(&new_offer.team, rules.share, rules.max_waiting);
             queue.set_urgent_allowance(index, rules.urgent_allowance_ppm);
         }
-        let ticket = self.next_ticket;
-        self.next_ticket += 1;
+        let id = self.next_offer_id;
+        self.next_offer_id += 1;
         let offer = Offer {
-            offer_id: ticket,
-            team: asked.team.clone(),
-            class: asked.class,
-            estimated_units: asked.estimated_units,
-            deadline: asked.deadline,
+            offer_id: id,
+            team: new_offer.team.clone(),
+            class: new_offer.class,
+            estimated_units: new_offer.estimated_units,
+            deadline: new_offer.deadline,
         };
         let shed = self
             .queue
             .push(now, &offer, ())
             .map_err(|refusal| Refusal::from_queue(&refusal))?;
-        self.track(ticket, asked);
+        self.track(id, new_offer);
         if let Some(shed) = shed {
             self.refuse(shed.offer_id, Refusal::from_queue(&shed.refusal));
         }
         self.fill(now);
-        Ok(ticket)
+        Ok(id)
     }
 
     /// Takes back an offer that waits, or its grant, because its entry has gone or does not want it.
     ///
     /// A run whose whole request is here goes on; [`Core::cancel`] ends it.
-    pub fn withdraw(&mut self, ticket: Ticket, now: Duration) {
-        let Some(tracked) = self.tracked.get(&ticket) else {
+    pub fn withdraw(&mut self, offer_id: OfferId, now: Duration) {
+        let Some(tracked) = self.tracked.get(&offer_id) else {
             return;
         };
         match tracked.claim {
-            None => self.drop_waiting(ticket),
+            None => self.drop_waiting(offer_id),
             Some(claim) => self.give_up_unbound(claim, Reason::Cancelled, now),
         }
         self.fill(now);
@@ -196,8 +198,8 @@
         now: Duration,
     ) -> Result<RunState, Verdict> {
         let state = self.advance(claim, RunEvent::HandedOver, now)?;
-        let ticket = self.by_claim.get(&claim).copied();
-        if let Some(tracked) = ticket.and_then(|ticket| self.tracked.get_mut(&ticket)) {
+        let offer_id = self.by_claim.get(&claim).copied();
+        if let Some(tracked) = offer_id.and_then(|offer_id| self.tracked.get_mut(&offer_id)) {
             tracked.spending = Some(Spending { since: now, cost });
         }
         Ok(state)
@@ -241,14 +243,14 @@
     /// The team is charged for what the endpoint has done, or a caller that leaves before the first token would have its
     /// prompts for nothing. An endpoint that fails is another matter: then only what has streamed is charged.
     pub fn cancel(&mut self, claim: ClaimId, now: Duration) -> Verdict {
-        let Some(ticket) = self.by_claim.get(&claim).copied() else {
+        let Some(offer_id) = self.by_claim.get(&claim).copied() else {
             return self.runs.ask(claim, now);
         };
-        let tracked = self.tracked.get(&ticket);
+        let tracked = self.tracked.get(&offer_id);
         let spent = tracked.map_or(0, |tracked| tracked.spent(now));
         let verdict = self.give_up(claim, Reason::Cancelled, spent, Duration::ZERO, now);
         self.actions.push(Action::Stop {
-            ticket,
+            offer_id,
             claim,
             verdict,
         });
@@ -256,14 +258,14 @@
     }
 
     /// Answers what became of a run; a grant without its whole request is withdrawn by the question.
-    pub fn ask(&mut self, claim: ClaimId, now: Duration) -> Verdict {
+    pub fn ask_verdict(&mut self, claim: ClaimId, now: Duration) -> Verdict {
         let verdict = self.runs.ask(claim, now);
         if !matches!(verdict, Verdict::NeverHandedOver { .. }) {
             return verdict;
         }
-        if let Some(ticket) = self.release(claim, 0, now) {
+        if let Some(offer_id) = self.release(claim, 0, now) {
             self.actions.push(Action::Stop {
-                ticket,
+                offer_id,
                 claim,
                 verdict,
             });
@@ -274,11 +276,11 @@
 
     /// Charges units as they are served.
     pub fn charge(&mut self, claim: ClaimId, units: u64) {
-        let Some(ticket) = self.by_claim.get(&claim) else {
+        let Some(offer_id) = self.by_claim.get(&claim) else {
             return;
         };
-        self.queue.charge(*ticket, units);
-        if let Some(tracked) = self.tracked.get_mut(ticket) {
+        self.queue.charge(*offer_id, units);
+        if let Some(tracked) = self.tracked.get_mut(offer_id) {
             tracked.charged_units = tracked.charged_units.saturating_add(units);
         }
     }
@@ -286,17 +288,17 @@
     /// Refuses everything that waits, and all offers from now on.
     pub fn leave(&mut self) {
         self.is_leaving = true;
-        self.refuse_all(Refusal::elsewhere(NotRunReason::Leaving));
+        self.refuse_all(Refusal::retry_elsewhere(NotRunReason::Leaving));
     }
 
     /// Takes over what the endpoint has room for; what runs goes on.
-    pub fn set_room(&mut self, rules: SlotRules, now: Duration) {
+    pub fn set_slot_rules(&mut self, rules: SlotRules, now: Duration) {
         self.slots.set_rules(with_common_slot(rules));
         self.fill(now);
     }
 
     /// Takes a load report of the engine.
-    pub fn report_load(&mut self, report: EngineReport, now: Duration) {
+    pub fn apply_load_report(&mut self, report: EngineReport, now: Duration) {
         self.slots.apply_report(report, now);
         self.fill(now);
     }
@@ -305,7 +307,7 @@
     pub fn set_ejected(&mut self, is_ejected: bool, now: Duration) {
         self.is_ejected = is_ejected;
         if is_ejected {
-            self.refuse_all(Refusal::elsewhere(NotRunReason::NoEndpoint));
+            self.refuse_all(Refusal::retry_elsewhere(NotRunReason::NoEndpoint));
         } else {
             self.fill(now);
         }
@@ -318,39 +320,39 @@
         }
     }
 
-    fn may_take(&self, asked: &Asked, own_version: u64) -> Result<(), Refusal> {
+    fn may_take(&self, new_offer: &NewOffer, own_version: u64) -> Result<(), Refusal> {
         if self.is_leaving {
-            return Err(Refusal::elsewhere(NotRunReason::Leaving));
+            return Err(Refusal::retry_elsewhere(NotRunReason::Leaving));
         }
-        if asked.config_version < own_version {
-            return Err(Refusal::elsewhere(NotRunReason::StaleConfig));
+        if new_offer.config_version < own_version {
+            return Err(Refusal::retry_elsewhere(NotRunReason::StaleConfig));
         }
         if self.is_ejected {
-            return Err(Refusal::elsewhere(NotRunReason::NoEndpoint));
+            return Err(Refusal::retry_elsewhere(NotRunReason::NoEndpoint));
         }
-        if asked.rules.is_none() {
-            return Err(Refusal::elsewhere(NotRunReason::NotReady));
+        if new_offer.rules.is_none() {
+            return Err(Refusal::retry_elsewhere(NotRunReason::NotReady));
         }
-        if self.by_request.contains_key(&asked.request) {
-            return Err(Refusal::elsewhere(NotRunReason::AlreadyRunning));
+        if self.by_request.contains_key(&new_offer.request) {
+            return Err(Refusal::retry_elsewhere(NotRunReason::AlreadyRunning));
         }
         Ok(())
     }
 
-    fn track(&mut self, ticket: Ticket, asked: Asked) {
-        self.waiting.add(asked.class, &asked.team);
-        self.by_request.insert(asked.request.clone(), ticket);
+    fn track(&mut self, offer_id: OfferId, new_offer: NewOffer) {
+        self.waiting.add(new_offer.class, &new_offer.team);
+        self.by_request.insert(new_offer.request.clone(), offer_id);
         let tracked = Tracked {
-            request: asked.request,
-            team: asked.team,
-            class: asked.class,
-            kv_tokens: self.fitting_kv_tokens(asked.kv_tokens, asked.class),
-            needs_key: asked.needs_key,
+            request: new_offer.request,
+            team: new_offer.team,
+            class: new_offer.class,
+            kv_tokens: self.fitting_kv_tokens(new_offer.kv_tokens, new_offer.class),
+            needs_key: new_offer.needs_key,
             claim: None,
             spending: None,
             charged_units: 0,
         };
-        self.tracked.insert(ticket, tracked);
+        self.tracked.insert(offer_id, tracked);
     }
 
     /// Grants slots while there are both free slots and offers.
@@ -360,9 +362,9 @@
 
     /// Grants one slot; returns whether another may be granted.
     fn fill_one(&mut self, now: Duration) -> bool {
-        let fitting = |ticket: &Ticket| self.fits(*ticket, now);
-        if let Some(ticket) = self.parked.iter().copied().find(fitting) {
-            self.grant(ticket, now);
+        let fitting = |offer_id: &OfferId| self.fits(*offer_id, now);
+        if let Some(offer_id) = self.parked.iter().copied().find(fitting) {
+            self.grant(offer_id, now);
             return true;
         }
         let room = self.room(now);
@@ -377,7 +379,7 @@
 
     /// Returns what the queue may pick from; while an offer waits for KV cache, only urgent ones may pass it.
     fn room(&self, now: Duration) -> FreeSlots {
-        let is_urgent = |ticket: &Ticket| self.need(*ticket).is_urgent;
+        let is_urgent = |offer_id: &OfferId| self.need(*offer_id).is_urgent;
         let has_common = self.parked.is_empty() && self.slots.free_slots(now) > 0;
         let smallest = Demand {
             kv_tokens: 0,
@@ -391,8 +393,8 @@
         }
     }
 
-    fn need(&self, ticket: Ticket) -> Demand {
-        let tracked = self.tracked.get(&ticket);
+    fn need(&self, offer_id: OfferId) -> Demand {
+        let tracked = self.tracked.get(&offer_id);
         let tracked = tracked.expect("an offer is tracked until it ends");
         Demand {
             kv_tokens: tracked.kv_tokens,
@@ -400,8 +402,8 @@
         }
     }
 
-    fn fits(&self, ticket: Ticket, now: Duration) -> bool {
-        self.slots.availability(self.need(ticket), now) == Availability::Now
+    fn fits(&self, offer_id: OfferId, now: Duration) -> bool {
+        self.slots.availability(self.need(offer_id), now) == Availability::Now
     }
 
     /// Returns the KV tokens that are counted for an offer.
@@ -420,49 +422,49 @@
         kv_tokens.min(rules.kv_tokens.saturating_sub(reserved))
     }
 
-    fn grant(&mut self, ticket: Ticket, now: Duration) {
-        self.parked.retain(|parked| *parked != ticket);
-        let need = self.need(ticket);
-        let tracked = self.tracked.get_mut(&ticket);
+    fn grant(&mut self, offer_id: OfferId, now: Duration) {
+        self.parked.retain(|parked| *parked != offer_id);
+        let need = self.need(offer_id);
+        let tracked = self.tracked.get_mut(&offer_id);
         let tracked = tracked.expect("a picked offer is tracked until it ends");
         let claim = self.runs.grant(tracked.needs_key);
         tracked.claim = Some(claim);
         self.waiting.remove(tracked.class, &tracked.team);
-        self.by_claim.insert(claim, ticket);
+        self.by_claim.insert(claim, offer_id);
         let has_room = self.slots.acquire(claim, need, now);
         assert!(has_room, "room was checked before the grant");
-        self.actions.push(Action::Grant { ticket, claim });
+        self.actions.push(Action::Grant { offer_id, claim });
     }
 
-    fn drop_waiting(&mut self, ticket: Ticket) {
-        if self.parked.contains(&ticket) {
-            self.parked.retain(|parked| *parked != ticket);
-            self.queue.finish(ticket, 0);
+    fn drop_waiting(&mut self, offer_id: OfferId) {
+        if self.parked.contains(&offer_id) {
+            self.parked.retain(|parked| *parked != offer_id);
+            self.queue.finish(offer_id, 0);
         } else {
-            self.queue.remove(ticket);
+            self.queue.remove(offer_id);
         }
-        self.forget_waiting(ticket);
+        self.forget_waiting(offer_id);
     }
 
-    fn forget_waiting(&mut self, ticket: Ticket) {
-        if let Some(tracked) = self.tracked.remove(&ticket) {
+    fn forget_waiting(&mut self, offer_id: OfferId) {
+        if let Some(tracked) = self.tracked.remove(&offer_id) {
             self.waiting.remove(tracked.class, &tracked.team);
             self.by_request.remove(&tracked.request);
         }
     }
 
-    fn refuse(&mut self, ticket: Ticket, refusal: Refusal) {
-        self.forget_waiting(ticket);
-        self.actions.push(Action::Refuse { ticket, refusal });
+    fn refuse(&mut self, offer_id: OfferId, refusal: Refusal) {
+        self.forget_waiting(offer_id);
+        self.actions.push(Action::Refuse { offer_id, refusal });
     }
 
     fn refuse_all(&mut self, refusal: Refusal) {
         let waiting = self.tracked.iter().filter(|(_, held)| held.claim.is_none());
-        let mut waiting: Vec<Ticket> = waiting.map(|(ticket, _)| *ticket).collect();
+        let mut waiting: Vec<OfferId> = waiting.map(|(offer_id, _)| *offer_id).collect();
         waiting.sort_unstable();
-        for ticket in waiting {
-            self.drop_waiting(ticket);
-            self.actions.push(Action::Refuse { ticket, refusal });
+        for offer_id in waiting {
+            self.drop_waiting(offer_id);
+            self.actions.push(Action::Refuse { offer_id, refusal });
         }
     }
 
@@ -470,24 +472,24 @@
         if self.runs.state(claim) != Some(RunState::Granted) {
             return;
         }
-        let Some(ticket) = self.by_claim.get(&claim).copied() else {
+        let Some(offer_id) = self.by_claim.get(&claim).copied() else {
             return;
         };
         let verdict = self.give_up(claim, reason, 0, Duration::ZERO, now);
         self.actions.push(Action::Stop {
-            ticket,
+            offer_id,
             claim,
             verdict,
         });
     }
 
     /// Gives the slot of a grant back, once.
-    fn release(&mut self, claim: ClaimId, units: u64, now: Duration) -> Option<Ticket> {
-        let ticket = self.by_claim.remove(&claim)?;
-        let tracked = self.tracked.remove(&ticket)?;
+    fn release(&mut self, claim: ClaimId, units: u64, now: Duration) -> Option<OfferId> {
+        let offer_id = self.by_claim.remove(&claim)?;
+        let tracked = self.tracked.remove(&offer_id)?;
         self.by_request.remove(&tracked.request);
-        self.queue.finish(ticket, units);
+        self.queue.finish(offer_id, units);
         self.slots.release(claim, now);
-        Some(ticket)
+        Some(offer_id)
     }
 }
--- a/crates/sidecar/src/core/offers.rs
+++ b/crates/sidecar/src/dispatch/offers.rs
@@ -9,10 +9,10 @@
 use crate::reasons::queue_reason;
 
 /// Retry delay when this sidecar will not do better soon, and another one may at once.
-pub(crate) const ELSEWHERE: Duration = Duration::from_millis(50);
+pub(crate) const RETRY_ELSEWHERE_DELAY: Duration = Duration::from_millis(50);
 
 /// Numbers an offer at this sidecar.
-pub type Ticket = u64;
+pub type OfferId = u64;
 
 /// Names a request across the fleet.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -27,7 +27,7 @@
 
 /// What the core must know of an offer.
 #[derive(Debug, Clone)]
-pub struct Asked {
+pub struct NewOffer {
     /// Name of the request.
     pub request: RequestKey,
     /// Team that is charged.
@@ -60,10 +60,10 @@
 impl Refusal {
     /// Returns a refusal that speaks of this place; another sidecar may take the offer at once.
     #[must_use]
-    pub fn elsewhere(reason: NotRunReason) -> Self {
+    pub fn retry_elsewhere(reason: NotRunReason) -> Self {
         Self {
             reason,
-            retry_after: ELSEWHERE,
+            retry_after: RETRY_ELSEWHERE_DELAY,
         }
     }
 
@@ -90,21 +90,21 @@
     /// Grants a slot.
     Grant {
         /// Offer that waited.
-        ticket: Ticket,
+        offer_id: OfferId,
         /// Number of the grant.
         claim: ClaimId,
     },
     /// Refuses an offer that waited.
     Refuse {
         /// Offer that waited.
-        ticket: Ticket,
+        offer_id: OfferId,
         /// Why, and when to come back.
         refusal: Refusal,
     },
     /// Stops whatever is done for a grant; its run has ended with this verdict.
     Stop {
         /// Offer of the grant.
-        ticket: Ticket,
+        offer_id: OfferId,
         /// Number of the grant.
         claim: ClaimId,
         /// What became of the run.
--- a/crates/sidecar/src/core/waiting.rs
+++ b/crates/sidecar/src/dispatch/waiting.rs
@@ -8,7 +8,7 @@
     /// Team.
     pub team: Box<str>,
     /// Difference.
-    pub by: i64,
+    pub delta: i64,
 }
 
 /// Holds the counts.
@@ -38,9 +38,9 @@
         self.note(team, -1);
     }
 
-    fn note(&mut self, team: &str, by: i64) {
+    fn note(&mut self, team: &str, delta: i64) {
         let team = team.into();
-        self.changes.push(WaitingChange { team, by });
+        self.changes.push(WaitingChange { team, delta });
     }
 }
 
--- a/crates/sidecar/src/exchange.rs
+++ b/crates/sidecar/src/exchange.rs
@@ -15,11 +15,11 @@
 use viz::Body;
 
 use crate::answer::{Answer, Pumped};
-use crate::core::{Asked, Refusal, RequestKey};
+use crate::dispatch::{NewOffer, Refusal, RequestKey};
 use crate::reasons::{class, whole_ms};
 use crate::rules;
 use crate::run::{Bound, needs_key, run};
-use crate::shell::{Live, Shell, Signal, failure};
+use crate::shared::{Live, Shell, Signal, failure};
 
 /// Longest wait for the first frame; an entry sends it at once.
 const OFFER_TIMEOUT: Duration = Duration::from_secs(5);
@@ -81,7 +81,9 @@
             Arrived::Gone => return,
             Arrived::Refused(reason) => return self.give_up(claim, reason).await,
         };
-        let bound = |core: &mut crate::core::Core, now| core.advance(claim, RunEvent::Bound, now);
+        let bound = |dispatcher: &mut crate::dispatch::Dispatcher, now| {
+            dispatcher.advance(claim, RunEvent::Bound, now)
+        };
         if self.shell.tell(bound).is_err() {
             return self.withdrawn(claim).await;
         }
@@ -90,16 +92,16 @@
         drop(guard);
     }
 
-    fn admit(&self) -> Result<(crate::shell::TicketGuard, UnboundedReceiver<Signal>), Refusal> {
+    fn admit(&self) -> Result<(crate::shared::OfferGuard, UnboundedReceiver<Signal>), Refusal> {
         if !self.shell.member.is_current() {
-            return Err(Refusal::elsewhere(NotRunReason::NotReady));
+            return Err(Refusal::retry_elsewhere(NotRunReason::NotReady));
         }
         let offer = &self.offer;
         if offer.pool != self.shell.settings.pool {
-            return Err(Refusal::elsewhere(NotRunReason::NoEndpoint));
+            return Err(Refusal::retry_elsewhere(NotRunReason::NoEndpoint));
         }
         self.learn_newer();
-        let asked = Asked {
+        let new_offer = NewOffer {
             request: RequestKey {
                 entry: offer.entry.clone(),
                 entry_incarnation: offer.entry_incarnation,
@@ -114,7 +116,7 @@
             needs_key: needs_key(offer),
             config_version: offer.config_version,
         };
-        self.shell.offer(asked)
+        self.shell.offer(new_offer)
     }
 
     /// Fetches a newer configuration that the offer shows, if the entry can be asked.
@@ -227,14 +229,16 @@
 
     /// Says what became of a grant that was withdrawn.
     async fn withdrawn(&self, claim: ClaimId) {
-        let verdict = self.shell.tell(|core, now| core.ask(claim, now));
+        let verdict = self
+            .shell
+            .tell(|dispatcher, now| dispatcher.ask_verdict(claim, now));
         self.fail(verdict).await;
     }
 
     async fn give_up(&self, claim: ClaimId, reason: Reason) {
         let verdict = self
             .shell
-            .tell(|core, now| core.give_up(claim, reason, 0, Duration::ZERO, now));
+            .tell(|dispatcher, now| dispatcher.give_up(claim, reason, 0, Duration::ZERO, now));
         self.fail(verdict).await;
     }
 
@@ -332,7 +336,7 @@
             seen = &mut entry_side, if side.is_none() => {
                 side = Some(seen);
                 if seen == EntrySide::Cancelled {
-                    shell.tell(|core, now| core.cancel(claim, now));
+                    shell.tell(|dispatcher, now| dispatcher.cancel(claim, now));
                 }
                 if seen == EntrySide::Broken {
                     break Pumped::Gone;
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -10,7 +10,7 @@
 
 mod answer;
 pub mod claims;
-pub mod core;
+pub mod dispatch;
 mod endpoint;
 mod exchange;
 pub mod fence;
@@ -22,7 +22,7 @@
 mod rules;
 mod run;
 mod settings;
-mod shell;
+mod shared;
 mod sidecar;
 mod sums;
 
--- a/crates/sidecar/src/meter.rs
+++ b/crates/sidecar/src/meter.rs
@@ -4,7 +4,7 @@
 
 use serde::Deserialize;
 
-use crate::core::HandOverCost;
+use crate::dispatch::HandOverCost;
 use crate::settings::{PoolKind, UnitWeights};
 
 /// Bytes of a prompt that count as one token until the engine says better; about right for English text.
@@ -54,7 +54,7 @@
             prompt_units: prompt_units(weights, request_bytes as u64),
             busy_ms_units: 0,
         },
-        PoolKind::Plain { busy_ms_units } => HandOverCost {
+        PoolKind::Service { busy_ms_units } => HandOverCost {
             prompt_units: 0,
             busy_ms_units,
         },
@@ -106,9 +106,9 @@
     }
 
     /// Takes bytes of the answer, and returns the service units to charge for them.
-    pub fn take(&mut self, bytes: &[u8], now: Duration) -> u64 {
+    pub fn count(&mut self, bytes: &[u8], now: Duration) -> u64 {
         match self.kind {
-            PoolKind::Plain { busy_ms_units } => {
+            PoolKind::Service { busy_ms_units } => {
                 self.charge_up_to(self.busy_ms(now).saturating_mul(busy_ms_units))
             }
             PoolKind::Model(weights) => {
@@ -134,7 +134,7 @@
     #[must_use]
     pub fn total_units(&self, now: Duration) -> u64 {
         match self.kind {
-            PoolKind::Plain { busy_ms_units } => self.busy_ms(now).saturating_mul(busy_ms_units),
+            PoolKind::Service { busy_ms_units } => self.busy_ms(now).saturating_mul(busy_ms_units),
             PoolKind::Model(weights) => self.model_units(weights),
         }
     }
--- a/crates/sidecar/src/metrics.rs
+++ b/crates/sidecar/src/metrics.rs
@@ -9,7 +9,7 @@
 use prometheus_client::metrics::family::Family;
 use prometheus_client::metrics::gauge::Gauge;
 
-use crate::core::{Load, WaitingChange};
+use crate::dispatch::{Load, WaitingChange};
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct ClassLabel {
@@ -92,6 +92,6 @@
     pub(crate) fn note_waiting(&self, change: &WaitingChange) {
         let team = self.team_labels.label(&change.team);
         let waiting = self.team_waiting.get_or_create(&TeamLabel { team });
-        waiting.inc_by(change.by);
+        waiting.inc_by(change.delta);
     }
 }
--- a/crates/sidecar/src/order.rs
+++ b/crates/sidecar/src/order.rs
@@ -11,7 +11,7 @@
 
 use crate::endpoint::{self, Connection};
 use crate::fence::FenceCheck;
-use crate::shell::Shell;
+use crate::shared::Shell;
 
 /// Path of orders at an endpoint.
 const ORDER_PATH: &str = "/admin/order";
--- a/crates/sidecar/src/resume.rs
+++ b/crates/sidecar/src/resume.rs
@@ -9,7 +9,7 @@
 use viz::Body;
 
 use crate::exchange::{pump, watch_entry};
-use crate::shell::{Shell, failure};
+use crate::shared::{Shell, failure};
 
 /// Longest wait for the first frame; an entry sends it at once.
 const RESUME_TIMEOUT: Duration = Duration::from_secs(5);
@@ -47,7 +47,7 @@
 /// Says what became of a run whose answer is not here.
 async fn refuse(shell: &Shell, resume: &Resume, is_ours: bool, sender: &FrameSender) {
     let verdict = if is_ours {
-        shell.tell(|core, now| core.ask(resume.claim_id, now))
+        shell.tell(|dispatcher, now| dispatcher.ask_verdict(resume.claim_id, now))
     } else {
         hinge_outcome::Verdict::Unknown
     };
--- a/crates/sidecar/src/rules.rs
+++ b/crates/sidecar/src/rules.rs
@@ -3,7 +3,7 @@
 use hinge_config::effective::{Effective, PoolKind as ConfiguredKind};
 use hinge_placement::SlotRules;
 
-use crate::core::TeamRules;
+use crate::dispatch::TeamRules;
 use crate::settings::{PoolKind, SidecarSettings, UnitWeights};
 
 /// Returns the rules of a team; `None` for an unknown one.
@@ -28,7 +28,7 @@
             cached: weights.cached_prompt_units.into(),
             generated: weights.generated_units.into(),
         }),
-        ConfiguredKind::Service => PoolKind::Plain {
+        ConfiguredKind::Service => PoolKind::Service {
             busy_ms_units: weights.busy_ms_units.into(),
         },
     }
--- a/crates/sidecar/src/run.rs
+++ b/crates/sidecar/src/run.rs
@@ -20,7 +20,7 @@
 use crate::meter::{self, Meter};
 use crate::reasons::wire_reason;
 use crate::rules;
-use crate::shell::{Live, Shell, fail_answer};
+use crate::shared::{Live, Shell, fail_answer};
 
 /// A request that has arrived whole under a grant.
 #[derive(Debug)]
@@ -56,7 +56,7 @@
         };
         Self {
             reason,
-            retry_after: crate::core::ELSEWHERE,
+            retry_after: crate::dispatch::RETRY_ELSEWHERE_DELAY,
             sample: Some(sample),
         }
     }
@@ -154,7 +154,9 @@
 
     fn advance(self, event: RunEvent) -> Result<(), GivenUp> {
         let claim = self.bound.claim;
-        let state = self.shell.tell(|core, now| core.advance(claim, event, now));
+        let state = self
+            .shell
+            .tell(|dispatcher, now| dispatcher.advance(claim, event, now));
         // The reason is not used, as the run has ended with another one.
         let state = state.map_err(|_verdict| GivenUp::new(Reason::Cancelled));
         state.map(|_state| ())
@@ -165,7 +167,7 @@
         let shell = self.shell;
         let kind = rules::kind(&shell.member.config().effective, &shell.settings);
         let cost = meter::hand_over_cost(kind, self.bound.body.len());
-        let handed = shell.tell(|core, now| core.hand_over(claim, cost, now));
+        let handed = shell.tell(|dispatcher, now| dispatcher.hand_over(claim, cost, now));
         let handed = handed.map_err(|_verdict| GivenUp::new(Reason::Cancelled));
         handed.map(|_state| ())
     }
@@ -275,11 +277,11 @@
         let claim = self.bound.claim;
         let bytes = data.len() as u64;
         self.shell.metrics.answer_bytes.inc_by(bytes);
-        let units = meter.take(data, self.shell.now());
+        let units = meter.count(data, self.shell.now());
         self.shell.metrics.note_units(&self.bound.offer.team, units);
-        let advanced = self.shell.tell(|core, now| {
-            core.charge(claim, units);
-            core.advance(claim, RunEvent::Answer { bytes }, now)
+        let advanced = self.shell.tell(|dispatcher, now| {
+            dispatcher.charge(claim, units);
+            dispatcher.advance(claim, RunEvent::Answer { bytes }, now)
         });
         let advanced = advanced.map_err(|_verdict| GivenUp::new(Reason::Cancelled));
         advanced.map(|_state| ())
@@ -294,7 +296,7 @@
         let claim = self.bound.claim;
         let verdict = self
             .shell
-            .tell(|core, now| core.complete(claim, units, now));
+            .tell(|dispatcher, now| dispatcher.complete(claim, units, now));
         self.answer.end(units);
         self.shell.metrics.completed.inc();
         if let Some(sample) = sample_of(status, wait) {
@@ -312,7 +314,7 @@
         } = given_up;
         let verdict = self
             .shell
-            .tell(|core, now| core.give_up(claim, reason, 0, retry_after, now));
+            .tell(|dispatcher, now| dispatcher.give_up(claim, reason, 0, retry_after, now));
         self.shell.metrics.note_failed(wire_reason(reason));
         if let Some(sample) = sample {
             self.shell.note_run(sample);
@@ -327,7 +329,9 @@
     /// Ends a run that was stopped by someone who has told the core and the answer.
     async fn stopped(self) {
         let claim = self.bound.claim;
-        let verdict = self.shell.tell(|core, now| core.ask(claim, now));
+        let verdict = self
+            .shell
+            .tell(|dispatcher, now| dispatcher.ask_verdict(claim, now));
         self.finish_key(verdict).await;
     }
 
--- a/crates/sidecar/src/settings.rs
+++ b/crates/sidecar/src/settings.rs
@@ -10,7 +10,7 @@
     /// Weighted tokens.
     Model(UnitWeights),
     /// Milliseconds that the endpoint was busy, times a weight.
-    Plain {
+    Service {
         /// Service units a busy millisecond.
         busy_ms_units: u64,
     },
@@ -88,7 +88,7 @@
     /// Path of the endpoint's load, which is also asked to probe an ejected endpoint.
     pub load_path: Box<str>,
     /// Time between two looks at deadlines and resume windows.
-    pub tick: Duration,
+    pub sweep_interval: Duration,
     /// Time between two reports of sums.
     pub sums_interval: Duration,
 }
@@ -126,7 +126,7 @@
             health: HealthRules::default(),
             load_interval: Duration::from_secs(1),
             load_path: "/load".into(),
-            tick: Duration::from_millis(100),
+            sweep_interval: Duration::from_millis(100),
             sums_interval: Duration::from_secs(1),
         }
     }
--- a/crates/sidecar/src/shell.rs
+++ b/crates/sidecar/src/shared.rs
@@ -17,7 +17,7 @@
 
 use crate::answer::Answer;
 use crate::claims::Claims;
-use crate::core::{Action, Asked, Core, Refusal, Ticket};
+use crate::dispatch::{Action, Dispatcher, NewOffer, OfferId, Refusal};
 use crate::fence::Fence;
 use crate::metrics::Metrics;
 use crate::reasons::{whole_ms, wire_reason};
@@ -41,8 +41,8 @@
 
 #[derive(Debug)]
 struct State {
-    core: Core,
-    doors: HashMap<Ticket, mpsc::UnboundedSender<Signal>>,
+    dispatcher: Dispatcher,
+    doors: HashMap<OfferId, mpsc::UnboundedSender<Signal>>,
     live: HashMap<ClaimId, Live>,
     health: LocalEndpointHealth,
     /// Rules that the core holds, so that it is told only of changes.
@@ -102,7 +102,7 @@
             changes: watch::Sender::new(()),
             started: Instant::now(),
             state: Mutex::new(State {
-                core: Core::new(room, limits),
+                dispatcher: Dispatcher::new(room, limits),
                 doors: HashMap::new(),
                 live: HashMap::new(),
                 health,
@@ -121,10 +121,10 @@
     }
 
     /// Tells the core something, and carries out what follows.
-    pub(crate) fn tell<R>(&self, say: impl FnOnce(&mut Core, Duration) -> R) -> R {
+    pub(crate) fn tell<R>(&self, say: impl FnOnce(&mut Dispatcher, Duration) -> R) -> R {
         let now = self.now();
         let mut state = self.lock();
-        let told = say(&mut state.core, now);
+        let told = say(&mut state.dispatcher, now);
         self.settle(&mut state);
         drop(state);
         self.changes.send_replace(());
@@ -134,28 +134,28 @@
     /// Carries out what followed from what the core was told.
     fn settle(&self, state: &mut State) {
         // Before an entry hears of a grant, so that every later announcement counts it.
-        let running = u32::try_from(state.core.open_grants()).unwrap_or(u32::MAX);
+        let running = u32::try_from(state.dispatcher.open_grants()).unwrap_or(u32::MAX);
         self.member.set_running(running);
-        for action in state.core.take_actions() {
+        for action in state.dispatcher.take_actions() {
             self.carry_out(state, action);
         }
-        for change in state.core.take_waiting_changes() {
+        for change in state.dispatcher.take_waiting_changes() {
             self.metrics.note_waiting(&change);
         }
-        self.metrics.set_load(state.core.load());
+        self.metrics.set_load(state.dispatcher.load());
     }
 
     fn carry_out(&self, state: &mut State, action: Action) {
         match action {
-            Action::Grant { ticket, claim } => {
+            Action::Grant { offer_id, claim } => {
                 self.metrics.granted.inc();
-                signal(state, ticket, Signal::Granted(claim));
+                signal(state, offer_id, Signal::Granted(claim));
             }
-            Action::Refuse { ticket, refusal } => {
-                signal(state, ticket, Signal::Refused(refusal));
+            Action::Refuse { offer_id, refusal } => {
+                signal(state, offer_id, Signal::Refused(refusal));
             }
             Action::Stop {
-                ticket,
+                offer_id,
                 claim,
                 verdict,
             } => {
@@ -163,7 +163,7 @@
                     fail_answer(&live.answer, verdict);
                     live.stop.cancel();
                 }
-                signal(state, ticket, Signal::Stopped);
+                signal(state, offer_id, Signal::Stopped);
             }
         }
     }
@@ -171,19 +171,19 @@
     /// Takes an offer, and returns where its signals come from.
     pub(crate) fn offer(
         self: &Arc<Self>,
-        asked: Asked,
-    ) -> Result<(TicketGuard, mpsc::UnboundedReceiver<Signal>), Refusal> {
+        new_offer: NewOffer,
+    ) -> Result<(OfferGuard, mpsc::UnboundedReceiver<Signal>), Refusal> {
         let own_version = self.member.config_version();
         let (door, signals) = mpsc::unbounded_channel();
         let now = self.now();
         let mut state = self.lock();
-        let ticket = state.core.offer(now, asked, own_version)?;
-        state.doors.insert(ticket, door);
+        let offer_id = state.dispatcher.offer(now, new_offer, own_version)?;
+        state.doors.insert(offer_id, door);
         self.settle(&mut state);
         drop(state);
-        let guard = TicketGuard {
+        let guard = OfferGuard {
             shell: Arc::clone(self),
-            ticket,
+            offer_id,
         };
         Ok((guard, signals))
     }
@@ -219,9 +219,9 @@
         forget_oldest(&mut state.live, self.settings.max_kept_answers);
         drop(state);
         for claim in late {
-            self.tell(|core, now| core.cancel(claim, now));
+            self.tell(|dispatcher, now| dispatcher.cancel(claim, now));
         }
-        self.tell(Core::expire_offers);
+        self.tell(Dispatcher::expire_offers);
     }
 
     /// Takes what a run says about the endpoint.
@@ -258,7 +258,7 @@
 
     /// Takes what the engine says about its load.
     pub(crate) fn note_load(&self, report: EngineReport) {
-        self.tell(|core, now| core.report_load(report, now));
+        self.tell(|dispatcher, now| dispatcher.apply_load_report(report, now));
     }
 
     /// Tells the core what the endpoint has room for, as health and the configuration have it now.
@@ -274,8 +274,8 @@
         let was_ejected = state.room.slots == 0;
         let is_ejected = room.slots == 0;
         state.room = room;
-        state.core.set_room(room, now);
-        state.core.set_ejected(is_ejected, now);
+        state.dispatcher.set_slot_rules(room, now);
+        state.dispatcher.set_ejected(is_ejected, now);
         self.settle(&mut state);
         drop(state);
         self.metrics.ejected.set(i64::from(is_ejected));
@@ -300,7 +300,7 @@
         let kept = state.live.values();
         let kept = kept.filter(|live| live.answer.is_ended() && !live.answer.is_taken());
         Open {
-            runs: state.core.open_grants(),
+            runs: state.dispatcher.open_grants(),
             answers: kept.count(),
         }
     }
@@ -315,8 +315,8 @@
     }
 }
 
-fn signal(state: &State, ticket: Ticket, signal: Signal) {
-    if let Some(door) = state.doors.get(&ticket) {
+fn signal(state: &State, offer_id: OfferId, signal: Signal) {
+    if let Some(door) = state.doors.get(&offer_id) {
         // An exchange that is gone withdraws its offer by itself.
         let _sent_or_gone = door.send(signal);
     }
@@ -358,14 +358,15 @@
 
 /// Withdraws an offer, or its unbound grant, when its exchange ends in any way.
 #[derive(Debug)]
-pub(crate) struct TicketGuard {
+pub(crate) struct OfferGuard {
     shell: Arc<Shell>,
-    ticket: Ticket,
+    offer_id: OfferId,
 }
 
-impl Drop for TicketGuard {
+impl Drop for OfferGuard {
     fn drop(&mut self) {
-        self.shell.lock().doors.remove(&self.ticket);
-        self.shell.tell(|core, now| core.withdraw(self.ticket, now));
+        self.shell.lock().doors.remove(&self.offer_id);
+        self.shell
+            .tell(|dispatcher, now| dispatcher.withdraw(self.offer_id, now));
     }
 }
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -24,7 +24,7 @@
 use crate::metrics::Metrics;
 use crate::reasons::wire_verdict;
 use crate::settings::SidecarSettings;
-use crate::shell::Shell;
+use crate::shared::Shell;
 use crate::sums::Reporter;
 use crate::{order, resume};
 
@@ -124,7 +124,7 @@
     pub async fn drain(self, deadline: Duration) -> DrainReport {
         let began = Instant::now();
         self.shell.member.set_leaving();
-        self.shell.tell(|core, _now| core.leave());
+        self.shell.tell(|dispatcher, _now| dispatcher.leave());
         // From this record on no offer is granted, whatever entries know.
         hinge_telemetry::info!(Part::Sidecar, "Leaving.");
         let ended = timeout(deadline, wait_until_ended(&self.shell)).await;
@@ -156,15 +156,15 @@
             return;
         }
         changes.mark_unchanged();
-        let tick = shell.settings.tick;
+        let sweep_interval = shell.settings.sweep_interval;
         // Resume windows end without a change.
-        let _changed_or_elapsed = timeout(tick, changes.changed()).await;
+        let _changed_or_elapsed = timeout(sweep_interval, changes.changed()).await;
     }
 }
 
 async fn sweep(shell: Arc<Shell>) {
     loop {
-        tokio::time::sleep(shell.settings.tick).await;
+        tokio::time::sleep(shell.settings.sweep_interval).await;
         shell.refresh_room();
         shell.sweep();
     }
@@ -294,7 +294,7 @@
 fn verdict(shell: &Shell, ask: &AskVerdict) -> VerdictReply {
     let incarnation = shell.member.incarnation();
     let verdict = if ask.incarnation == incarnation {
-        shell.tell(|core, now| core.ask(ask.claim_id, now))
+        shell.tell(|dispatcher, now| dispatcher.ask_verdict(ask.claim_id, now))
     } else {
         hinge_outcome::Verdict::Unknown
     };
@@ -307,7 +307,7 @@
 fn cancel(shell: &Shell, run: &CancelRun) -> VerdictReply {
     let incarnation = shell.member.incarnation();
     let verdict = if run.incarnation == incarnation {
-        shell.tell(|core, now| core.cancel(run.claim_id, now))
+        shell.tell(|dispatcher, now| dispatcher.cancel(run.claim_id, now))
     } else {
         hinge_outcome::Verdict::Unknown
     };
--- a/crates/sidecar/src/sums.rs
+++ b/crates/sidecar/src/sums.rs
@@ -10,7 +10,7 @@
 };
 use tokio::time::{MissedTickBehavior, interval};
 
-use crate::shell::Shell;
+use crate::shared::Shell;
 
 const SUMS_PATH: &str = "/v1/sums";
 
@@ -45,9 +45,11 @@
     async fn report(&mut self) {
         let member = self.shell.member.clone();
         let incarnation = member.incarnation();
-        let report = self
-            .shell
-            .tell(|core, _now| core.queue_mut().report(member.instance(), incarnation));
+        let report = self.shell.tell(|dispatcher, _now| {
+            dispatcher
+                .queue_mut()
+                .report(member.instance(), incarnation)
+        });
         let report = message(report, &self.shell.settings.pool);
         let Some(totals) = self.send(&report).await else {
             return;
@@ -57,7 +59,7 @@
         }
         let reply = reply(totals);
         self.shell
-            .tell(|core, now| core.queue_mut().apply_totals(now, &reply));
+            .tell(|dispatcher, now| dispatcher.queue_mut().apply_totals(now, &reply));
     }
 
     async fn send(&mut self, report: &ServiceReport) -> Option<ServiceTotals> {
--- a/crates/sidecar/tests/decisions.rs
+++ b/crates/sidecar/tests/decisions.rs
@@ -8,7 +8,9 @@
 use hinge_outcome::{ClaimId, Reason, RunEvent, Verdict};
 use hinge_placement::SlotRules;
 use hinge_schema::messages::NotRunReason;
-use hinge_sidecar::core::{Action, Asked, Core, HandOverCost, RequestKey, TeamRules, Ticket};
+use hinge_sidecar::dispatch::{
+    Action, Dispatcher, HandOverCost, NewOffer, OfferId, RequestKey, TeamRules,
+};
 use hinge_sidecar::fence::{Fence, FenceCheck};
 use hinge_sidecar::meter::Meter;
 use hinge_sidecar::{PoolKind, UnitWeights};
@@ -22,16 +24,16 @@
     generated: 4,
 });
 
-fn core(slots: u32, kv_tokens: u64, urgent_slots: u32) -> Core {
+fn dispatcher(slots: u32, kv_tokens: u64, urgent_slots: u32) -> Dispatcher {
     let limits = Limits {
         max_waiting: 16,
         max_request_units: 100,
     };
-    Core::new(SlotRules::new(slots, kv_tokens, urgent_slots), limits)
+    Dispatcher::new(SlotRules::new(slots, kv_tokens, urgent_slots), limits)
 }
 
-fn asked(request_id: u64, class: Class, kv_tokens: u64) -> Asked {
-    Asked {
+fn new_offer(request_id: u64, class: Class, kv_tokens: u64) -> NewOffer {
+    NewOffer {
         request: RequestKey {
             entry: "entry-1".into(),
             entry_incarnation: 1,
@@ -52,225 +54,230 @@
     }
 }
 
-fn offer(core: &mut Core, asked: Asked) -> Ticket {
-    core.offer(NOW, asked, 1).expect("the queue has room")
+fn offer(dispatcher: &mut Dispatcher, new_offer: NewOffer) -> OfferId {
+    dispatcher
+        .offer(NOW, new_offer, 1)
+        .expect("the queue has room")
 }
 
-fn standard(core: &mut Core, request_id: u64) -> Ticket {
-    offer(core, asked(request_id, Class::Standard, 0))
+fn standard(dispatcher: &mut Dispatcher, request_id: u64) -> OfferId {
+    offer(dispatcher, new_offer(request_id, Class::Standard, 0))
 }
 
 /// Returns the grants since the last look.
-fn grants(core: &mut Core) -> Vec<(Ticket, ClaimId)> {
-    let actions = core.take_actions();
+fn grants(dispatcher: &mut Dispatcher) -> Vec<(OfferId, ClaimId)> {
+    let actions = dispatcher.take_actions();
     let granted = actions.into_iter().filter_map(|action| match action {
-        Action::Grant { ticket, claim } => Some((ticket, claim)),
+        Action::Grant { offer_id, claim } => Some((offer_id, claim)),
         Action::Refuse { .. } | Action::Stop { .. } => None,
     });
     granted.collect()
 }
 
-fn count_waiting(core: &mut Core, waiting: &mut HashMap<Box<str>, i64>) {
-    for change in core.take_waiting_changes() {
-        *waiting.entry(change.team).or_default() += change.by;
+fn count_waiting(dispatcher: &mut Dispatcher, waiting: &mut HashMap<Box<str>, i64>) {
+    for change in dispatcher.take_waiting_changes() {
+        *waiting.entry(change.team).or_default() += change.delta;
     }
 }
 
-fn granted_tickets(core: &mut Core) -> Vec<Ticket> {
-    grants(core).into_iter().map(|(ticket, _)| ticket).collect()
+fn granted_ids(dispatcher: &mut Dispatcher) -> Vec<OfferId> {
+    grants(dispatcher)
+        .into_iter()
+        .map(|(offer_id, _)| offer_id)
+        .collect()
 }
 
 cases! {
     a_reserved_slot_is_kept_for_an_urgent_offer => {
-        let mut core = core(2, 0, 1);
-        let (first, _second) = (standard(&mut core, 1), standard(&mut core, 2));
-        assert_eq!(granted_tickets(&mut core), [first]);
+        let mut dispatcher = dispatcher(2, 0, 1);
+        let (first, _second) = (standard(&mut dispatcher, 1), standard(&mut dispatcher, 2));
+        assert_eq!(granted_ids(&mut dispatcher), [first]);
         // The second one keeps its place in the queue: it is not picked for a slot that it may not have.
-        assert_eq!(core.queue().running(), 1);
-        let urgent = offer(&mut core, asked(3, Class::Urgent, 0));
-        assert_eq!(granted_tickets(&mut core), [urgent]);
+        assert_eq!(dispatcher.queue().running(), 1);
+        let urgent = offer(&mut dispatcher, new_offer(3, Class::Urgent, 0));
+        assert_eq!(granted_ids(&mut dispatcher), [urgent]);
     }
     waiting_offers_are_counted_by_team_until_they_are_granted_or_refused => {
-        let mut core = core(1, 0, 0);
-        standard(&mut core, 1);
-        let waits = offer(&mut core, Asked { team: "franchise".into(), ..asked(2, Class::Standard, 0) });
-        standard(&mut core, 3);
+        let mut dispatcher = dispatcher(1, 0, 0);
+        standard(&mut dispatcher, 1);
+        let waits = offer(&mut dispatcher, NewOffer { team: "franchise".into(), ..new_offer(2, Class::Standard, 0) });
+        standard(&mut dispatcher, 3);
         let mut waiting = HashMap::new();
-        count_waiting(&mut core, &mut waiting);
+        count_waiting(&mut dispatcher, &mut waiting);
         assert_eq!((waiting["school"], waiting["franchise"]), (1, 1));
-        core.withdraw(waits, NOW);
-        core.leave();
-        count_waiting(&mut core, &mut waiting);
+        dispatcher.withdraw(waits, NOW);
+        dispatcher.leave();
+        count_waiting(&mut dispatcher, &mut waiting);
         assert_eq!((waiting["school"], waiting["franchise"]), (0, 0));
-        assert_eq!(core.load().waiting, [0; 3]);
+        assert_eq!(dispatcher.load().waiting, [0; 3]);
     }
     a_team_without_an_urgent_allowance_does_not_use_the_reserved_slot => {
-        let mut core = core(2, 0, 1);
-        let first = standard(&mut core, 1);
-        let without = asked(2, Class::Urgent, 0);
+        let mut dispatcher = dispatcher(2, 0, 1);
+        let first = standard(&mut dispatcher, 1);
+        let without = new_offer(2, Class::Urgent, 0);
         let rules = without.rules.map(|rules| TeamRules { urgent_allowance_ppm: 0, ..rules });
-        offer(&mut core, Asked { rules, ..without });
-        let with = offer(&mut core, Asked { team: "franchise".into(), ..asked(3, Class::Urgent, 0) });
-        assert_eq!(granted_tickets(&mut core), [first, with]);
+        offer(&mut dispatcher, NewOffer { rules, ..without });
+        let with = offer(&mut dispatcher, NewOffer { team: "franchise".into(), ..new_offer(3, Class::Urgent, 0) });
+        assert_eq!(granted_ids(&mut dispatcher), [first, with]);
     }
     an_only_slot_is_not_reserved => {
-        let mut core = core(1, 0, 1);
-        let only = standard(&mut core, 1);
-        assert_eq!(granted_tickets(&mut core), [only]);
+        let mut dispatcher = dispatcher(1, 0, 1);
+        let only = standard(&mut dispatcher, 1);
+        assert_eq!(granted_ids(&mut dispatcher), [only]);
     }
     a_small_offer_does_not_pass_a_large_one_that_waits_for_kv_cache => {
-        let mut core = core(4, 100, 0);
-        let first = offer(&mut core, asked(1, Class::Standard, 60));
-        let large = offer(&mut core, asked(2, Class::Standard, 60));
-        let small = offer(&mut core, asked(3, Class::Standard, 1));
-        let granted = grants(&mut core);
+        let mut dispatcher = dispatcher(4, 100, 0);
+        let first = offer(&mut dispatcher, new_offer(1, Class::Standard, 60));
+        let large = offer(&mut dispatcher, new_offer(2, Class::Standard, 60));
+        let small = offer(&mut dispatcher, new_offer(3, Class::Standard, 1));
+        let granted = grants(&mut dispatcher);
         assert_eq!(granted.len(), 1);
         assert_eq!(granted[0].0, first);
-        core.expire_grant(granted[0].1, NOW);
-        assert_eq!(granted_tickets(&mut core), [large, small]);
+        dispatcher.expire_grant(granted[0].1, NOW);
+        assert_eq!(granted_ids(&mut dispatcher), [large, small]);
     }
     an_urgent_offer_passes_one_that_waits_for_kv_cache => {
-        let mut core = core(4, 100, 1);
-        offer(&mut core, asked(1, Class::Standard, 60));
-        offer(&mut core, asked(2, Class::Standard, 60));
-        let urgent = offer(&mut core, asked(3, Class::Urgent, 20));
-        assert!(granted_tickets(&mut core).contains(&urgent));
+        let mut dispatcher = dispatcher(4, 100, 1);
+        offer(&mut dispatcher, new_offer(1, Class::Standard, 60));
+        offer(&mut dispatcher, new_offer(2, Class::Standard, 60));
+        let urgent = offer(&mut dispatcher, new_offer(3, Class::Urgent, 20));
+        assert!(granted_ids(&mut dispatcher).contains(&urgent));
     }
     an_offer_estimated_beyond_the_endpoint_is_granted_alone => {
-        let mut core = core(4, 100, 1);
-        let huge = offer(&mut core, asked(1, Class::Standard, 1_000_000));
-        assert_eq!(granted_tickets(&mut core), [huge]);
+        let mut dispatcher = dispatcher(4, 100, 1);
+        let huge = offer(&mut dispatcher, new_offer(1, Class::Standard, 1_000_000));
+        assert_eq!(granted_ids(&mut dispatcher), [huge]);
     }
     a_question_does_not_withdraw_a_run_whose_request_is_here => {
-        let mut core = core(1, 0, 0);
-        standard(&mut core, 1);
-        let claim = grants(&mut core)[0].1;
-        core.advance(claim, RunEvent::Bound, NOW).expect("the grant is open");
-        assert_eq!(core.ask(claim, NOW), Verdict::Running { answer_bytes: 0 });
-        assert_eq!(core.load().taken_slots, 1);
-        core.advance(claim, RunEvent::HandedOver, NOW).expect("the run goes on");
+        let mut dispatcher = dispatcher(1, 0, 0);
+        standard(&mut dispatcher, 1);
+        let claim = grants(&mut dispatcher)[0].1;
+        dispatcher.advance(claim, RunEvent::Bound, NOW).expect("the grant is open");
+        assert_eq!(dispatcher.ask_verdict(claim, NOW), Verdict::Running { answer_bytes: 0 });
+        assert_eq!(dispatcher.load().taken_slots, 1);
+        dispatcher.advance(claim, RunEvent::HandedOver, NOW).expect("the run goes on");
     }
     a_withdrawn_run_is_never_handed_over => {
-        let mut core = core(1, 0, 0);
-        let ticket = standard(&mut core, 1);
-        let claim = grants(&mut core)[0].1;
-        core.withdraw(ticket, NOW);
+        let mut dispatcher = dispatcher(1, 0, 0);
+        let offer_id = standard(&mut dispatcher, 1);
+        let claim = grants(&mut dispatcher)[0].1;
+        dispatcher.withdraw(offer_id, NOW);
         let withdrawn = Verdict::NeverHandedOver { reason: Reason::Cancelled, retry_after: Duration::ZERO };
-        assert_eq!(core.advance(claim, RunEvent::Bound, NOW), Err(withdrawn));
+        assert_eq!(dispatcher.advance(claim, RunEvent::Bound, NOW), Err(withdrawn));
     }
     a_cancelled_run_is_charged_for_its_prompt_and_what_has_streamed => {
-        let mut core = core(1, 0, 0);
-        standard(&mut core, 1);
-        let claim = grants(&mut core)[0].1;
-        core.advance(claim, RunEvent::Bound, NOW).expect("the grant is open");
+        let mut dispatcher = dispatcher(1, 0, 0);
+        standard(&mut dispatcher, 1);
+        let claim = grants(&mut dispatcher)[0].1;
+        dispatcher.advance(claim, RunEvent::Bound, NOW).expect("the grant is open");
         let cost = HandOverCost { prompt_units: 30, busy_ms_units: 0 };
-        core.hand_over(claim, cost, NOW).expect("the request is here");
-        core.charge(claim, 8);
-        assert_eq!(core.cancel(claim, NOW), Verdict::Failed { reason: Reason::Cancelled });
-        let team = core.queue().team_index("school").expect("the team has offered");
-        assert_eq!(core.queue().account(team).service_units(), 38);
+        dispatcher.hand_over(claim, cost, NOW).expect("the request is here");
+        dispatcher.charge(claim, 8);
+        assert_eq!(dispatcher.cancel(claim, NOW), Verdict::Failed { reason: Reason::Cancelled });
+        let team = dispatcher.queue().team_index("school").expect("the team has offered");
+        assert_eq!(dispatcher.queue().account(team).service_units(), 38);
     }
     an_offer_that_is_withdrawn_leaves_its_place => {
-        let mut core = core(1, 0, 0);
-        standard(&mut core, 1);
-        let (gone, next) = (standard(&mut core, 2), standard(&mut core, 3));
-        core.withdraw(gone, NOW);
-        let claim = grants(&mut core)[0].1;
-        core.complete(claim, 10, NOW);
-        assert_eq!(granted_tickets(&mut core), [next]);
+        let mut dispatcher = dispatcher(1, 0, 0);
+        standard(&mut dispatcher, 1);
+        let (gone, next) = (standard(&mut dispatcher, 2), standard(&mut dispatcher, 3));
+        dispatcher.withdraw(gone, NOW);
+        let claim = grants(&mut dispatcher)[0].1;
+        dispatcher.complete(claim, 10, NOW);
+        assert_eq!(granted_ids(&mut dispatcher), [next]);
     }
     a_late_offer_is_refused_before_its_deadline_costs_a_slot => {
-        let mut core = core(1, 0, 0);
-        standard(&mut core, 1);
-        let mut late = asked(2, Class::Standard, 0);
+        let mut dispatcher = dispatcher(1, 0, 0);
+        standard(&mut dispatcher, 1);
+        let mut late = new_offer(2, Class::Standard, 0);
         late.deadline = NOW * 2;
-        let late = offer(&mut core, late);
-        drop(core.take_actions());
-        core.expire_offers(NOW * 3);
-        let refused = core.take_actions();
-        assert!(matches!(refused[..], [Action::Refuse { ticket, refusal }] if ticket == late && refusal.reason == NotRunReason::Deadline));
+        let late = offer(&mut dispatcher, late);
+        drop(dispatcher.take_actions());
+        dispatcher.expire_offers(NOW * 3);
+        let refused = dispatcher.take_actions();
+        assert!(matches!(refused[..], [Action::Refuse { offer_id, refusal }] if offer_id == late && refusal.reason == NotRunReason::Deadline));
     }
     a_team_that_the_configuration_has_lost_is_refused => {
-        let mut core = core(1, 0, 0);
-        standard(&mut core, 1);
-        let lost = Asked { rules: None, ..asked(2, Class::Standard, 0) };
-        let refusal = core.offer(NOW, lost, 1).expect_err("the team is gone");
+        let mut dispatcher = dispatcher(1, 0, 0);
+        standard(&mut dispatcher, 1);
+        let lost = NewOffer { rules: None, ..new_offer(2, Class::Standard, 0) };
+        let refusal = dispatcher.offer(NOW, lost, 1).expect_err("the team is gone");
         assert_eq!(refusal.reason, NotRunReason::NotReady);
     }
     a_planned_stop_refuses_what_waits_and_leaves_a_grant_alone => {
-        let mut core = core(1, 0, 0);
-        standard(&mut core, 1);
-        let waiting = standard(&mut core, 2);
-        let claim = grants(&mut core)[0].1;
-        core.leave();
-        assert!(matches!(core.take_actions()[..], [Action::Refuse { ticket, refusal }] if ticket == waiting && refusal.reason == NotRunReason::Leaving));
-        core.advance(claim, RunEvent::Bound, NOW).expect("the grant may still be bound");
-        let refusal = core.offer(NOW, asked(3, Class::Standard, 0), 1).expect_err("it is leaving");
+        let mut dispatcher = dispatcher(1, 0, 0);
+        standard(&mut dispatcher, 1);
+        let waiting = standard(&mut dispatcher, 2);
+        let claim = grants(&mut dispatcher)[0].1;
+        dispatcher.leave();
+        assert!(matches!(dispatcher.take_actions()[..], [Action::Refuse { offer_id, refusal }] if offer_id == waiting && refusal.reason == NotRunReason::Leaving));
+        dispatcher.advance(claim, RunEvent::Bound, NOW).expect("the grant may still be bound");
+        let refusal = dispatcher.offer(NOW, new_offer(3, Class::Standard, 0), 1).expect_err("it is leaving");
         assert_eq!(refusal.reason, NotRunReason::Leaving);
     }
     an_ejected_endpoint_refuses_what_waits_and_what_is_new => {
-        let mut core = core(1, 0, 0);
-        standard(&mut core, 1);
-        let waiting = standard(&mut core, 2);
-        drop(core.take_actions());
-        core.set_ejected(true, NOW);
-        assert!(matches!(core.take_actions()[..], [Action::Refuse { ticket, .. }] if ticket == waiting));
-        let refusal = core.offer(NOW, asked(3, Class::Standard, 0), 1).expect_err("it is ejected");
+        let mut dispatcher = dispatcher(1, 0, 0);
+        standard(&mut dispatcher, 1);
+        let waiting = standard(&mut dispatcher, 2);
+        drop(dispatcher.take_actions());
+        dispatcher.set_ejected(true, NOW);
+        assert!(matches!(dispatcher.take_actions()[..], [Action::Refuse { offer_id, .. }] if offer_id == waiting));
+        let refusal = dispatcher.offer(NOW, new_offer(3, Class::Standard, 0), 1).expect_err("it is ejected");
         assert_eq!(refusal.reason, NotRunReason::NoEndpoint);
     }
     a_model_is_charged_as_it_streams_and_corrected_by_its_usage => {
         let mut meter = Meter::start(MODEL, 400, true, NOW);
-        assert_eq!(meter.take(b"data: {\"a\":1}\n\ndata: {\"a\":2}\n\n", NOW), 8);
+        assert_eq!(meter.count(b"data: {\"a\":1}\n\ndata: {\"a\":2}\n\n", NOW), 8);
         assert_eq!(meter.total_units(NOW), 108);
         let usage = br#"data: {"usage":{"prompt_tokens":50,"completion_tokens":3,"prompt_tokens_details":{"cached_tokens":40}}}"#;
-        assert_eq!(meter.take(usage, NOW), 0);
-        meter.take(b"\n\ndata: [DONE]\n\n", NOW);
+        assert_eq!(meter.count(usage, NOW), 0);
+        meter.count(b"\n\ndata: [DONE]\n\n", NOW);
         assert_eq!(meter.total_units(NOW), 22);
         assert!(meter.is_done());
     }
     a_whole_answer_of_a_model_is_charged_by_its_usage => {
         let mut meter = Meter::start(MODEL, 400, false, NOW);
-        assert_eq!(meter.take(br#"{"choices":[],"usage":{"prompt_tokens":7,"#, NOW), 0);
-        meter.take(br#""completion_tokens":2}}"#, NOW);
+        assert_eq!(meter.count(br#"{"choices":[],"usage":{"prompt_tokens":7,"#, NOW), 0);
+        meter.count(br#""completion_tokens":2}}"#, NOW);
         assert_eq!(meter.total_units(NOW), 15);
     }
     a_plain_service_is_charged_by_its_busy_time => {
-        let mut meter = Meter::start(PoolKind::Plain { busy_ms_units: 2 }, 0, false, NOW);
-        assert_eq!(meter.take(b"x", NOW + Duration::from_millis(30)), 60);
-        assert_eq!(meter.take(b"x", NOW + Duration::from_millis(40)), 20);
+        let mut meter = Meter::start(PoolKind::Service { busy_ms_units: 2 }, 0, false, NOW);
+        assert_eq!(meter.count(b"x", NOW + Duration::from_millis(30)), 60);
+        assert_eq!(meter.count(b"x", NOW + Duration::from_millis(40)), 20);
         assert_eq!(meter.total_units(NOW + Duration::from_millis(45)), 90);
     }
 }
 
 /// Feeds the core one step that is drawn from a byte, and forgets what it granted.
-fn step(core: &mut Core, known: &mut Vec<(Ticket, ClaimId)>, number: u64, drawn: u8) {
-    let pick = |known: &Vec<(Ticket, ClaimId)>| {
+fn step(dispatcher: &mut Dispatcher, known: &mut Vec<(OfferId, ClaimId)>, number: u64, drawn: u8) {
+    let pick = |known: &Vec<(OfferId, ClaimId)>| {
         known
             .get(usize::from(drawn) / 8 % known.len().max(1))
             .copied()
     };
     let class = Class::ALL[usize::from(drawn) % 3];
     match (drawn % 8, pick(known)) {
-        (0..=2, _) => drop(core.offer(NOW, asked(number, class, u64::from(drawn)), 1)),
-        (3, Some((ticket, _))) => core.withdraw(ticket, NOW),
-        (4, Some((_, claim))) => core.expire_grant(claim, NOW),
-        (5, Some((_, claim))) => drop(core.cancel(claim, NOW)),
-        (6, Some((_, claim))) => drop(core.advance(claim, RunEvent::Bound, NOW)),
-        (7, Some((_, claim))) => drop(core.ask(claim, NOW)),
-        _ => core.withdraw(number.saturating_sub(3), NOW),
+        (0..=2, _) => drop(dispatcher.offer(NOW, new_offer(number, class, u64::from(drawn)), 1)),
+        (3, Some((offer_id, _))) => dispatcher.withdraw(offer_id, NOW),
+        (4, Some((_, claim))) => dispatcher.expire_grant(claim, NOW),
+        (5, Some((_, claim))) => drop(dispatcher.cancel(claim, NOW)),
+        (6, Some((_, claim))) => drop(dispatcher.advance(claim, RunEvent::Bound, NOW)),
+        (7, Some((_, claim))) => drop(dispatcher.ask_verdict(claim, NOW)),
+        _ => dispatcher.withdraw(number.saturating_sub(3), NOW),
     }
-    known.extend(grants(core));
+    known.extend(grants(dispatcher));
 }
 
 quickcheck! {
     // Whatever happens, slots are taken exactly by open grants, never too many, and free ones don't idle beside waiting work.
     fn slots_are_neither_lost_nor_given_twice(steps: Vec<u8>) -> bool {
-        let (mut core, mut known) = (core(3, 0, 1), Vec::new());
+        let (mut dispatcher, mut known) = (dispatcher(3, 0, 1), Vec::new());
         steps.iter().zip(1..).all(|(drawn, number)| {
-            step(&mut core, &mut known, number, *drawn);
-            let load = core.load();
+            step(&mut dispatcher, &mut known, number, *drawn);
+            let load = dispatcher.load();
             let common_waits = load.waiting[1] + load.waiting[2] > 0;
-            load.taken_slots as usize == core.open_grants() && load.taken_slots <= 3 && !(common_waits && load.taken_slots < 2)
+            load.taken_slots as usize == dispatcher.open_grants() && load.taken_slots <= 3 && !(common_waits && load.taken_slots < 2)
         })
     }
 
@@ -280,10 +287,10 @@
         let (mut rest, mut charged) = (&stream[..], 0);
         for cut in cuts {
             let (part, left) = rest.split_at(usize::from(cut).min(rest.len()));
-            charged += meter.take(part, NOW);
+            charged += meter.count(part, NOW);
             rest = left;
         }
-        charged += meter.take(rest, NOW);
+        charged += meter.count(rest, NOW);
         (charged, meter.total_units(NOW), meter.is_done()) == (4, 17, true)
     }
 
