--- a/crates/sidecar/src/answer.rs
+++ b/crates/sidecar/src/answer.rs
@@ -1,4 +1,4 @@
-//! Holds one answer between the endpoint and the entry, so that a broken exchange can be resumed.
+//! Buffers one answer between the endpoint and the entry, so that a broken exchange can be resumed.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -11,46 +11,46 @@
 use serde_bytes::ByteBuf;
 use tokio::sync::watch;
 
-/// Longest part of an answer in one frame, in bytes.
+/// Longest chunk of an answer in one frame, in bytes.
 const MAX_CHUNK_BYTES: usize = 8 * 1024;
 
-/// Numbers the exchanges that read one answer; the newest one reads.
+/// A sequence number of the exchanges that read one answer; only the newest reads.
 type Reader = u64;
 
 #[derive(Debug)]
-struct Inner {
+struct AnswerState {
     head: Option<AnswerHead>,
     buffer: ReplayBuffer,
     sent_offset: u64,
-    last: Option<FromSidecar>,
+    last_frame: Option<FromSidecar>,
     reader: Reader,
     detached_at: Option<Duration>,
-    is_taken: bool,
-    /// Whether the entry acknowledges what it has passed on; else what was sent may be dropped.
+    is_delivered: bool,
+    /// Whether the entry acknowledges the bytes that it has passed on; if not, sent bytes may be dropped.
     has_acks: bool,
 }
 
-/// Shares one answer between the run that fills it and the exchange that reads it.
+/// An answer that one run writes and one exchange at a time reads.
 #[derive(Debug)]
 pub(crate) struct Answer {
     request_id: u64,
-    inner: Mutex<Inner>,
+    state: Mutex<AnswerState>,
     changes: watch::Sender<()>,
 }
 
-/// Says how an exchange stopped reading.
+/// How an exchange stopped reading.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Pumped {
+pub(crate) enum StreamEnd {
     /// The last frame was sent.
     Whole,
-    /// The exchange is gone.
+    /// The exchange is closed.
     Gone,
-    /// A newer exchange reads.
+    /// A newer exchange reads the answer.
     Replaced,
 }
 
-/// What an exchange does next.
-enum Next {
+/// The next step of an exchange that reads the answer.
+enum NextStep {
     Send(FromSidecar),
     SendLast(FromSidecar),
     Wait,
@@ -61,22 +61,22 @@
     pub(crate) fn open(request_id: u64, replay_bytes: usize, has_acks: bool) -> Arc<Self> {
         Arc::new(Self {
             request_id,
-            inner: Mutex::new(Inner {
+            state: Mutex::new(AnswerState {
                 head: None,
                 buffer: ReplayBuffer::open(replay_bytes.max(1)),
                 sent_offset: 0,
-                last: None,
+                last_frame: None,
                 reader: 0,
                 detached_at: None,
-                is_taken: false,
+                is_delivered: false,
                 has_acks,
             }),
             changes: watch::Sender::new(()),
         })
     }
 
-    fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, AnswerState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     pub(crate) fn set_head(&self, head: AnswerHead) {
@@ -84,7 +84,7 @@
         self.changes.send_replace(());
     }
 
-    /// Adds bytes, and waits while they would push out bytes that the entry may still need.
+    /// Appends bytes, and waits while the buffer is full of bytes that the entry may still need.
     pub(crate) async fn push(&self, mut bytes: &[u8]) {
         let mut changes = self.changes.subscribe();
         loop {
@@ -104,73 +104,73 @@
     }
 
     fn push_some(&self, bytes: &[u8]) -> usize {
-        let mut inner = self.lock();
-        if inner.last.is_some() {
-            // The run was ended by someone else; its bytes have no reader.
+        let mut state = self.lock();
+        if state.last_frame.is_some() {
+            // The answer was ended from outside the run, so nobody reads further bytes.
             return bytes.len();
         }
-        if !inner.has_acks {
-            let missing = bytes.len().saturating_sub(inner.buffer.room_bytes()) as u64;
-            let start = inner.buffer.start_offset();
-            let droppable = (start + missing).min(inner.sent_offset);
-            let dropped = inner.buffer.ack(droppable);
+        if !state.has_acks {
+            let missing = bytes.len().saturating_sub(state.buffer.room_bytes()) as u64;
+            let start = state.buffer.start_offset();
+            let droppable = (start + missing).min(state.sent_offset);
+            let dropped = state.buffer.ack(droppable);
             dropped.expect("sent bytes are in the buffer or were dropped before");
         }
-        inner.buffer.push(bytes)
+        state.buffer.push(bytes)
     }
 
-    /// Takes the entry's word that it needs no byte before this offset; returns whether that can be.
+    /// Drops the bytes before an acknowledged offset; returns whether the offset is valid.
     pub(crate) fn ack(&self, offset: u64) -> bool {
         let acked = self.lock().buffer.ack(offset);
         self.changes.send_replace(());
         acked.is_ok()
     }
 
-    /// Ends the answer as whole.
+    /// Ends the answer as complete.
     pub(crate) fn end(&self, service_units: u64) {
-        let mut inner = self.lock();
-        if inner.last.is_none() {
-            let total_bytes = inner.buffer.end();
-            inner.last = Some(FromSidecar::End(AnswerEnd {
+        let mut state = self.lock();
+        if state.last_frame.is_none() {
+            let total_bytes = state.buffer.end();
+            state.last_frame = Some(FromSidecar::End(AnswerEnd {
                 request_id: self.request_id,
                 total_bytes,
                 service_units,
             }));
         }
-        drop(inner);
+        drop(state);
         self.changes.send_replace(());
     }
 
-    /// Ends the answer without its whole.
+    /// Ends the answer as failed.
     pub(crate) fn fail(&self, kind: FailureKind, reason: NotRunReason, retry_after_ms: u64) {
-        let mut inner = self.lock();
-        if inner.last.is_none() {
-            inner.last = Some(FromSidecar::Failed(Failed {
+        let mut state = self.lock();
+        if state.last_frame.is_none() {
+            state.last_frame = Some(FromSidecar::Failed(Failed {
                 request_id: self.request_id,
                 kind,
                 reason,
                 retry_after_ms,
             }));
         }
-        drop(inner);
+        drop(state);
         self.changes.send_replace(());
     }
 
-    /// Returns whether nothing will be added.
+    /// Returns whether the answer has ended, so that nothing is appended.
     pub(crate) fn is_ended(&self) -> bool {
-        self.lock().last.is_some()
+        self.lock().last_frame.is_some()
     }
 
-    /// Returns whether the entry has said that it holds the whole answer.
-    pub(crate) fn is_taken(&self) -> bool {
-        self.lock().is_taken
+    /// Returns whether the entry has the whole answer, or will not ask for the rest.
+    pub(crate) fn is_delivered(&self) -> bool {
+        self.lock().is_delivered
     }
 
-    pub(crate) fn set_taken(&self) {
-        self.lock().is_taken = true;
+    pub(crate) fn set_delivered(&self) {
+        self.lock().is_delivered = true;
     }
 
-    /// Returns since when no exchange reads.
+    /// Returns since when no exchange has read the answer; `None` while one reads or before the first.
     pub(crate) fn detached_at(&self) -> Option<Duration> {
         self.lock().detached_at
     }
@@ -179,71 +179,71 @@
         self.request_id
     }
 
-    /// Makes the caller the one that reads; an older exchange stops.
+    /// Makes the caller the only reader; an older exchange stops.
     pub(crate) fn attach(&self) -> Reader {
-        let mut inner = self.lock();
-        inner.reader += 1;
-        inner.detached_at = None;
-        let reader = inner.reader;
-        drop(inner);
+        let mut state = self.lock();
+        state.reader += 1;
+        state.detached_at = None;
+        let reader = state.reader;
+        drop(state);
         self.changes.send_replace(());
         reader
     }
 
-    /// Notes that an exchange no longer reads; a newer one is left alone.
+    /// Marks the answer as detached, unless a newer exchange reads it.
     pub(crate) fn detach(&self, reader: Reader, now: Duration) {
-        let mut inner = self.lock();
-        if inner.reader == reader {
-            inner.detached_at = Some(now);
+        let mut state = self.lock();
+        if state.reader == reader {
+            state.detached_at = Some(now);
         }
     }
 
-    /// Sends the answer from an offset on, until its end or the end of the exchange.
-    pub(crate) async fn pump(
+    /// Sends the answer from an offset until the answer, or the exchange, ends.
+    pub(crate) async fn stream(
         &self,
         reader: Reader,
         sender: &FrameSender,
         mut offset: u64,
         mut needs_head: bool,
-    ) -> Pumped {
+    ) -> StreamEnd {
         let mut changes = self.changes.subscribe();
         loop {
             changes.mark_unchanged();
             match self.next(reader, &mut offset, &mut needs_head) {
-                Next::Replaced => return Pumped::Replaced,
-                Next::Send(frame) => {
+                NextStep::Replaced => return StreamEnd::Replaced,
+                NextStep::Send(frame) => {
                     if sender.send(&frame).await.is_err() {
-                        return Pumped::Gone;
+                        return StreamEnd::Gone;
                     }
-                    self.note_sent(reader, offset);
+                    self.record_sent(reader, offset);
                 }
-                Next::SendLast(frame) => {
+                NextStep::SendLast(frame) => {
                     return match sender.send(&frame).await {
-                        Ok(()) => Pumped::Whole,
-                        Err(_closed) => Pumped::Gone,
+                        Ok(()) => StreamEnd::Whole,
+                        Err(_closed) => StreamEnd::Gone,
                     };
                 }
-                Next::Wait => {
+                NextStep::Wait => {
                     tokio::select! {
                         _ = changes.changed() => {}
-                        () = sender.closed() => return Pumped::Gone,
+                        () = sender.closed() => return StreamEnd::Gone,
                     }
                 }
             }
         }
     }
 
-    fn next(&self, reader: Reader, offset: &mut u64, needs_head: &mut bool) -> Next {
-        let inner = self.lock();
-        if inner.reader != reader {
-            return Next::Replaced;
+    fn next(&self, reader: Reader, offset: &mut u64, needs_head: &mut bool) -> NextStep {
+        let state = self.lock();
+        if state.reader != reader {
+            return NextStep::Replaced;
         }
-        if let (true, Some(head)) = (*needs_head, &inner.head) {
+        if let (true, Some(head)) = (*needs_head, &state.head) {
             *needs_head = false;
-            return Next::Send(FromSidecar::Head(head.clone()));
+            return NextStep::Send(FromSidecar::Head(head.clone()));
         }
-        let Ok((first, second)) = inner.buffer.read_from(*offset, MAX_CHUNK_BYTES) else {
-            return Next::SendLast(self.unresumable());
+        let Ok((first, second)) = state.buffer.read_from(*offset, MAX_CHUNK_BYTES) else {
+            return NextStep::SendLast(self.unresumable_frame());
         };
         if !first.is_empty() || !second.is_empty() {
             let chunk = AnswerChunk {
@@ -252,25 +252,25 @@
                 data: ByteBuf::from([first, second].concat()),
             };
             *offset += chunk.data.len() as u64;
-            return Next::Send(FromSidecar::Chunk(chunk));
+            return NextStep::Send(FromSidecar::Chunk(chunk));
         }
-        match &inner.last {
-            Some(last) => Next::SendLast(last.clone()),
-            None => Next::Wait,
+        match &state.last_frame {
+            Some(last_frame) => NextStep::SendLast(last_frame.clone()),
+            None => NextStep::Wait,
         }
     }
 
-    fn note_sent(&self, reader: Reader, offset: u64) {
-        let mut inner = self.lock();
-        if inner.reader == reader {
-            inner.sent_offset = offset;
+    fn record_sent(&self, reader: Reader, offset: u64) {
+        let mut state = self.lock();
+        if state.reader == reader {
+            state.sent_offset = offset;
         }
-        drop(inner);
+        drop(state);
         self.changes.send_replace(());
     }
 
-    /// Says that the asked bytes are gone; the request ran, so no more than "unknown" may be said.
-    fn unresumable(&self) -> FromSidecar {
+    /// Returns the failure for bytes that are no longer kept; the request ran, so its outcome is "unknown".
+    fn unresumable_frame(&self) -> FromSidecar {
         FromSidecar::Failed(Failed {
             request_id: self.request_id,
             kind: FailureKind::Unknown,
--- a/crates/sidecar/src/claims.rs
+++ b/crates/sidecar/src/claims.rs
@@ -11,19 +11,19 @@
 use tokio::sync::{Notify, oneshot};
 use tokio_util::sync::{CancellationToken, DropGuard};
 
-/// Path of a batch at control.
+/// Path of claim batches at control.
 const CLAIMS_PATH: &str = "/v1/claims";
 
-/// Most claims and ends in one batch; a batch is one entry of the replicated log.
+/// Most claims, and most finished runs, in one batch; a batch is one entry of the replicated log.
 const MAX_BATCH: usize = 256;
 
-/// Time between two tries to report ends of runs.
+/// Delay before finished runs are reported again after a failure.
 const FINISH_RETRY: Duration = Duration::from_secs(1);
 
-/// Most ends that wait for control; beyond it the oldest are dropped, and their keys stay taken until they run out.
+/// Most finished runs queued for control; beyond it the oldest are dropped, and their keys stay taken until they expire.
 const MAX_FINISHED: usize = 65_536;
 
-/// Says that no control instance answered a claim; the request must not run.
+/// The error when no control instance answered a claim; the request must not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Unreachable;
 
@@ -35,7 +35,7 @@
 
 impl std::error::Error for Unreachable {}
 
-/// Claims keys; control is behind it, or a fake.
+/// A store of idempotency keys: control, or a fake in tests.
 pub trait Claims: Debug + Send + Sync + 'static {
     /// Claims a key for one run.
     ///
@@ -44,39 +44,39 @@
     /// Returns [`Unreachable`] when it is not known whether the claim was granted.
     fn claim(&self, claim: ClaimKey) -> BoxFuture<'_, Result<ClaimReply, Unreachable>>;
 
-    /// Reports what became of a claimed run; the future ends once control has it.
+    /// Reports the outcome of a run with a claimed key; the future ends once control has the report.
     ///
-    /// The report goes on when the future is dropped.
+    /// The report is still sent when the future is dropped.
     fn finish(&self, finished: FinishKey) -> BoxFuture<'_, ()>;
 }
 
-/// One claim that waits for its batch.
+/// A claim that waits for its batch.
 #[derive(Debug)]
-struct Asked {
+struct PendingClaim {
     claim: ClaimKey,
     reply: oneshot::Sender<ClaimReply>,
 }
 
-/// One end of a run that waits for its batch.
+/// A finished run that waits for its batch.
 #[derive(Debug)]
-struct Ended {
+struct PendingFinish {
     finished: FinishKey,
     reported: oneshot::Sender<()>,
 }
 
 #[derive(Debug, Default)]
-struct Waiting {
-    claims: VecDeque<Asked>,
-    ended: VecDeque<Ended>,
+struct Queues {
+    claims: VecDeque<PendingClaim>,
+    ended: VecDeque<PendingFinish>,
 }
 
 #[derive(Debug)]
 struct Outbox {
-    waiting: Mutex<Waiting>,
+    queues: Mutex<Queues>,
     wake: Notify,
 }
 
-/// Claims keys at control in batches: claims that come while a batch is under way go together in the next one.
+/// A client that claims keys at control; claims that arrive while a batch is in flight form the next batch.
 #[derive(Debug)]
 pub struct HttpClaims {
     outbox: Arc<Outbox>,
@@ -85,22 +85,22 @@
 }
 
 impl HttpClaims {
-    /// Starts the task that sends batches; it ends when this is dropped.
+    /// Starts the task that sends batches; the task ends when the client is dropped.
     #[must_use]
     pub fn spawn(client: Client, control: Vec<Box<str>>, timeout: Duration) -> Self {
         let outbox = Arc::new(Outbox {
-            waiting: Mutex::default(),
+            queues: Mutex::default(),
             wake: Notify::new(),
         });
         let stop = CancellationToken::new();
-        let sending = Sending {
+        let sender = BatchSender {
             outbox: Arc::clone(&outbox),
             client,
             control,
             preferred: 0,
             timeout,
         };
-        tokio::spawn(stop.clone().run_until_cancelled_owned(sending.run()));
+        tokio::spawn(stop.clone().run_until_cancelled_owned(sender.run()));
         Self {
             outbox,
             timeout,
@@ -112,8 +112,8 @@
 impl Claims for HttpClaims {
     fn claim(&self, claim: ClaimKey) -> BoxFuture<'_, Result<ClaimReply, Unreachable>> {
         let (reply, answered) = oneshot::channel();
-        self.outbox.change(|waiting| {
-            waiting.claims.push_back(Asked { claim, reply });
+        self.outbox.update(|queues| {
+            queues.claims.push_back(PendingClaim { claim, reply });
         });
         Box::pin(async move {
             match tokio::time::timeout(self.timeout, answered).await {
@@ -126,47 +126,47 @@
 
     fn finish(&self, finished: FinishKey) -> BoxFuture<'_, ()> {
         let (reported, has_reported) = oneshot::channel();
-        self.outbox.change(|waiting| {
-            waiting.ended.push_back(Ended { finished, reported });
-            if waiting.ended.len() > MAX_FINISHED {
-                waiting.ended.pop_front();
+        self.outbox.update(|queues| {
+            queues.ended.push_back(PendingFinish { finished, reported });
+            if queues.ended.len() > MAX_FINISHED {
+                queues.ended.pop_front();
             }
         });
         Box::pin(async move {
-            // A report that was dropped for want of room will not come any more.
+            // A report that was dropped from a full queue is never sent.
             let _reported_or_dropped = has_reported.await;
         })
     }
 }
 
 impl Outbox {
-    fn change(&self, apply: impl FnOnce(&mut Waiting)) {
-        apply(&mut self.waiting.lock().unwrap_or_else(PoisonError::into_inner));
+    fn update(&self, apply: impl FnOnce(&mut Queues)) {
+        apply(&mut self.queues.lock().unwrap_or_else(PoisonError::into_inner));
         self.wake.notify_one();
     }
 
-    /// Takes the next batch; claims whose asker has gone are dropped unsent.
-    fn take(&self) -> (Vec<Asked>, Vec<Ended>) {
-        let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
-        waiting.claims.retain(|asked| !asked.reply.is_closed());
-        let claims = waiting.claims.len().min(MAX_BATCH);
-        let ended = waiting.ended.len().min(MAX_BATCH);
+    /// Removes the next batch from the queues; claims whose caller no longer waits are dropped unsent.
+    fn next_batch(&self) -> (Vec<PendingClaim>, Vec<PendingFinish>) {
+        let mut queues = self.queues.lock().unwrap_or_else(PoisonError::into_inner);
+        queues.claims.retain(|pending| !pending.reply.is_closed());
+        let claims = queues.claims.len().min(MAX_BATCH);
+        let ended = queues.ended.len().min(MAX_BATCH);
         (
-            waiting.claims.drain(..claims).collect(),
-            waiting.ended.drain(..ended).collect(),
+            queues.claims.drain(..claims).collect(),
+            queues.ended.drain(..ended).collect(),
         )
     }
 
-    fn put_back(&self, ended: Vec<Ended>) {
-        let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
+    fn requeue(&self, ended: Vec<PendingFinish>) {
+        let mut queues = self.queues.lock().unwrap_or_else(PoisonError::into_inner);
         for end in ended.into_iter().rev() {
-            waiting.ended.push_front(end);
+            queues.ended.push_front(end);
         }
     }
 }
 
-/// Sends one batch after the other.
-struct Sending {
+/// The task that sends batches one at a time.
+struct BatchSender {
     outbox: Arc<Outbox>,
     client: Client,
     control: Vec<Box<str>>,
@@ -174,31 +174,35 @@
     timeout: Duration,
 }
 
-impl Sending {
+impl BatchSender {
     async fn run(mut self) {
         loop {
-            let (asked, ended) = self.outbox.take();
-            if asked.is_empty() && ended.is_empty() {
+            let (pending, ended) = self.outbox.next_batch();
+            if pending.is_empty() && ended.is_empty() {
                 self.outbox.wake.notified().await;
                 continue;
             }
             let batch = ClaimBatch {
-                claims: asked.iter().map(|asked| asked.claim.clone()).collect(),
+                claims: pending
+                    .iter()
+                    .map(|pending| pending.claim.clone())
+                    .collect(),
                 finished: ended.iter().map(|end| end.finished.clone()).collect(),
             };
             if let Some(reply) = self.send(&batch).await {
-                deliver(asked, reply, ended);
+                deliver(pending, reply, ended);
             } else {
-                // Ends are safe to send twice: control keeps the first. Claims are not sent again, as their askers give up.
-                drop(asked);
-                self.outbox.put_back(ended);
+                // Reports of finished runs may be sent twice, as control keeps the first. Claims are not sent again, as their
+                // callers give up.
+                drop(pending);
+                self.outbox.requeue(ended);
                 let wake = self.outbox.wake.notified();
                 let _woken_or_elapsed = tokio::time::timeout(FINISH_RETRY, wake).await;
             }
         }
     }
 
-    /// Sends a batch to the instance that answered last, then to the others.
+    /// Sends a batch to the instance that answered last, then to each of the others.
     async fn send(&mut self, batch: &ClaimBatch) -> Option<ClaimBatchReply> {
         for _ in 0..self.control.len() {
             let address = &self.control[self.preferred];
@@ -212,10 +216,10 @@
     }
 }
 
-fn deliver(asked: Vec<Asked>, reply: ClaimBatchReply, ended: Vec<Ended>) {
-    for (asked, reply) in asked.into_iter().zip(reply.replies) {
-        // An asker that has gone frees its key itself.
-        let _delivered_or_gone = asked.reply.send(reply);
+fn deliver(pending: Vec<PendingClaim>, reply: ClaimBatchReply, ended: Vec<PendingFinish>) {
+    for (pending, reply) in pending.into_iter().zip(reply.replies) {
+        // A caller that no longer waits frees its key itself.
+        let _delivered_or_gone = pending.reply.send(reply);
     }
     for end in ended {
         let _told_or_gone = end.reported.send(());
--- a/crates/sidecar/src/dispatch.rs
+++ b/crates/sidecar/src/dispatch.rs
@@ -1,6 +1,6 @@
-//! Decides who gets a slot, and follows every run from its offer to its end.
+//! Decides which offer gets a slot, and tracks every run from its offer to its end.
 //!
-//! The core does no I/O and reads no clock. Its callers tell it what happened, then take the actions that follow.
+//! The dispatcher does no I/O and reads no clock. Its callers report events, then take the actions that follow and run them.
 
 mod offers;
 mod tracked;
@@ -21,23 +21,23 @@
 pub use self::waiting::WaitingChange;
 
 pub(crate) use self::offers::RETRY_ELSEWHERE_DELAY;
-use self::tracked::{Spending, Tracked};
-use self::waiting::Waiting;
+use self::tracked::{EndpointUse, TrackedOffer};
+use self::waiting::WaitingCounts;
 
 use crate::rules::with_common_slot;
 
-/// Holds the queue, the slots and the runs of one endpoint.
+/// The queue, the slots and the runs of one endpoint.
 #[derive(Debug)]
 pub struct Dispatcher {
     slots: Slots,
     queue: Queue<()>,
     runs: RunTable,
-    tracked: HashMap<OfferId, Tracked>,
+    tracked: HashMap<OfferId, TrackedOffer>,
     by_request: HashMap<RequestKey, OfferId>,
     by_claim: HashMap<ClaimId, OfferId>,
-    /// Picked offers whose KV cache use does not fit yet, the first to be granted first.
+    /// Offers that the queue has picked but whose KV cache use does not fit yet, in the order of picking.
     parked: Vec<OfferId>,
-    waiting: Waiting,
+    waiting: WaitingCounts,
     next_offer_id: OfferId,
     is_leaving: bool,
     is_ejected: bool,
@@ -45,7 +45,7 @@
 }
 
 impl Dispatcher {
-    /// Returns an empty core.
+    /// Returns a dispatcher without offers or runs.
     #[must_use]
     pub fn new(rules: SlotRules, limits: Limits) -> Self {
         Self {
@@ -56,7 +56,7 @@
             by_request: HashMap::new(),
             by_claim: HashMap::new(),
             parked: Vec::new(),
-            waiting: Waiting::default(),
+            waiting: WaitingCounts::default(),
             next_offer_id: 1,
             is_leaving: false,
             is_ejected: false,
@@ -64,19 +64,19 @@
         }
     }
 
-    /// Takes the actions that followed from what was told since the last call.
+    /// Takes the actions that have become due since the last call.
     #[must_use]
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Takes the changes of the teams' waiting offers since the last call.
+    /// Takes the changes in the teams' numbers of waiting offers since the last call.
     #[must_use]
     pub fn take_waiting_changes(&mut self) -> Vec<WaitingChange> {
         self.waiting.take_changes()
     }
 
-    /// Returns what the core holds now.
+    /// Returns the taken slots and the waiting offers.
     #[must_use]
     pub fn load(&self) -> Load {
         Load {
@@ -108,18 +108,18 @@
         &mut self.queue
     }
 
-    /// Takes an offer; it waits from now on, and may be granted at once.
+    /// Queues an offer, and grants it at once if a slot is free and it is next.
     ///
     /// # Errors
     ///
-    /// Returns a [`Refusal`] when the offer does not wait here.
+    /// Returns a [`Refusal`] when the offer is not queued.
     pub fn offer(
         &mut self,
         now: Duration,
         new_offer: NewOffer,
         own_version: u64,
     ) -> Result<OfferId, Refusal> {
-        self.may_take(&new_offer, own_version)?;
+        self.check_offer(&new_offer, own_version)?;
         if let Some(rules) = new_offer.rules {
             let queue = &mut self.queue;
             let index = queue.set_team(&new_offer.team, rules.share, rules.max_waiting);
@@ -142,13 +142,13 @@
         if let Some(shed) = shed {
             self.refuse(shed.offer_id, Refusal::from_queue(&shed.refusal));
         }
-        self.fill(now);
+        self.grant_free_slots(now);
         Ok(id)
     }
 
-    /// Takes back an offer that waits, or its grant, because its entry has gone or does not want it.
+    /// Withdraws a waiting offer or its grant, because its entry has disconnected or no longer wants it.
     ///
-    /// A run whose whole request is here goes on; [`Core::cancel`] ends it.
+    /// A run whose whole request has arrived goes on; [`Dispatcher::cancel`] ends it.
     pub fn withdraw(&mut self, offer_id: OfferId, now: Duration) {
         let Some(tracked) = self.tracked.get(&offer_id) else {
             return;
@@ -157,20 +157,20 @@
             None => self.drop_waiting(offer_id),
             Some(claim) => self.give_up_unbound(claim, Reason::Cancelled, now),
         }
-        self.fill(now);
+        self.grant_free_slots(now);
     }
 
-    /// Ends a grant whose lease, or whose time for the body, is over.
+    /// Ends a grant whose lease or body timeout has expired.
     pub fn expire_grant(&mut self, claim: ClaimId, now: Duration) {
         self.give_up_unbound(claim, Reason::GrantExpired, now);
-        self.fill(now);
+        self.grant_free_slots(now);
     }
 
-    /// Tells that a run has moved on.
+    /// Applies an event to a run, and returns the run's new state.
     ///
     /// # Errors
     ///
-    /// Returns the verdict when the run has ended already, or does not allow the step; nothing may then be done for it.
+    /// Returns the verdict when the run has ended already, or does not allow the event; its work must then stop.
     pub fn advance(
         &mut self,
         claim: ClaimId,
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Tells that the first byte for the endpoint is about to be written, and what the request costs from here on.
+    /// Marks a run as handed over, just before its first byte is written to the endpoint, and sets its cost from then on.
     ///
     /// # Errors
     ///
@@ -200,12 +200,12 @@
         let state = self.advance(claim, RunEvent::HandedOver, now)?;
         let offer_id = self.by_claim.get(&claim).copied();
         if let Some(tracked) = offer_id.and_then(|offer_id| self.tracked.get_mut(&offer_id)) {
-            tracked.spending = Some(Spending { since: now, cost });
+            tracked.endpoint_use = Some(EndpointUse { since: now, cost });
         }
         Ok(state)
     }
 
-    /// Gives a run up, frees its slot, and returns what became of it.
+    /// Ends a run without a whole answer, frees its slot, and returns its verdict.
     pub fn give_up(
         &mut self,
         claim: ClaimId,
@@ -223,32 +223,32 @@
             Ok(_) => Verdict::Unknown,
         };
         self.release(claim, units, now);
-        self.fill(now);
+        self.grant_free_slots(now);
         verdict
     }
 
-    /// Ends a run with a whole answer, frees its slot, and charges what it cost.
+    /// Ends a run with a whole answer, frees its slot, and charges its cost.
     pub fn complete(&mut self, claim: ClaimId, units: u64, now: Duration) -> Verdict {
         let verdict = match self.advance(claim, RunEvent::Ended, now) {
             Ok(RunState::Ended(verdict)) | Err(verdict) => verdict,
             Ok(_) => Verdict::Unknown,
         };
         self.release(claim, units, now);
-        self.fill(now);
+        self.grant_free_slots(now);
         verdict
     }
 
-    /// Cancels a run at its caller's wish and frees its slot at once.
+    /// Cancels a run at its caller's request and frees its slot at once.
     ///
-    /// The team is charged for what the endpoint has done, or a caller that leaves before the first token would have its
-    /// prompts for nothing. An endpoint that fails is another matter: then only what has streamed is charged.
+    /// The team is charged for the work that the endpoint has done; otherwise a caller that disconnects before the first token
+    /// would get its prompts processed for free. When the endpoint fails, only what has streamed is charged.
     pub fn cancel(&mut self, claim: ClaimId, now: Duration) -> Verdict {
         let Some(offer_id) = self.by_claim.get(&claim).copied() else {
             return self.runs.ask(claim, now);
         };
         let tracked = self.tracked.get(&offer_id);
-        let spent = tracked.map_or(0, |tracked| tracked.spent(now));
-        let verdict = self.give_up(claim, Reason::Cancelled, spent, Duration::ZERO, now);
+        let cost_so_far = tracked.map_or(0, |tracked| tracked.cost_so_far(now));
+        let verdict = self.give_up(claim, Reason::Cancelled, cost_so_far, Duration::ZERO, now);
         self.actions.push(Action::Stop {
             offer_id,
             claim,
@@ -257,7 +257,7 @@
         verdict
     }
 
-    /// Answers what became of a run; a grant without its whole request is withdrawn by the question.
+    /// Returns the verdict of a run; asking withdraws a grant whose whole request has not arrived.
     pub fn ask_verdict(&mut self, claim: ClaimId, now: Duration) -> Verdict {
         let verdict = self.runs.ask(claim, now);
         if !matches!(verdict, Verdict::NeverHandedOver { .. }) {
@@ -269,12 +269,12 @@
                 claim,
                 verdict,
             });
-            self.fill(now);
+            self.grant_free_slots(now);
         }
         verdict
     }
 
-    /// Charges units as they are served.
+    /// Charges service units to the team while an answer streams.
     pub fn charge(&mut self, claim: ClaimId, units: u64) {
         let Some(offer_id) = self.by_claim.get(&claim) else {
             return;
@@ -285,42 +285,42 @@
         }
     }
 
-    /// Refuses everything that waits, and all offers from now on.
+    /// Refuses all waiting offers, and every offer from now on.
     pub fn leave(&mut self) {
         self.is_leaving = true;
         self.refuse_all(Refusal::retry_elsewhere(NotRunReason::Leaving));
     }
 
-    /// Takes over what the endpoint has room for; what runs goes on.
+    /// Sets the endpoint's capacity; runs that have started go on.
     pub fn set_slot_rules(&mut self, rules: SlotRules, now: Duration) {
         self.slots.set_rules(with_common_slot(rules));
-        self.fill(now);
+        self.grant_free_slots(now);
     }
 
-    /// Takes a load report of the engine.
+    /// Applies a load report of the engine.
     pub fn apply_load_report(&mut self, report: EngineReport, now: Duration) {
         self.slots.apply_report(report, now);
-        self.fill(now);
+        self.grant_free_slots(now);
     }
 
-    /// Notes whether the endpoint is ejected; while it is, offers are refused.
+    /// Sets whether the endpoint is ejected; while it is, offers are refused.
     pub fn set_ejected(&mut self, is_ejected: bool, now: Duration) {
         self.is_ejected = is_ejected;
         if is_ejected {
             self.refuse_all(Refusal::retry_elsewhere(NotRunReason::NoEndpoint));
         } else {
-            self.fill(now);
+            self.grant_free_slots(now);
         }
     }
 
-    /// Refuses offers whose deadline can't be met.
+    /// Refuses waiting offers whose deadline can't be met.
     pub fn expire_offers(&mut self, now: Duration) {
         for expired in self.queue.expire(now) {
             self.refuse(expired.offer_id, Refusal::from_queue(&expired.refusal));
         }
     }
 
-    fn may_take(&self, new_offer: &NewOffer, own_version: u64) -> Result<(), Refusal> {
+    fn check_offer(&self, new_offer: &NewOffer, own_version: u64) -> Result<(), Refusal> {
         if self.is_leaving {
             return Err(Refusal::retry_elsewhere(NotRunReason::Leaving));
         }
@@ -342,44 +342,44 @@
     fn track(&mut self, offer_id: OfferId, new_offer: NewOffer) {
         self.waiting.add(new_offer.class, &new_offer.team);
         self.by_request.insert(new_offer.request.clone(), offer_id);
-        let tracked = Tracked {
+        let tracked = TrackedOffer {
             request: new_offer.request,
             team: new_offer.team,
             class: new_offer.class,
-            kv_tokens: self.fitting_kv_tokens(new_offer.kv_tokens, new_offer.class),
+            kv_tokens: self.capped_kv_tokens(new_offer.kv_tokens, new_offer.class),
             needs_key: new_offer.needs_key,
             claim: None,
-            spending: None,
+            endpoint_use: None,
             charged_units: 0,
         };
         self.tracked.insert(offer_id, tracked);
     }
 
-    /// Grants slots while there are both free slots and offers.
-    fn fill(&mut self, now: Duration) {
-        while self.fill_one(now) {}
+    /// Grants slots while there are free slots and offers for them.
+    fn grant_free_slots(&mut self, now: Duration) {
+        while self.grant_next(now) {}
     }
 
-    /// Grants one slot; returns whether another may be granted.
-    fn fill_one(&mut self, now: Duration) -> bool {
+    /// Grants or parks one offer; returns whether there may be another.
+    fn grant_next(&mut self, now: Duration) -> bool {
         let fitting = |offer_id: &OfferId| self.fits(*offer_id, now);
         if let Some(offer_id) = self.parked.iter().copied().find(fitting) {
             self.grant(offer_id, now);
             return true;
         }
-        let room = self.room(now);
-        let Some(Picked { offer_id, .. }) = self.queue.pick(now, room) else {
+        let pickable_slots = self.pickable_slots(now);
+        let Some(Picked { offer_id, .. }) = self.queue.pick(now, pickable_slots) else {
             return false;
         };
-        // The queue does not know of the KV cache. An offer that does not fit keeps its turn, or small requests would
-        // pass it for ever.
+        // The queue does not know about the KV cache. An offer that does not fit keeps its turn, or smaller requests would
+        // overtake it forever.
         self.parked.push(offer_id);
         true
     }
 
-    /// Returns what the queue may pick from; while an offer waits for KV cache, only urgent ones may pass it.
-    fn room(&self, now: Duration) -> FreeSlots {
-        let is_urgent = |offer_id: &OfferId| self.need(*offer_id).is_urgent;
+    /// Returns the slots that the queue may fill; while an offer waits for KV cache, only urgent ones may overtake it.
+    fn pickable_slots(&self, now: Duration) -> FreeSlots {
+        let is_urgent = |offer_id: &OfferId| self.demand(*offer_id).is_urgent;
         let has_common = self.parked.is_empty() && self.slots.free_slots(now) > 0;
         let smallest = Demand {
             kv_tokens: 0,
@@ -393,7 +393,7 @@
         }
     }
 
-    fn need(&self, offer_id: OfferId) -> Demand {
+    fn demand(&self, offer_id: OfferId) -> Demand {
         let tracked = self.tracked.get(&offer_id);
         let tracked = tracked.expect("an offer is tracked until it ends");
         Demand {
@@ -403,14 +403,14 @@
     }
 
     fn fits(&self, offer_id: OfferId, now: Duration) -> bool {
-        self.slots.availability(self.need(offer_id), now) == Availability::Now
+        self.slots.availability(self.demand(offer_id), now) == Availability::Now
     }
 
-    /// Returns the KV tokens that are counted for an offer.
+    /// Returns the KV tokens that an offer is counted with: its estimate, at most what the endpoint has for its class.
     ///
-    /// The estimate is rough, and the engine has the last word; an offer that is estimated larger than the endpoint waits until
-    /// the endpoint is empty, where otherwise it would wait for ever.
-    fn fitting_kv_tokens(&self, kv_tokens: u64, class: Class) -> u64 {
+    /// The estimate is rough and the engine decides in the end. An offer whose estimate exceeds the endpoint's KV cache is
+    /// granted once the endpoint is empty; without the cap it would wait forever.
+    fn capped_kv_tokens(&self, kv_tokens: u64, class: Class) -> u64 {
         let rules = self.slots.rules();
         if rules.kv_tokens == 0 {
             return kv_tokens;
@@ -424,15 +424,15 @@
 
     fn grant(&mut self, offer_id: OfferId, now: Duration) {
         self.parked.retain(|parked| *parked != offer_id);
-        let need = self.need(offer_id);
+        let demand = self.demand(offer_id);
         let tracked = self.tracked.get_mut(&offer_id);
         let tracked = tracked.expect("a picked offer is tracked until it ends");
         let claim = self.runs.grant(tracked.needs_key);
         tracked.claim = Some(claim);
         self.waiting.remove(tracked.class, &tracked.team);
         self.by_claim.insert(claim, offer_id);
-        let has_room = self.slots.acquire(claim, need, now);
-        assert!(has_room, "room was checked before the grant");
+        let has_room = self.slots.acquire(claim, demand, now);
+        assert!(has_room, "the slot was checked before the grant");
         self.actions.push(Action::Grant { offer_id, claim });
     }
 
@@ -483,7 +483,7 @@
         });
     }
 
-    /// Gives the slot of a grant back, once.
+    /// Frees the slot of a grant; does nothing when it is free already.
     fn release(&mut self, claim: ClaimId, units: u64, now: Duration) -> Option<OfferId> {
         let offer_id = self.by_claim.remove(&claim)?;
         let tracked = self.tracked.remove(&offer_id)?;
--- a/crates/sidecar/src/dispatch/offers.rs
+++ b/crates/sidecar/src/dispatch/offers.rs
@@ -1,4 +1,4 @@
-//! Defines what the core is told, and what it tells.
+//! The dispatcher's inputs and outputs: offers, refusals, actions and load.
 
 use std::time::Duration;
 
@@ -8,13 +8,13 @@
 
 use crate::reasons::queue_reason;
 
-/// Retry delay when this sidecar will not do better soon, and another one may at once.
+/// Retry delay when this sidecar can't take the offer soon, but another one may at once.
 pub(crate) const RETRY_ELSEWHERE_DELAY: Duration = Duration::from_millis(50);
 
-/// Numbers an offer at this sidecar.
+/// An offer's number at this sidecar.
 pub type OfferId = u64;
 
-/// Names a request across the fleet.
+/// The identity of a request across the fleet.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct RequestKey {
     /// Name of the entry.
@@ -25,10 +25,10 @@
     pub request_id: u64,
 }
 
-/// What the core must know of an offer.
+/// An offer as the dispatcher needs it.
 #[derive(Debug, Clone)]
 pub struct NewOffer {
-    /// Name of the request.
+    /// Identity of the request.
     pub request: RequestKey,
     /// Team that is charged.
     pub team: Box<str>,
@@ -48,17 +48,17 @@
     pub config_version: u64,
 }
 
-/// Says that an offer does not wait here: the request did not run.
+/// The refusal of an offer; its request did not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason of the refusal.
     pub reason: NotRunReason,
-    /// When to offer again.
+    /// Delay before the next offer.
     pub retry_after: Duration,
 }
 
 impl Refusal {
-    /// Returns a refusal that speaks of this place; another sidecar may take the offer at once.
+    /// Returns a refusal for a reason that concerns this sidecar only; another one may take the offer at once.
     #[must_use]
     pub fn retry_elsewhere(reason: NotRunReason) -> Self {
         Self {
@@ -75,7 +75,7 @@
     }
 }
 
-/// Says what a request costs from its hand-over on.
+/// The cost of a request from its hand-over on.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct HandOverCost {
     /// Estimate for the prompt, in service units.
@@ -84,35 +84,35 @@
     pub busy_ms_units: u64,
 }
 
-/// Says what the I/O around the core must do.
+/// What the code around the dispatcher must do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
     /// Grants a slot.
     Grant {
         /// Offer that waited.
         offer_id: OfferId,
-        /// Number of the grant.
+        /// Claim of the grant.
         claim: ClaimId,
     },
     /// Refuses an offer that waited.
     Refuse {
         /// Offer that waited.
         offer_id: OfferId,
-        /// Why, and when to come back.
+        /// Reason, and delay before the next offer.
         refusal: Refusal,
     },
     /// Stops whatever is done for a grant; its run has ended with this verdict.
     Stop {
         /// Offer of the grant.
         offer_id: OfferId,
-        /// Number of the grant.
+        /// Claim of the grant.
         claim: ClaimId,
-        /// What became of the run.
+        /// Verdict on the run.
         verdict: Verdict,
     },
 }
 
-/// Holds what the configuration says about a team.
+/// The configuration of a team.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TeamRules {
     /// Share of the pool.
@@ -123,7 +123,7 @@
     pub urgent_allowance_ppm: u32,
 }
 
-/// Counts what the core holds now.
+/// The numbers of taken slots and waiting offers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Load {
     /// Slots that are taken.
--- a/crates/sidecar/src/dispatch/tracked.rs
+++ b/crates/sidecar/src/dispatch/tracked.rs
@@ -1,4 +1,4 @@
-//! Follows one offer from its arrival to its end.
+//! The state of one offer from its arrival to its end.
 
 use std::time::Duration;
 
@@ -7,25 +7,25 @@
 
 use super::offers::{HandOverCost, RequestKey};
 
-/// Says how an offer's life stands here.
+/// An offer that waits, holds a grant, or runs.
 #[derive(Debug)]
-pub(super) struct Tracked {
+pub(super) struct TrackedOffer {
     pub(super) request: RequestKey,
     pub(super) team: Box<str>,
     pub(super) class: Class,
     pub(super) kv_tokens: u64,
     pub(super) needs_key: bool,
     pub(super) claim: Option<ClaimId>,
-    pub(super) spending: Option<Spending>,
+    pub(super) endpoint_use: Option<EndpointUse>,
     pub(super) charged_units: u64,
 }
 
-impl Tracked {
-    /// Returns what the request has cost so far, after its hand-over.
-    pub(super) fn spent(&self, now: Duration) -> u64 {
+impl TrackedOffer {
+    /// Returns the cost of the request since its hand-over; 0 before it.
+    pub(super) fn cost_so_far(&self, now: Duration) -> u64 {
         let Some((since, cost)) = self
-            .spending
-            .map(|spending| (spending.since, spending.cost))
+            .endpoint_use
+            .map(|endpoint_use| (endpoint_use.since, endpoint_use.cost))
         else {
             return 0;
         };
@@ -36,9 +36,9 @@
     }
 }
 
-/// Says since when and at what cost a request uses the endpoint.
+/// The time of a request's hand-over, and its cost from then on.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Spending {
+pub(super) struct EndpointUse {
     pub(super) since: Duration,
     pub(super) cost: HandOverCost,
 }
--- a/crates/sidecar/src/dispatch/waiting.rs
+++ b/crates/sidecar/src/dispatch/waiting.rs
@@ -1,24 +1,24 @@
-//! Counts the offers that wait.
+//! Counts the waiting offers by class, and records the changes by team.
 
 use hinge_fair::Class;
 
-/// Says that a team has more or fewer waiting offers than before.
+/// A change in the number of a team's waiting offers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WaitingChange {
     /// Team.
     pub team: Box<str>,
-    /// Difference.
+    /// Number of offers added; negative when they were removed.
     pub delta: i64,
 }
 
-/// Holds the counts.
+/// The numbers of waiting offers by class, and the changes by team that nobody has taken yet.
 #[derive(Debug, Default)]
-pub(super) struct Waiting {
+pub(super) struct WaitingCounts {
     by_class: [usize; 3],
     changes: Vec<WaitingChange>,
 }
 
-impl Waiting {
+impl WaitingCounts {
     /// Returns the counts by class: urgent, standard, batch.
     pub(super) fn by_class(&self) -> [usize; 3] {
         self.by_class
@@ -29,22 +29,22 @@
     }
 
     pub(super) fn add(&mut self, class: Class, team: &str) {
-        self.by_class[rank(class)] += 1;
-        self.note(team, 1);
+        self.by_class[class_index(class)] += 1;
+        self.record_change(team, 1);
     }
 
     pub(super) fn remove(&mut self, class: Class, team: &str) {
-        self.by_class[rank(class)] -= 1;
-        self.note(team, -1);
+        self.by_class[class_index(class)] -= 1;
+        self.record_change(team, -1);
     }
 
-    fn note(&mut self, team: &str, delta: i64) {
+    fn record_change(&mut self, team: &str, delta: i64) {
         let team = team.into();
         self.changes.push(WaitingChange { team, delta });
     }
 }
 
-fn rank(class: Class) -> usize {
+fn class_index(class: Class) -> usize {
     match class {
         Class::Urgent => 0,
         Class::Standard => 1,
--- a/crates/sidecar/src/endpoint.rs
+++ b/crates/sidecar/src/endpoint.rs
@@ -1,7 +1,7 @@
 //! Talks HTTP/1.1 to the endpoint.
 //!
-//! Every request has a connection of its own. A kept connection may be closed by the endpoint while a request is being
-//! written, and then nobody can tell whether it ran; a connection that was just made and refused proves that it did not.
+//! Every request has a connection of its own. The endpoint may close a kept-alive connection while a request is being written,
+//! and then it is unknown whether the request ran; a new connection that is refused proves that it did not.
 
 use std::fmt;
 use std::time::Duration;
@@ -21,16 +21,16 @@
 
 use crate::settings::SidecarSettings;
 
-/// Names the request to the endpoint, which shows it in its logs and may repeat it in the answer.
+/// Header with the request's id; the endpoint shows it in its logs and may repeat it in the answer.
 pub(crate) const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// Longest answer to a question for the load, in bytes.
+/// Longest answer to a load poll, in bytes.
 const MAX_LOAD_BYTES: usize = 64 * 1024;
 
-/// Headers that concern one connection alone; the connection writes its own.
+/// Hop-by-hop headers; each connection writes its own.
 const HOP_BY_HOP: [HeaderName; 12] = [
     CONNECTION,
     CONTENT_LENGTH,
@@ -46,11 +46,11 @@
     UPGRADE,
 ];
 
-/// Says that a bind does not hold a valid request.
+/// The error when a bind is not a valid HTTP request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct InvalidRequest;
 
-/// Says that no connection was made, so that nothing was sent.
+/// The error when no connection was made, so that nothing was sent.
 #[derive(Debug)]
 pub(crate) struct NotConnected;
 
@@ -60,7 +60,7 @@
     }
 }
 
-/// Holds a connection to the endpoint; dropping it closes the connection and so cancels the request.
+/// A connection to the endpoint; dropping it closes the connection, which cancels the request.
 #[derive(Debug)]
 pub(crate) struct Connection {
     pub(crate) sender: http1::SendRequest<Full<Bytes>>,
@@ -72,7 +72,7 @@
         let Ok(Ok(stream)) = timeout(wait, TcpStream::connect(address)).await else {
             return Err(NotConnected);
         };
-        // Without this the last bytes of a request wait for an acknowledgement; the request works either way.
+        // Without TCP_NODELAY the last bytes of a request wait for an acknowledgement; the request works either way.
         let _set_or_slower = stream.set_nodelay(true);
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(|_error| NotConnected)?;
@@ -91,7 +91,7 @@
 }
 
 /// Builds the endpoint's request from a bind and its whole body.
-pub(crate) fn request(
+pub(crate) fn build_request(
     bind: &Bind,
     body: Bytes,
     address: &str,
@@ -109,7 +109,7 @@
         let value = HeaderValue::from_bytes(&header.value).map_err(|_invalid| InvalidRequest)?;
         headers.append(name, value);
     }
-    strip(&mut headers);
+    strip_hop_by_hop(&mut headers);
     let host = HeaderValue::from_str(address).map_err(|_invalid| InvalidRequest)?;
     let id = HeaderValue::from_str(request_id).map_err(|_invalid| InvalidRequest)?;
     headers.insert(HOST, host);
@@ -121,8 +121,8 @@
     Ok(request)
 }
 
-/// Removes the headers that concern one connection alone, and those that `connection` names.
-fn strip(headers: &mut HeaderMap) {
+/// Removes the hop-by-hop headers, and those that the `connection` header names.
+fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
@@ -137,7 +137,7 @@
 
 /// Returns the end-to-end headers of an answer.
 pub(crate) fn answer_headers(mut headers: HeaderMap) -> Vec<Header> {
-    strip(&mut headers);
+    strip_hop_by_hop(&mut headers);
     headers
         .iter()
         .map(|(name, value)| Header {
@@ -147,8 +147,8 @@
         .collect()
 }
 
-/// Asks for the load path; `None` when there is no whole answer.
-pub(crate) async fn fetch(settings: &SidecarSettings) -> Option<(StatusCode, Bytes)> {
+/// Polls the load path; returns `None` when there is no whole answer.
+pub(crate) async fn fetch_load(settings: &SidecarSettings) -> Option<(StatusCode, Bytes)> {
     let bind = Bind {
         request_id: 0,
         method: "GET".into(),
@@ -158,7 +158,7 @@
         acknowledges: None,
     };
     let address = &settings.endpoint_address;
-    let request = request(&bind, Bytes::new(), address, "load").ok()?;
+    let request = build_request(&bind, Bytes::new(), address, "load").ok()?;
     let connection = Connection::open(address, settings.connect_timeout).await;
     let mut connection = connection.ok()?;
     let response = connection.sender.send_request(request).await.ok()?;
--- a/crates/sidecar/src/fence.rs
+++ b/crates/sidecar/src/fence.rs
@@ -1,6 +1,6 @@
-//! Decides whether an order to the endpoint is in force; some engines do not check, so the sidecar does.
+//! Checks the fencing numbers of orders to the endpoint, as some engines do not check them.
 
-/// Says whether an order may be forwarded.
+/// The result of a check of an order's fencing number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FenceCheck {
     /// The order may be forwarded.
@@ -11,7 +11,7 @@
     NotReady,
 }
 
-/// Holds the highest fencing number seen.
+/// The highest fencing number seen.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Fence {
     highest: u64,
@@ -24,10 +24,10 @@
         self.highest
     }
 
-    /// Checks the number of an order, and remembers it.
+    /// Checks an order's fencing number, and remembers the highest.
     ///
-    /// `lowest_valid` is what control says. A sidecar that has just started knows no numbers of its own; before it has learnt
-    /// this one, an order of a leader that was replaced long ago would look new.
+    /// `lowest_valid` comes from control. A sidecar that has just started has seen no numbers; without this one, an order from a
+    /// leader that was replaced long ago would look current.
     pub fn check(&mut self, fence: u64, lowest_valid: Option<u64>) -> FenceCheck {
         let Some(lowest_valid) = lowest_valid else {
             return FenceCheck::NotReady;
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -1,11 +1,11 @@
-//! Stands as the only gate to one endpoint.
+//! The sidecar of one endpoint; all of the endpoint's requests go through it.
 //!
 //! An entry offers a request; the sidecar grants a slot when the fair queue says so, takes the whole request, claims its key
 //! where one is needed, hands it to the endpoint once, and streams the answer back so that a broken exchange can be resumed.
 //!
-//! - [`core`] holds every decision: it is pure, and one lock guards it.
-//! - [`meter`] and [`fence`] are the smaller pure decisions.
-//! - [`claims`] is the process edge to control for idempotency keys.
+//! - [`dispatch`] decides which offers get slots, without I/O; one lock guards it.
+//! - [`meter`] measures service units and [`fence`] checks fencing numbers, both without I/O.
+//! - [`claims`] claims idempotency keys at control.
 //! - [`Sidecar`] is the running role.
 
 mod answer;
--- a/crates/sidecar/src/meter.rs
+++ b/crates/sidecar/src/meter.rs
@@ -1,4 +1,4 @@
-//! Counts the service of one answer while it streams.
+//! Measures the service units of one answer while it streams.
 
 use std::time::Duration;
 
@@ -7,19 +7,19 @@
 use crate::dispatch::HandOverCost;
 use crate::settings::{PoolKind, UnitWeights};
 
-/// Bytes of a prompt that count as one token until the engine says better; about right for English text.
+/// Bytes of a prompt that count as one token until the engine reports its usage; about right for English text.
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// Longest line that is looked at as an event; engines send one token, or the usage, in far less.
+/// Longest line that is parsed as an event; engines send one token, or the usage, in far less.
 const MAX_LINE_BYTES: usize = 64 * 1024;
 
-/// Longest plain answer in which the usage is looked for; it stands at the end, and the whole object has to be read.
-const MAX_WHOLE_BYTES: usize = 1 << 20;
+/// Longest plain answer that is parsed for its usage; the usage is at the end, so the whole object has to be read.
+const MAX_USAGE_BODY_BYTES: usize = 1 << 20;
 
 const EVENT_PREFIX: &[u8] = b"data:";
-const LAST_EVENT: &[u8] = b"[DONE]";
+const DONE_EVENT: &[u8] = b"[DONE]";
 
-/// What an engine says about the tokens of a request.
+/// The token counts that an engine reports for a request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 pub struct Usage {
     /// Tokens of the prompt.
@@ -65,7 +65,7 @@
     (request_bytes / BYTES_PER_TOKEN).saturating_mul(weights.prompt)
 }
 
-/// Counts the service of one answer.
+/// A meter of one answer's service units.
 #[derive(Debug)]
 pub struct Meter {
     kind: PoolKind,
@@ -73,7 +73,7 @@
     is_event_stream: bool,
     line: Vec<u8>,
     line_overflows: bool,
-    whole: Vec<u8>,
+    body: Vec<u8>,
     events: u64,
     is_done: bool,
     usage: Option<Usage>,
@@ -82,7 +82,7 @@
 }
 
 impl Meter {
-    /// Starts to count an answer to a request with this many bytes.
+    /// Starts the meter for the answer to a request of this many bytes.
     #[must_use]
     pub fn start(
         kind: PoolKind,
@@ -96,7 +96,7 @@
             is_event_stream,
             line: Vec::new(),
             line_overflows: false,
-            whole: Vec::new(),
+            body: Vec::new(),
             events: 0,
             is_done: false,
             usage: None,
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Takes bytes of the answer, and returns the service units to charge for them.
+    /// Counts bytes of the answer, and returns the service units to charge for them.
     pub fn count(&mut self, bytes: &[u8], now: Duration) -> u64 {
         match self.kind {
             PoolKind::Service { busy_ms_units } => {
@@ -118,19 +118,19 @@
         }
     }
 
-    /// Returns whether the last event of an event stream has come.
+    /// Returns whether the last event of an event stream has arrived.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.is_done
     }
 
-    /// Returns the units that [`Meter::take`] has returned so far.
+    /// Returns the sum of the units that [`Meter::count`] has returned.
     #[must_use]
     pub fn charged_units(&self) -> u64 {
         self.charged_units
     }
 
-    /// Returns what the whole request cost, in service units.
+    /// Returns the cost of the whole request, in service units.
     #[must_use]
     pub fn total_units(&self, now: Duration) -> u64 {
         match self.kind {
@@ -140,8 +140,8 @@
     }
 
     fn model_units(&self, weights: UnitWeights) -> u64 {
-        let from_whole = || serde_json::from_slice::<WithUsage>(&self.whole).ok()?.usage;
-        let Some(usage) = self.usage.or_else(from_whole) else {
+        let from_body = || serde_json::from_slice::<WithUsage>(&self.body).ok()?.usage;
+        let Some(usage) = self.usage.or_else(from_body) else {
             let prompt = prompt_units(weights, self.request_bytes);
             return prompt.saturating_add(self.events.saturating_mul(weights.generated));
         };
@@ -158,7 +158,7 @@
         u64::try_from(now.saturating_sub(self.began_at).as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Returns the part of `units` that was not charged yet.
+    /// Returns the part of `units` that was not charged yet, and counts it as charged.
     fn charge_up_to(&mut self, units: u64) -> u64 {
         let more = units.saturating_sub(self.charged_units);
         self.charged_units += more;
@@ -167,21 +167,20 @@
 
     fn scan(&mut self, bytes: &[u8]) {
         if !self.is_event_stream {
-            let room = MAX_WHOLE_BYTES - self.whole.len();
-            self.whole
-                .extend_from_slice(&bytes[..bytes.len().min(room)]);
+            let room = MAX_USAGE_BODY_BYTES - self.body.len();
+            self.body.extend_from_slice(&bytes[..bytes.len().min(room)]);
             return;
         }
         let mut rest = bytes;
         while let Some(end) = rest.iter().position(|byte| *byte == b'\n') {
-            self.keep(&rest[..end]);
+            self.append_to_line(&rest[..end]);
             self.end_line();
             rest = &rest[end + 1..];
         }
-        self.keep(rest);
+        self.append_to_line(rest);
     }
 
-    fn keep(&mut self, part: &[u8]) {
+    fn append_to_line(&mut self, part: &[u8]) {
         if self.line.len() + part.len() > MAX_LINE_BYTES {
             self.line_overflows = true;
         }
@@ -196,22 +195,22 @@
             return;
         };
         let data = data.trim_ascii();
-        if data == LAST_EVENT {
+        if data == DONE_EVENT {
             self.is_done = true;
             return;
         }
-        let usage = if overflows { None } else { usage_in(data) };
+        let usage = if overflows { None } else { parse_usage(data) };
         match usage {
-            // The event with the usage holds no token in most engines; the usage has the last word in any case.
+            // Most engines send the usage in an event without a token; the total uses the usage in any case.
             Some(usage) => self.usage = Some(usage),
             None => self.events += 1,
         }
     }
 }
 
-fn usage_in(data: &[u8]) -> Option<Usage> {
+fn parse_usage(data: &[u8]) -> Option<Usage> {
     const NAME: &[u8] = b"\"usage\"";
-    // Parsing every event would cost more than all else on this path, and one event in hundreds has a usage.
+    // Parsing every event would cost more than the rest of this path, and only one event in hundreds has a usage.
     if !data.windows(NAME.len()).any(|window| window == NAME) {
         return None;
     }
--- a/crates/sidecar/src/metrics.rs
+++ b/crates/sidecar/src/metrics.rs
@@ -72,24 +72,24 @@
         }
     }
 
-    pub(crate) fn note_refused(&self, reason: NotRunReason) {
+    pub(crate) fn record_refused(&self, reason: NotRunReason) {
         let reason = reason.to_string();
         self.refused.get_or_create(&ReasonLabel { reason }).inc();
     }
 
-    pub(crate) fn note_failed(&self, reason: NotRunReason) {
+    pub(crate) fn record_failed(&self, reason: NotRunReason) {
         let reason = reason.to_string();
         self.failed.get_or_create(&ReasonLabel { reason }).inc();
     }
 
-    pub(crate) fn note_units(&self, team: &str, units: u64) {
+    pub(crate) fn record_units(&self, team: &str, units: u64) {
         let team = self.team_labels.label(team);
         let counter = self.service_units.get_or_create(&TeamLabel { team });
         counter.inc_by(units);
     }
 
-    /// Takes over that a team has more or fewer waiting offers than before.
-    pub(crate) fn note_waiting(&self, change: &WaitingChange) {
+    /// Applies a change in the number of a team's waiting offers.
+    pub(crate) fn record_waiting_change(&self, change: &WaitingChange) {
         let team = self.team_labels.label(&change.team);
         let waiting = self.team_waiting.get_or_create(&TeamLabel { team });
         waiting.inc_by(change.delta);
--- a/crates/sidecar/src/order.rs
+++ b/crates/sidecar/src/order.rs
@@ -11,15 +11,15 @@
 
 use crate::endpoint::{self, Connection};
 use crate::fence::FenceCheck;
-use crate::shared::Shell;
+use crate::shared::Shared;
 
 /// Path of orders at an endpoint.
 const ORDER_PATH: &str = "/admin/order";
 
-/// Longest wait for an endpoint to take an order; it may load for longer, and then answers "running".
+/// Longest wait for an endpoint to answer an order; a load that takes longer is answered with "running".
 const ORDER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Body of an order to an endpoint.
+/// The JSON body of an order to an endpoint.
 #[derive(Debug, Serialize)]
 struct EndpointOrder<'a> {
     order_id: u64,
@@ -29,18 +29,18 @@
     version: &'a str,
 }
 
-/// Checks an order and forwards it; orders go one at a time, so that none overtakes a newer one.
-pub(crate) async fn take(shell: &Shell, order: &Order) -> OrderReply {
-    let mut fence = shell.fence.lock().await;
-    let check = fence.check(order.fence, shell.member.fence());
-    shell.member.saw_fence(fence.highest());
+/// Checks an order's fencing number and forwards the order; orders go one at a time, so that none overtakes a newer one.
+pub(crate) async fn execute(shared: &Shared, order: &Order) -> OrderReply {
+    let mut fence = shared.fence.lock().await;
+    let check = fence.check(order.fence, shared.member.fence());
+    shared.member.saw_fence(fence.highest());
     let verdict = match check {
-        FenceCheck::Valid => forward(shell, order).await,
+        FenceCheck::Valid => forward(shared, order).await,
         FenceCheck::Fenced => OrderVerdict::Fenced,
         FenceCheck::NotReady => OrderVerdict::NotReady,
     };
     if verdict == OrderVerdict::Done && order.kind == OrderKind::SetVersion {
-        shell.member.set_model_version(&order.version);
+        shared.member.set_model_version(&order.version);
     }
     hinge_telemetry::info!(
         Part::Sidecar,
@@ -56,7 +56,7 @@
     }
 }
 
-async fn forward(shell: &Shell, order: &Order) -> OrderVerdict {
+async fn forward(shared: &Shared, order: &Order) -> OrderVerdict {
     let body = EndpointOrder {
         order_id: order.order_id,
         fence: order.fence,
@@ -64,8 +64,8 @@
         subject: &order.subject,
         version: &order.version,
     };
-    let body = serde_json::to_vec(&body).expect("an order has a JSON form");
-    match timeout(ORDER_TIMEOUT, post(shell, order.order_id, body.into())).await {
+    let body = serde_json::to_vec(&body).expect("an order serializes to JSON");
+    match timeout(ORDER_TIMEOUT, post(shared, order.order_id, body.into())).await {
         Ok(Some(StatusCode::OK)) => OrderVerdict::Done,
         Ok(Some(StatusCode::ACCEPTED)) => OrderVerdict::Running,
         Ok(Some(StatusCode::CONFLICT)) => OrderVerdict::Fenced,
@@ -74,8 +74,8 @@
     }
 }
 
-async fn post(shell: &Shell, order_id: u64, body: Bytes) -> Option<StatusCode> {
-    let settings = &shell.settings;
+async fn post(shared: &Shared, order_id: u64, body: Bytes) -> Option<StatusCode> {
+    let settings = &shared.settings;
     let address = &settings.endpoint_address;
     let json = Header {
         name: "content-type".into(),
@@ -89,7 +89,8 @@
         body_bytes: None,
         acknowledges: None,
     };
-    let request = endpoint::request(&bind, body, address, &format!("order-{order_id}")).ok()?;
+    let request =
+        endpoint::build_request(&bind, body, address, &format!("order-{order_id}")).ok()?;
     let connection = Connection::open(address, settings.connect_timeout).await;
     let mut connection = connection.ok()?;
     let response = connection.sender.send_request(request).await.ok()?;
--- a/crates/sidecar/src/reasons.rs
+++ b/crates/sidecar/src/reasons.rs
@@ -1,4 +1,4 @@
-//! Translates reasons and classes between the messages and the decisions.
+//! Converts reasons, classes and verdicts between the wire messages and the decision crates.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use hinge_outcome::Reason;
 use hinge_schema::messages::{NotRunReason, UrgencyClass, Verdict};
 
-/// Returns a time in whole milliseconds, rounded up, as a wait must not end early.
+/// Returns a duration in whole milliseconds, rounded up, as a wait must not end early.
 pub(crate) fn whole_ms(time: Duration) -> u64 {
     u64::try_from(time.as_nanos().div_ceil(1_000_000)).unwrap_or(u64::MAX)
 }
@@ -21,7 +21,7 @@
 
 pub(crate) fn queue_reason(reason: QueueReason) -> NotRunReason {
     match reason {
-        // The configuration here lacks the team; a newer one may have it.
+        // The local configuration lacks the team; a newer one may have it.
         QueueReason::UnknownTeam => NotRunReason::NotReady,
         QueueReason::Duplicate => NotRunReason::AlreadyRunning,
         QueueReason::TeamFull => NotRunReason::QueueFull,
@@ -30,7 +30,7 @@
     }
 }
 
-/// Returns the message's word for an outcome's reason; the message has fewer words.
+/// Returns the wire reason for an outcome's reason; the wire has fewer reasons, so some are merged.
 pub(crate) fn wire_reason(reason: Reason) -> NotRunReason {
     match reason {
         Reason::QueueFull => NotRunReason::QueueFull,
--- a/crates/sidecar/src/rules.rs
+++ b/crates/sidecar/src/rules.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// Returns what the endpoint has room for, when health allows it this many slots.
+/// Returns the endpoint's capacity when its health allows this many slots.
 pub(crate) fn slots(
     effective: &Effective,
     settings: &SidecarSettings,
@@ -51,7 +51,7 @@
     }
 }
 
-/// Leaves at least one slot to work that is not urgent, or it would wait for ever.
+/// Leaves at least one slot for work that is not urgent, which would otherwise wait forever.
 pub(crate) fn with_common_slot(rules: SlotRules) -> SlotRules {
     let urgent_slots = rules.urgent_slots.min(rules.slots.saturating_sub(1));
     SlotRules {
--- a/crates/sidecar/src/settings.rs
+++ b/crates/sidecar/src/settings.rs
@@ -4,19 +4,19 @@
 
 use hinge_placement::HealthRules;
 
-/// Says in which unit a pool's service is counted.
+/// The unit in which a pool's service is counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PoolKind {
     /// Weighted tokens.
     Model(UnitWeights),
-    /// Milliseconds that the endpoint was busy, times a weight.
+    /// Milliseconds for which the endpoint was busy, times a weight.
     Service {
-        /// Service units a busy millisecond.
+        /// Service units per busy millisecond.
         busy_ms_units: u64,
     },
 }
 
-/// Weighs the tokens of a model, in service units a token.
+/// The weights of a model's tokens, in service units per token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UnitWeights {
     /// Prompt token that was computed.
@@ -28,7 +28,7 @@
 }
 
 impl Default for UnitWeights {
-    /// Returns the defaults of the operators' files.
+    /// Returns the defaults of the operators' configuration.
     fn default() -> Self {
         Self {
             prompt: 10,
@@ -38,7 +38,7 @@
     }
 }
 
-/// Sets how a sidecar serves its endpoint.
+/// The settings of a sidecar.
 #[derive(Debug, Clone)]
 pub struct SidecarSettings {
     /// Address and port for other processes of the fleet.
@@ -65,36 +65,36 @@
     pub body_timeout: Duration,
     /// Longest body of a request, in bytes.
     pub max_body_bytes: usize,
-    /// How long an answer without an exchange waits for a resume.
+    /// How long an answer without an exchange is kept for a resume.
     pub resume_window: Duration,
-    /// Bytes of an answer that are kept for a resume.
+    /// Most bytes of an answer that are kept for a resume.
     pub replay_bytes: usize,
-    /// Ended answers that are kept for a resume at once.
+    /// Most ended answers that are kept for a resume at once.
     pub max_kept_answers: usize,
     /// Longest wait for a connection to the endpoint.
     pub connect_timeout: Duration,
     /// Longest wait for the head of an answer.
     pub head_timeout: Duration,
-    /// Longest wait between two parts of an answer.
+    /// Longest wait between two chunks of an answer.
     pub idle_timeout: Duration,
-    /// Longest wait for the entry to take a part of an answer.
+    /// Longest wait for buffer space for a chunk of an answer, which the entry's reading frees.
     pub reader_timeout: Duration,
     /// Longest wait for control to answer a claim of a key.
     pub claim_timeout: Duration,
     /// When the endpoint is ejected, and how it comes back.
     pub health: HealthRules,
-    /// Time between two looks at the endpoint's load.
+    /// Time between two polls of the endpoint's load.
     pub load_interval: Duration,
-    /// Path of the endpoint's load, which is also asked to probe an ejected endpoint.
+    /// Path of the endpoint's load, which also serves as the probe of an ejected endpoint.
     pub load_path: Box<str>,
-    /// Time between two looks at deadlines and resume windows.
+    /// Time between two checks of deadlines and resume windows.
     pub sweep_interval: Duration,
     /// Time between two reports of sums.
     pub sums_interval: Duration,
 }
 
 impl Default for SidecarSettings {
-    /// Suits a model engine with 16 slots; addresses and the pool must be set.
+    /// Returns settings for a model engine with 16 slots; addresses and the pool must be set.
     fn default() -> Self {
         Self {
             listen: "127.0.0.1:0".into(),
@@ -104,11 +104,11 @@
             slots: 16,
             reserved_urgent_slots: 1,
             kv_tokens: 0,
-            // A tenth of 1,500 teams is backlogged; a few offers of each fit.
+            // Sized for 1,500 teams of which a tenth is backlogged, with a few offers each.
             max_waiting: 1_024,
             // A prompt of 32 Ki tokens and an answer of 8 Ki tokens at the default weights.
             max_request_units: 640 * 1_024,
-            // Ten round trips between regions: a lost race costs the slot no more than this.
+            // Ten round trips between regions; a grant that its entry no longer wants holds the slot no longer than this.
             grant_lease: Duration::from_millis(500),
             body_timeout: Duration::from_secs(30),
             max_body_bytes: 32 << 20,
@@ -117,10 +117,10 @@
             // With the replay bound of 128 KiB this is 8 MiB at most.
             max_kept_answers: 64,
             connect_timeout: Duration::from_secs(1),
-            // The first token may wait behind a long prompt; the target for 95 in 100 is 0.43 s.
+            // The first token may wait behind a long prompt; the target for its 95th percentile is 0.43 s.
             head_timeout: Duration::from_secs(30),
             idle_timeout: Duration::from_secs(15),
-            // Longer than the resume window, so that a break is not taken for a slow caller.
+            // Longer than the resume window, so that a broken exchange is not mistaken for a slow caller.
             reader_timeout: Duration::from_mins(1),
             claim_timeout: Duration::from_secs(2),
             health: HealthRules::default(),
--- a/crates/sidecar/src/shared.rs
+++ b/crates/sidecar/src/shared.rs
@@ -1,4 +1,4 @@
-//! Guards the core with one lock, and carries its actions to the tasks that wait for them.
+//! The state that a sidecar's tasks share: the dispatcher behind one lock, and the delivery of its actions to the waiting tasks.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -24,7 +24,7 @@
 use crate::rules;
 use crate::settings::SidecarSettings;
 
-/// Tells the exchange of an offer what became of it.
+/// A notification to the exchange of an offer.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Signal {
     Granted(ClaimId),
@@ -34,7 +34,7 @@
 
 /// A run whose whole request has arrived.
 #[derive(Debug, Clone)]
-pub(crate) struct Live {
+pub(crate) struct LiveRun {
     pub(crate) answer: Arc<Answer>,
     pub(crate) stop: CancellationToken,
 }
@@ -42,44 +42,44 @@
 #[derive(Debug)]
 struct State {
     dispatcher: Dispatcher,
-    doors: HashMap<OfferId, mpsc::UnboundedSender<Signal>>,
-    live: HashMap<ClaimId, Live>,
+    signal_senders: HashMap<OfferId, mpsc::UnboundedSender<Signal>>,
+    live: HashMap<ClaimId, LiveRun>,
     health: LocalEndpointHealth,
-    /// Rules that the core holds, so that it is told only of changes.
-    room: SlotRules,
+    /// The dispatcher's current slot rules, so that it is updated only when they change.
+    slot_rules: SlotRules,
 }
 
 /// Everything that the tasks of one sidecar share.
 #[derive(Debug)]
-pub(crate) struct Shell {
+pub(crate) struct Shared {
     pub(crate) settings: SidecarSettings,
     pub(crate) member: Member,
     pub(crate) claims: Arc<dyn Claims>,
     pub(crate) metrics: Metrics,
-    /// Held over check and forwarding, so that no order overtakes a newer one on its way to the endpoint.
+    /// Locked during both the check and the forwarding, so that no order overtakes a newer one on its way to the endpoint.
     pub(crate) fence: tokio::sync::Mutex<Fence>,
-    /// Bumped whenever a run, an offer or a kept answer has ended.
+    /// Notified whenever a run, an offer or a kept answer may have ended.
     changes: watch::Sender<()>,
     started: Instant,
     state: Mutex<State>,
 }
 
-/// Counts what would be cut off by a stop now.
+/// The numbers of runs and answers that a stop would cut off now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Open {
+pub(crate) struct Unfinished {
     /// Grants and runs.
     pub(crate) runs: usize,
-    /// Ended answers that the entry may not hold whole.
+    /// Ended answers that the entry may not have received whole.
     pub(crate) answers: usize,
 }
 
-impl Open {
+impl Unfinished {
     pub(crate) fn is_none(self) -> bool {
         self.runs == 0 && self.answers == 0
     }
 }
 
-impl Shell {
+impl Shared {
     pub(crate) fn new(
         settings: SidecarSettings,
         member: Member,
@@ -87,7 +87,7 @@
         metrics: Metrics,
     ) -> Self {
         let effective = &member.config().effective;
-        let room = rules::slots(effective, &settings, settings.slots);
+        let slot_rules = rules::slots(effective, &settings, settings.slots);
         let limits = Limits {
             max_waiting: settings.max_waiting,
             max_request_units: settings.max_request_units,
@@ -102,11 +102,11 @@
             changes: watch::Sender::new(()),
             started: Instant::now(),
             state: Mutex::new(State {
-                dispatcher: Dispatcher::new(room, limits),
-                doors: HashMap::new(),
+                dispatcher: Dispatcher::new(slot_rules, limits),
+                signal_senders: HashMap::new(),
                 live: HashMap::new(),
                 health,
-                room,
+                slot_rules,
             }),
         }
     }
@@ -120,32 +120,32 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells the core something, and carries out what follows.
-    pub(crate) fn tell<R>(&self, say: impl FnOnce(&mut Dispatcher, Duration) -> R) -> R {
+    /// Updates the dispatcher, and runs the actions that follow.
+    pub(crate) fn update<R>(&self, apply: impl FnOnce(&mut Dispatcher, Duration) -> R) -> R {
         let now = self.now();
         let mut state = self.lock();
-        let told = say(&mut state.dispatcher, now);
-        self.settle(&mut state);
+        let result = apply(&mut state.dispatcher, now);
+        self.run_actions(&mut state);
         drop(state);
         self.changes.send_replace(());
-        told
+        result
     }
 
-    /// Carries out what followed from what the core was told.
-    fn settle(&self, state: &mut State) {
-        // Before an entry hears of a grant, so that every later announcement counts it.
+    /// Runs the dispatcher's due actions, and publishes its counts.
+    fn run_actions(&self, state: &mut State) {
+        // Set before an entry hears of a grant, so that every later announcement counts the grant.
         let running = u32::try_from(state.dispatcher.open_grants()).unwrap_or(u32::MAX);
         self.member.set_running(running);
         for action in state.dispatcher.take_actions() {
-            self.carry_out(state, action);
+            self.run_action(state, action);
         }
         for change in state.dispatcher.take_waiting_changes() {
-            self.metrics.note_waiting(&change);
+            self.metrics.record_waiting_change(&change);
         }
         self.metrics.set_load(state.dispatcher.load());
     }
 
-    fn carry_out(&self, state: &mut State, action: Action) {
+    fn run_action(&self, state: &mut State, action: Action) {
         match action {
             Action::Grant { offer_id, claim } => {
                 self.metrics.granted.inc();
@@ -168,45 +168,45 @@
         }
     }
 
-    /// Takes an offer, and returns where its signals come from.
+    /// Queues an offer, and returns a guard for it and the receiver of its signals.
     pub(crate) fn offer(
         self: &Arc<Self>,
         new_offer: NewOffer,
     ) -> Result<(OfferGuard, mpsc::UnboundedReceiver<Signal>), Refusal> {
         let own_version = self.member.config_version();
-        let (door, signals) = mpsc::unbounded_channel();
+        let (sender, signals) = mpsc::unbounded_channel();
         let now = self.now();
         let mut state = self.lock();
         let offer_id = state.dispatcher.offer(now, new_offer, own_version)?;
-        state.doors.insert(offer_id, door);
-        self.settle(&mut state);
+        state.signal_senders.insert(offer_id, sender);
+        self.run_actions(&mut state);
         drop(state);
         let guard = OfferGuard {
-            shell: Arc::clone(self),
+            shared: Arc::clone(self),
             offer_id,
         };
         Ok((guard, signals))
     }
 
-    /// Makes a run known to resumes and cancels.
-    pub(crate) fn add_live(&self, claim: ClaimId, live: Live) {
+    /// Registers a run, so that it can be resumed and cancelled.
+    pub(crate) fn add_live(&self, claim: ClaimId, live: LiveRun) {
         self.lock().live.insert(claim, live);
     }
 
-    /// Returns the run of a grant, if the request's number fits.
-    pub(crate) fn live(&self, claim: ClaimId, request_id: u64) -> Option<Live> {
+    /// Returns the run of a grant, if the request's id matches.
+    pub(crate) fn live(&self, claim: ClaimId, request_id: u64) -> Option<LiveRun> {
         let live = self.lock().live.get(&claim).cloned()?;
         (live.answer.request_id() == request_id).then_some(live)
     }
 
-    /// Forgets answers that the entry holds, and those that nobody asked for in time; a run behind such an answer ends.
+    /// Drops delivered answers, and those that were not resumed in time; a run behind such an answer is cancelled.
     pub(crate) fn sweep(&self) {
         let now = self.now();
         let window = self.settings.resume_window;
         let mut late = Vec::new();
         let mut state = self.lock();
         state.live.retain(|claim, live| {
-            if live.answer.is_ended() && live.answer.is_taken() {
+            if live.answer.is_ended() && live.answer.is_delivered() {
                 return false;
             }
             let detached_at = live.answer.detached_at();
@@ -219,13 +219,13 @@
         forget_oldest(&mut state.live, self.settings.max_kept_answers);
         drop(state);
         for claim in late {
-            self.tell(|dispatcher, now| dispatcher.cancel(claim, now));
+            self.update(|dispatcher, now| dispatcher.cancel(claim, now));
         }
-        self.tell(Dispatcher::expire_offers);
+        self.update(Dispatcher::expire_offers);
     }
 
-    /// Takes what a run says about the endpoint.
-    pub(crate) fn note_run(&self, sample: Sample) {
+    /// Records a run's health sample of the endpoint.
+    pub(crate) fn record_sample(&self, sample: Sample) {
         let now = self.now();
         let mut state = self.lock();
         let is_ejected = state.health.observe(sample, now, &mut rand::rng());
@@ -238,7 +238,7 @@
                 endpoint = endpoint
             );
         }
-        self.refresh_room();
+        self.refresh_slot_rules();
     }
 
     /// Returns whether an ejected endpoint should be probed now.
@@ -247,36 +247,36 @@
         self.lock().health.start_probe(now)
     }
 
-    /// Takes the result of a probe.
-    pub(crate) fn note_probe(&self, is_ok: bool) {
+    /// Records the result of a probe.
+    pub(crate) fn record_probe(&self, is_ok: bool) {
         let now = self.now();
         self.lock()
             .health
             .record_probe(is_ok, now, &mut rand::rng());
-        self.refresh_room();
+        self.refresh_slot_rules();
     }
 
-    /// Takes what the engine says about its load.
-    pub(crate) fn note_load(&self, report: EngineReport) {
-        self.tell(|dispatcher, now| dispatcher.apply_load_report(report, now));
+    /// Records a load report of the engine.
+    pub(crate) fn record_load(&self, report: EngineReport) {
+        self.update(|dispatcher, now| dispatcher.apply_load_report(report, now));
     }
 
-    /// Tells the core what the endpoint has room for, as health and the configuration have it now.
-    pub(crate) fn refresh_room(&self) {
+    /// Updates the dispatcher's slot rules from the endpoint's health and the configuration.
+    pub(crate) fn refresh_slot_rules(&self) {
         let now = self.now();
         let mut state = self.lock();
         let allowed = state.health.slot_limit(self.settings.slots, now);
         let effective = &self.member.config().effective;
-        let room = rules::slots(effective, &self.settings, allowed);
-        if room == state.room {
+        let slot_rules = rules::slots(effective, &self.settings, allowed);
+        if slot_rules == state.slot_rules {
             return;
         }
-        let was_ejected = state.room.slots == 0;
-        let is_ejected = room.slots == 0;
-        state.room = room;
-        state.dispatcher.set_slot_rules(room, now);
+        let was_ejected = state.slot_rules.slots == 0;
+        let is_ejected = slot_rules.slots == 0;
+        state.slot_rules = slot_rules;
+        state.dispatcher.set_slot_rules(slot_rules, now);
         state.dispatcher.set_ejected(is_ejected, now);
-        self.settle(&mut state);
+        self.run_actions(&mut state);
         drop(state);
         self.metrics.ejected.set(i64::from(is_ejected));
         self.member.set_ejected(is_ejected);
@@ -291,22 +291,22 @@
     }
 
     pub(crate) fn is_ejected(&self) -> bool {
-        self.lock().room.slots == 0
+        self.lock().slot_rules.slots == 0
     }
 
-    /// Returns what would be cut off by a stop now.
-    pub(crate) fn open(&self) -> Open {
+    /// Returns the numbers of runs and answers that a stop would cut off now.
+    pub(crate) fn unfinished(&self) -> Unfinished {
         let state = self.lock();
         let kept = state.live.values();
-        let kept = kept.filter(|live| live.answer.is_ended() && !live.answer.is_taken());
-        Open {
+        let kept = kept.filter(|live| live.answer.is_ended() && !live.answer.is_delivered());
+        Unfinished {
             runs: state.dispatcher.open_grants(),
             answers: kept.count(),
         }
     }
 
-    /// Tells waiting drains that something has ended.
-    pub(crate) fn note_change(&self) {
+    /// Notifies a waiting drain that a run may have ended.
+    pub(crate) fn notify_change(&self) {
         self.changes.send_replace(());
     }
 
@@ -316,14 +316,14 @@
 }
 
 fn signal(state: &State, offer_id: OfferId, signal: Signal) {
-    if let Some(door) = state.doors.get(&offer_id) {
-        // An exchange that is gone withdraws its offer by itself.
-        let _sent_or_gone = door.send(signal);
+    if let Some(sender) = state.signal_senders.get(&offer_id) {
+        // An exchange that has ended withdraws its offer itself.
+        let _sent_or_gone = sender.send(signal);
     }
 }
 
-/// Returns how a verdict on a run that did not end whole is said to an entry.
-pub(crate) fn failure(verdict: Verdict) -> (FailureKind, NotRunReason, u64) {
+/// Returns the kind, the reason and the retry delay in milliseconds that an entry is told for a verdict.
+pub(crate) fn wire_failure(verdict: Verdict) -> (FailureKind, NotRunReason, u64) {
     match verdict {
         Verdict::NeverHandedOver {
             reason,
@@ -341,12 +341,12 @@
 }
 
 pub(crate) fn fail_answer(answer: &Answer, verdict: Verdict) {
-    let (kind, reason, retry_after_ms) = failure(verdict);
+    let (kind, reason, retry_after_ms) = wire_failure(verdict);
     answer.fail(kind, reason, retry_after_ms);
 }
 
-/// Keeps memory bounded when many entries are lost at once.
-fn forget_oldest(live: &mut HashMap<ClaimId, Live>, max_kept: usize) {
+/// Drops the oldest ended answers above the limit, to bound memory when many entries are lost at once.
+fn forget_oldest(live: &mut HashMap<ClaimId, LiveRun>, max_kept: usize) {
     let ended = live.iter().filter(|(_, live)| live.answer.is_ended());
     let mut ended: Vec<ClaimId> = ended.map(|(claim, _)| *claim).collect();
     ended.sort_unstable();
@@ -356,17 +356,17 @@
     }
 }
 
-/// Withdraws an offer, or its unbound grant, when its exchange ends in any way.
+/// A guard that withdraws an offer, or its unbound grant, when its exchange ends in any way.
 #[derive(Debug)]
 pub(crate) struct OfferGuard {
-    shell: Arc<Shell>,
+    shared: Arc<Shared>,
     offer_id: OfferId,
 }
 
 impl Drop for OfferGuard {
     fn drop(&mut self) {
-        self.shell.lock().doors.remove(&self.offer_id);
-        self.shell
-            .tell(|dispatcher, now| dispatcher.withdraw(self.offer_id, now));
+        self.shared.lock().signal_senders.remove(&self.offer_id);
+        self.shared
+            .update(|dispatcher, now| dispatcher.withdraw(self.offer_id, now));
     }
 }
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -1,4 +1,4 @@
-//! Binds the running role.
+//! Runs the sidecar role: its server, its periodic tasks and its planned stop.
 
 use std::fmt;
 use std::io;
@@ -24,31 +24,31 @@
 use crate::metrics::Metrics;
 use crate::reasons::wire_verdict;
 use crate::settings::SidecarSettings;
-use crate::shared::Shell;
+use crate::shared::Shared;
 use crate::sums::Reporter;
 use crate::{order, resume};
 
-/// Holds a running sidecar; dropping it stops its tasks, but lets runs end.
+/// A running sidecar; dropping it stops its periodic tasks, but runs go on to their end.
 #[derive(Debug)]
 pub struct Sidecar {
-    shell: Arc<Shell>,
+    shared: Arc<Shared>,
     server: ServerHandle,
     _stop: DropGuard,
 }
 
-/// Says how a planned stop went.
+/// The result of a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DrainReport {
     /// Runs that had not ended at the deadline.
     pub cut_runs: usize,
-    /// Ended answers that their entries may not hold whole.
+    /// Complete or failed answers that their entries may not have received whole.
     pub cut_answers: usize,
     /// Whether every exchange had ended at the deadline.
     pub is_stopped: bool,
 }
 
 impl DrainReport {
-    /// Returns whether the stop cut nothing off.
+    /// Returns whether the stop cut off no run and no answer.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         self.cut_runs == 0 && self.cut_answers == 0
@@ -67,7 +67,7 @@
 }
 
 impl Sidecar {
-    /// Binds the address for peers and serves from now on.
+    /// Binds the address for peers and starts to serve.
     ///
     /// # Errors
     ///
@@ -82,27 +82,27 @@
     ) -> io::Result<Self> {
         let listen = settings.listen.clone();
         let metrics = Metrics::register(registry);
-        let shell = Arc::new(Shell::new(settings, member, claims, metrics));
-        let server = Server::bind(&listen, routes(&shell, &key), Limits::default()).await?;
+        let shared = Arc::new(Shared::new(settings, member, claims, metrics));
+        let server = Server::bind(&listen, routes(&shared, &key), Limits::default()).await?;
         let stop = CancellationToken::new();
-        let sweeps = sweep(Arc::clone(&shell));
+        let sweeps = sweep(Arc::clone(&shared));
         tokio::spawn(stop.clone().run_until_cancelled_owned(sweeps));
-        let looks = watch_endpoint(Arc::clone(&shell));
-        tokio::spawn(stop.clone().run_until_cancelled_owned(looks));
-        if !shell.member.control().is_empty() {
-            let reports = Reporter::new(Arc::clone(&shell), client).run();
+        let polls = poll_endpoint(Arc::clone(&shared));
+        tokio::spawn(stop.clone().run_until_cancelled_owned(polls));
+        if !shared.member.control().is_empty() {
+            let reports = Reporter::new(Arc::clone(&shared), client).run();
             tokio::spawn(stop.clone().run_until_cancelled_owned(reports));
         }
         let address = server.local_address().to_string();
-        shell.member.set_peer_address(&address);
+        shared.member.set_peer_address(&address);
         hinge_telemetry::info!(
             Part::Sidecar,
             "Listening.",
             address = address,
-            endpoint = shell.settings.endpoint_address
+            endpoint = shared.settings.endpoint_address
         );
         Ok(Self {
-            shell,
+            shared,
             server,
             _stop: stop.drop_guard(),
         })
@@ -114,21 +114,21 @@
         self.server.local_address()
     }
 
-    /// Returns whether the endpoint gets no work because it failed.
+    /// Returns whether the endpoint is ejected and gets no work.
     #[must_use]
     pub fn is_ejected(&self) -> bool {
-        self.shell.is_ejected()
+        self.shared.is_ejected()
     }
 
-    /// Leaves: takes no new work, lets runs and answers end, and reports what the deadline cut off.
+    /// Drains the sidecar: refuses new work, waits for runs and answers to end, and reports what the deadline cut off.
     pub async fn drain(self, deadline: Duration) -> DrainReport {
         let began = Instant::now();
-        self.shell.member.set_leaving();
-        self.shell.tell(|dispatcher, _now| dispatcher.leave());
-        // From this record on no offer is granted, whatever entries know.
+        self.shared.member.set_leaving();
+        self.shared.update(|dispatcher, _now| dispatcher.leave());
+        // From this log record on no offer is granted, even from entries that have not yet heard of the stop.
         hinge_telemetry::info!(Part::Sidecar, "Leaving.");
-        let ended = timeout(deadline, wait_until_ended(&self.shell)).await;
-        let open = self.shell.open();
+        let ended = timeout(deadline, wait_until_ended(&self.shared)).await;
+        let open = self.shared.unfinished();
         if ended.is_err() {
             hinge_telemetry::error!(
                 Part::Sidecar,
@@ -147,45 +147,45 @@
     }
 }
 
-async fn wait_until_ended(shell: &Shell) {
-    let mut changes = shell.changes();
+async fn wait_until_ended(shared: &Shared) {
+    let mut changes = shared.changes();
     loop {
         changes.mark_unchanged();
-        shell.sweep();
-        if shell.open().is_none() {
+        shared.sweep();
+        if shared.unfinished().is_none() {
             return;
         }
         changes.mark_unchanged();
-        let sweep_interval = shell.settings.sweep_interval;
-        // Resume windows end without a change.
+        let sweep_interval = shared.settings.sweep_interval;
+        // The end of a resume window sends no change notification, so this also wakes up periodically.
         let _changed_or_elapsed = timeout(sweep_interval, changes.changed()).await;
     }
 }
 
-async fn sweep(shell: Arc<Shell>) {
+async fn sweep(shared: Arc<Shared>) {
     loop {
-        tokio::time::sleep(shell.settings.sweep_interval).await;
-        shell.refresh_room();
-        shell.sweep();
+        tokio::time::sleep(shared.settings.sweep_interval).await;
+        shared.refresh_slot_rules();
+        shared.sweep();
     }
 }
 
-/// Asks the endpoint for its load, and probes it so while it is ejected.
-async fn watch_endpoint(shell: Arc<Shell>) {
+/// Polls the endpoint's load; while the endpoint is ejected, the poll serves as its health probe.
+async fn poll_endpoint(shared: Arc<Shared>) {
     loop {
-        tokio::time::sleep(shell.settings.load_interval).await;
-        if shell.is_ejected() && !shell.start_probe() {
+        tokio::time::sleep(shared.settings.load_interval).await;
+        if shared.is_ejected() && !shared.start_probe() {
             continue;
         }
-        let looked = timeout(shell.settings.head_timeout, look(&shell)).await;
-        let is_ok = looked.unwrap_or(false);
-        if shell.is_ejected() {
-            shell.note_probe(is_ok);
+        let polled = timeout(shared.settings.head_timeout, poll_load(&shared)).await;
+        let is_ok = polled.unwrap_or(false);
+        if shared.is_ejected() {
+            shared.record_probe(is_ok);
         }
     }
 }
 
-/// What an engine says about its load.
+/// The load that an engine reports.
 #[derive(Debug, Deserialize)]
 struct EndpointLoad {
     running: u32,
@@ -193,9 +193,9 @@
     kv_used_tokens: u64,
 }
 
-/// Asks once; any answer below 500 shows that the endpoint serves, and one that names a load is counted.
-async fn look(shell: &Shell) -> bool {
-    let Some((status, body)) = endpoint::fetch(&shell.settings).await else {
+/// Polls once; any status below 500 shows that the endpoint serves, and a successful body with a load is recorded.
+async fn poll_load(shared: &Shared) -> bool {
+    let Some((status, body)) = endpoint::fetch_load(&shared.settings).await else {
         return false;
     };
     if let (true, Ok(load)) = (status.is_success(), serde_json::from_slice(&body)) {
@@ -204,7 +204,7 @@
             waiting,
             kv_used_tokens,
         } = load;
-        shell.note_load(EngineReport {
+        shared.record_load(EngineReport {
             running: running.saturating_add(waiting),
             kv_tokens: kv_used_tokens,
         });
@@ -212,89 +212,96 @@
     !status.is_server_error()
 }
 
-fn routes(shell: &Arc<Shell>, key: &ClusterKey) -> Router {
-    let offers = (Arc::clone(shell), key.clone());
-    let resumes = (Arc::clone(shell), key.clone());
-    let verdicts = (Arc::clone(shell), key.clone());
-    let cancels = (Arc::clone(shell), key.clone());
-    let orders = (Arc::clone(shell), key.clone());
-    let fetches = (Arc::clone(shell), key.clone());
-    let pushes = (Arc::clone(shell), key.clone());
+fn routes(shared: &Arc<Shared>, key: &ClusterKey) -> Router {
+    let offers = (Arc::clone(shared), key.clone());
+    let resumes = (Arc::clone(shared), key.clone());
+    let verdicts = (Arc::clone(shared), key.clone());
+    let cancels = (Arc::clone(shared), key.clone());
+    let orders = (Arc::clone(shared), key.clone());
+    let fetches = (Arc::clone(shared), key.clone());
+    let pushes = (Arc::clone(shared), key.clone());
     Router::new()
         .post("/v1/offer", move |request: Request| {
-            let (shell, key) = offers.clone();
+            let (shared, key) = offers.clone();
             async move {
                 exchange(&key, request, |reader, sender| {
-                    crate::exchange::serve(shell, reader, sender)
+                    crate::exchange::serve(shared, reader, sender)
                 })
             }
         })
         .post("/v1/resume", move |request: Request| {
-            let (shell, key) = resumes.clone();
+            let (shared, key) = resumes.clone();
             async move {
                 exchange(&key, request, |reader, sender| {
-                    resume::serve(shell, reader, sender)
+                    resume::serve(shared, reader, sender)
                 })
             }
         })
         .post("/v1/verdict", move |request: Request| {
-            let (shell, key) = verdicts.clone();
+            let (shared, key) = verdicts.clone();
             async move {
                 unary(
                     &key,
                     request,
-                    |ask| async move { Ok(verdict(&shell, &ask)) },
+                    |ask| async move { Ok(verdict(&shared, &ask)) },
                 )
                 .await
             }
         })
         .post("/v1/cancel", move |request: Request| {
-            let (shell, key) = cancels.clone();
-            async move { unary(&key, request, |run| async move { Ok(cancel(&shell, &run)) }).await }
+            let (shared, key) = cancels.clone();
+            async move {
+                unary(
+                    &key,
+                    request,
+                    |run| async move { Ok(cancel(&shared, &run)) },
+                )
+                .await
+            }
         })
         .post("/v1/order", move |request: Request| {
-            let (shell, key) = orders.clone();
+            let (shared, key) = orders.clone();
             async move {
                 unary(&key, request, |order: Order| async move {
-                    Ok::<OrderReply, _>(order::take(&shell, &order).await)
+                    Ok::<OrderReply, _>(order::execute(&shared, &order).await)
                 })
                 .await
             }
         })
         .post("/v1/config/fetch", move |request: Request| {
-            let (shell, key) = fetches.clone();
+            let (shared, key) = fetches.clone();
             async move {
                 unary(&key, request, |ask: FetchConfig| async move {
-                    Ok::<FetchedConfig, _>(shell.member.fetched(&ask))
+                    Ok::<FetchedConfig, _>(shared.member.fetched(&ask))
                 })
                 .await
             }
         })
         .post("/v1/config/push", move |request: Request| {
-            let (shell, key) = pushes.clone();
+            let (shared, key) = pushes.clone();
             async move {
                 unary(&key, request, |delta: ConfigDelta| async move {
-                    Ok::<FetchedConfig, _>(pushed(&shell, delta).await)
+                    Ok::<FetchedConfig, _>(apply_pushed_config(&shared, delta).await)
                 })
                 .await
             }
         })
 }
 
-/// Takes a pushed configuration, and answers with what the pusher lacks.
+/// Applies a pushed configuration, and returns what the pusher lacks.
 ///
-/// The merge runs apart from the threads on which answers stream.
-async fn pushed(shell: &Shell, delta: ConfigDelta) -> FetchedConfig {
+/// The merge runs off the threads on which answers stream.
+async fn apply_pushed_config(shared: &Shared, delta: ConfigDelta) -> FetchedConfig {
     let config_version = delta.version;
-    // Whatever became of it, the answer shows what is held here.
-    let _applied = shell.member.learn_config_apart(delta).await;
-    shell.member.fetched(&FetchConfig { config_version })
+    // The reply shows the configuration in force here, whether or not the delta was applied.
+    let _applied = shared.member.learn_config_apart(delta).await;
+    shared.member.fetched(&FetchConfig { config_version })
 }
 
-fn verdict(shell: &Shell, ask: &AskVerdict) -> VerdictReply {
-    let incarnation = shell.member.incarnation();
+fn verdict(shared: &Shared, ask: &AskVerdict) -> VerdictReply {
+    let incarnation = shared.member.incarnation();
     let verdict = if ask.incarnation == incarnation {
-        shell.tell(|dispatcher, now| dispatcher.ask_verdict(ask.claim_id, now))
+        shared.update(|dispatcher, now| dispatcher.ask_verdict(ask.claim_id, now))
     } else {
         hinge_outcome::Verdict::Unknown
     };
@@ -304,17 +311,17 @@
     }
 }
 
-fn cancel(shell: &Shell, run: &CancelRun) -> VerdictReply {
-    let incarnation = shell.member.incarnation();
+fn cancel(shared: &Shared, run: &CancelRun) -> VerdictReply {
+    let incarnation = shared.member.incarnation();
     let verdict = if run.incarnation == incarnation {
-        shell.tell(|dispatcher, now| dispatcher.cancel(run.claim_id, now))
+        shared.update(|dispatcher, now| dispatcher.cancel(run.claim_id, now))
     } else {
         hinge_outcome::Verdict::Unknown
     };
-    if let Some(live) = shell.live(run.claim_id, run.request_id) {
-        // Nobody waits for the rest of a cancelled answer.
-        live.answer.set_taken();
-        shell.sweep();
+    if let Some(live) = shared.live(run.claim_id, run.request_id) {
+        // The entry won't read the rest of a cancelled answer.
+        live.answer.set_delivered();
+        shared.sweep();
     }
     VerdictReply {
         verdict: wire_verdict(verdict),
--- a/crates/sidecar/src/sums.rs
+++ b/crates/sidecar/src/sums.rs
@@ -1,4 +1,4 @@
-//! Reports sums of service to control or a relay, and takes the fleet's totals.
+//! Reports sums of service to control or a relay, and applies the fleet's totals that come back.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,31 +10,31 @@
 };
 use tokio::time::{MissedTickBehavior, interval};
 
-use crate::shared::Shell;
+use crate::shared::Shared;
 
 const SUMS_PATH: &str = "/v1/sums";
 
-/// Longest wait for one instance; a lost report needs no resending, as the next one carries its changes too.
+/// Longest wait for one instance; a lost report is not resent, as the next one includes its changes.
 const SUMS_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Reports changed sums until it is dropped.
+/// A task that periodically reports the changed sums.
 pub(crate) struct Reporter {
-    shell: Arc<Shell>,
+    shared: Arc<Shared>,
     client: Client,
     preferred: usize,
 }
 
 impl Reporter {
-    pub(crate) fn new(shell: Arc<Shell>, client: Client) -> Self {
+    pub(crate) fn new(shared: Arc<Shared>, client: Client) -> Self {
         Self {
-            shell,
+            shared,
             client,
             preferred: 0,
         }
     }
 
     pub(crate) async fn run(mut self) {
-        let mut ticks = interval(self.shell.settings.sums_interval);
+        let mut ticks = interval(self.shared.settings.sums_interval);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
@@ -43,27 +43,27 @@
     }
 
     async fn report(&mut self) {
-        let member = self.shell.member.clone();
+        let member = self.shared.member.clone();
         let incarnation = member.incarnation();
-        let report = self.shell.tell(|dispatcher, _now| {
+        let report = self.shared.update(|dispatcher, _now| {
             dispatcher
                 .queue_mut()
                 .report(member.instance(), incarnation)
         });
-        let report = message(report, &self.shell.settings.pool);
+        let report = report_message(report, &self.shared.settings.pool);
         let Some(totals) = self.send(&report).await else {
             return;
         };
         if totals.incarnation != incarnation {
             return;
         }
-        let reply = reply(totals);
-        self.shell
-            .tell(|dispatcher, now| dispatcher.queue_mut().apply_totals(now, &reply));
+        let reply = totals_reply(totals);
+        self.shared
+            .update(|dispatcher, now| dispatcher.queue_mut().apply_totals(now, &reply));
     }
 
     async fn send(&mut self, report: &ServiceReport) -> Option<ServiceTotals> {
-        let control = self.shell.member.control();
+        let control = self.shared.member.control();
         for _ in 0..control.len() {
             let address = &control[self.preferred];
             let called = self.client.call(address, SUMS_PATH, report, SUMS_TIMEOUT);
@@ -76,7 +76,7 @@
     }
 }
 
-fn message(report: SumsReport, pool: &str) -> ServiceReport {
+fn report_message(report: SumsReport, pool: &str) -> ServiceReport {
     ServiceReport {
         pool: pool.into(),
         source: report.origin.source,
@@ -105,7 +105,7 @@
     }
 }
 
-fn reply(totals: ServiceTotals) -> TotalsReply {
+fn totals_reply(totals: ServiceTotals) -> TotalsReply {
     TotalsReply {
         incarnation: totals.incarnation,
         generation: totals.generation,
@@ -119,11 +119,11 @@
         rooted_mark: totals.rooted_mark,
         floor_units: totals.floor_units,
         rejoin_count: totals.rejoin_count,
-        teams: totals.totals.into_iter().map(total).collect(),
+        teams: totals.totals.into_iter().map(team_total).collect(),
     }
 }
 
-fn total(total: ServiceTotal) -> TeamTotal {
+fn team_total(total: ServiceTotal) -> TeamTotal {
     TeamTotal {
         team: total.team,
         normalised_units: total.normalised_units,
--- a/crates/sidecar/tests/decisions.rs
+++ b/crates/sidecar/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Checks the pure decisions: grants, metering, fencing.
+//! Tests of the code without I/O: dispatch, metering and fencing.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -64,7 +64,7 @@
     offer(dispatcher, new_offer(request_id, Class::Standard, 0))
 }
 
-/// Returns the grants since the last look.
+/// Returns the grants since the last call.
 fn grants(dispatcher: &mut Dispatcher) -> Vec<(OfferId, ClaimId)> {
     let actions = dispatcher.take_actions();
     let granted = actions.into_iter().filter_map(|action| match action {
@@ -92,7 +92,7 @@
         let mut dispatcher = dispatcher(2, 0, 1);
         let (first, _second) = (standard(&mut dispatcher, 1), standard(&mut dispatcher, 2));
         assert_eq!(granted_ids(&mut dispatcher), [first]);
-        // The second one keeps its place in the queue: it is not picked for a slot that it may not have.
+        // The second offer stays in the queue: it is not picked for a slot that is reserved for urgent offers.
         assert_eq!(dispatcher.queue().running(), 1);
         let urgent = offer(&mut dispatcher, new_offer(3, Class::Urgent, 0));
         assert_eq!(granted_ids(&mut dispatcher), [urgent]);
@@ -120,12 +120,12 @@
         let with = offer(&mut dispatcher, NewOffer { team: "franchise".into(), ..new_offer(3, Class::Urgent, 0) });
         assert_eq!(granted_ids(&mut dispatcher), [first, with]);
     }
-    an_only_slot_is_not_reserved => {
+    a_single_slot_is_not_reserved => {
         let mut dispatcher = dispatcher(1, 0, 1);
         let only = standard(&mut dispatcher, 1);
         assert_eq!(granted_ids(&mut dispatcher), [only]);
     }
-    a_small_offer_does_not_pass_a_large_one_that_waits_for_kv_cache => {
+    a_small_offer_does_not_overtake_a_large_one_that_waits_for_kv_cache => {
         let mut dispatcher = dispatcher(4, 100, 0);
         let first = offer(&mut dispatcher, new_offer(1, Class::Standard, 60));
         let large = offer(&mut dispatcher, new_offer(2, Class::Standard, 60));
@@ -136,7 +136,7 @@
         dispatcher.expire_grant(granted[0].1, NOW);
         assert_eq!(granted_ids(&mut dispatcher), [large, small]);
     }
-    an_urgent_offer_passes_one_that_waits_for_kv_cache => {
+    an_urgent_offer_overtakes_one_that_waits_for_kv_cache => {
         let mut dispatcher = dispatcher(4, 100, 1);
         offer(&mut dispatcher, new_offer(1, Class::Standard, 60));
         offer(&mut dispatcher, new_offer(2, Class::Standard, 60));
@@ -148,7 +148,7 @@
         let huge = offer(&mut dispatcher, new_offer(1, Class::Standard, 1_000_000));
         assert_eq!(granted_ids(&mut dispatcher), [huge]);
     }
-    a_question_does_not_withdraw_a_run_whose_request_is_here => {
+    asking_for_a_verdict_does_not_withdraw_a_bound_run => {
         let mut dispatcher = dispatcher(1, 0, 0);
         standard(&mut dispatcher, 1);
         let claim = grants(&mut dispatcher)[0].1;
@@ -177,7 +177,7 @@
         let team = dispatcher.queue().team_index("school").expect("the team has offered");
         assert_eq!(dispatcher.queue().account(team).service_units(), 38);
     }
-    an_offer_that_is_withdrawn_leaves_its_place => {
+    a_withdrawn_offer_leaves_the_queue => {
         let mut dispatcher = dispatcher(1, 0, 0);
         standard(&mut dispatcher, 1);
         let (gone, next) = (standard(&mut dispatcher, 2), standard(&mut dispatcher, 3));
@@ -186,7 +186,7 @@
         dispatcher.complete(claim, 10, NOW);
         assert_eq!(granted_ids(&mut dispatcher), [next]);
     }
-    a_late_offer_is_refused_before_its_deadline_costs_a_slot => {
+    an_offer_past_its_deadline_is_refused_without_taking_a_slot => {
         let mut dispatcher = dispatcher(1, 0, 0);
         standard(&mut dispatcher, 1);
         let mut late = new_offer(2, Class::Standard, 0);
@@ -197,14 +197,14 @@
         let refused = dispatcher.take_actions();
         assert!(matches!(refused[..], [Action::Refuse { offer_id, refusal }] if offer_id == late && refusal.reason == NotRunReason::Deadline));
     }
-    a_team_that_the_configuration_has_lost_is_refused => {
+    a_team_missing_from_the_configuration_is_refused => {
         let mut dispatcher = dispatcher(1, 0, 0);
         standard(&mut dispatcher, 1);
         let lost = NewOffer { rules: None, ..new_offer(2, Class::Standard, 0) };
         let refusal = dispatcher.offer(NOW, lost, 1).expect_err("the team is gone");
         assert_eq!(refusal.reason, NotRunReason::NotReady);
     }
-    a_planned_stop_refuses_what_waits_and_leaves_a_grant_alone => {
+    a_planned_stop_refuses_waiting_offers_and_keeps_grants => {
         let mut dispatcher = dispatcher(1, 0, 0);
         standard(&mut dispatcher, 1);
         let waiting = standard(&mut dispatcher, 2);
@@ -215,7 +215,7 @@
         let refusal = dispatcher.offer(NOW, new_offer(3, Class::Standard, 0), 1).expect_err("it is leaving");
         assert_eq!(refusal.reason, NotRunReason::Leaving);
     }
-    an_ejected_endpoint_refuses_what_waits_and_what_is_new => {
+    an_ejected_endpoint_refuses_waiting_and_new_offers => {
         let mut dispatcher = dispatcher(1, 0, 0);
         standard(&mut dispatcher, 1);
         let waiting = standard(&mut dispatcher, 2);
@@ -249,7 +249,7 @@
     }
 }
 
-/// Feeds the core one step that is drawn from a byte, and forgets what it granted.
+/// Applies one step, chosen by a byte, to the dispatcher, and adds its new grants to the known ones.
 fn step(dispatcher: &mut Dispatcher, known: &mut Vec<(OfferId, ClaimId)>, number: u64, drawn: u8) {
     let pick = |known: &Vec<(OfferId, ClaimId)>| {
         known
@@ -270,8 +270,8 @@
 }
 
 quickcheck! {
-    // Whatever happens, slots are taken exactly by open grants, never too many, and free ones don't idle beside waiting work.
-    fn slots_are_neither_lost_nor_given_twice(steps: Vec<u8>) -> bool {
+    // After any steps, taken slots equal open grants, never exceed the limit, and don't stay free while work waits for them.
+    fn slots_are_neither_leaked_nor_granted_twice(steps: Vec<u8>) -> bool {
         let (mut dispatcher, mut known) = (dispatcher(3, 0, 1), Vec::new());
         steps.iter().zip(1..).all(|(drawn, number)| {
             step(&mut dispatcher, &mut known, number, *drawn);
@@ -281,7 +281,7 @@
         })
     }
 
-    fn the_parts_of_a_stream_do_not_change_its_cost(cuts: Vec<u8>) -> bool {
+    fn chunk_boundaries_do_not_change_the_cost_of_a_stream(cuts: Vec<u8>) -> bool {
         let stream = b"data: {\"a\":1}\n\ndata: {\"usage\":{\"prompt_tokens\":9,\"completion_tokens\":2}}\n\ndata: [DONE]\n\n";
         let mut meter = Meter::start(MODEL, 40, true, NOW);
         let (mut rest, mut charged) = (&stream[..], 0);
--- a/crates/sidecar/tests/sidecar/faults.rs
+++ b/crates/sidecar/tests/sidecar/faults.rs
@@ -1,4 +1,4 @@
-//! Checks that every fault of the endpoint or of control gets its true outcome, beside the stand-in's record of what ran.
+//! Tests that each fault of the endpoint or of control is reported with the outcome that the stand-in's record shows.
 
 use std::time::Duration;
 
@@ -10,15 +10,15 @@
 };
 use hinge_sidecar::SidecarSettings;
 
-use crate::support::{Bed, WAIT, offer};
+use crate::support::{TestBed, WAIT, offer};
 
-pub(crate) fn impatient(settings: &mut SidecarSettings) {
+pub(crate) fn short_timeouts(settings: &mut SidecarSettings) {
     settings.head_timeout = Duration::from_millis(50);
     settings.idle_timeout = Duration::from_millis(50);
 }
 
-/// Runs a request that streams ten tokens into a fault, and returns how it failed and what the sidecar says later.
-pub(crate) async fn fail_by(bed: &Bed, fault: Fault) -> (Failed, Verdict) {
+/// Runs a request under a fault, and returns its failure and the sidecar's later verdict.
+pub(crate) async fn run_into_fault(bed: &TestBed, fault: Fault) -> (Failed, Verdict) {
     bed.stand_in.set_fault(Some(fault));
     let (mut entry, granted) = bed.stream(offer(1), 10).await;
     let failed = loop {
@@ -31,15 +31,15 @@
     (failed, bed.verdict(&granted).await)
 }
 
-async fn is_unknown(fault: Fault, reason: NotRunReason) {
-    let bed = Bed::open(impatient).await;
-    let (failed, verdict) = fail_by(&bed, fault).await;
+async fn check_outcome_unknown(fault: Fault, reason: NotRunReason) {
+    let bed = TestBed::open(short_timeouts).await;
+    let (failed, verdict) = run_into_fault(&bed, fault).await;
     assert_eq!((failed.kind, failed.reason), (FailureKind::Unknown, reason));
     assert_eq!(verdict, Verdict::Failed);
-    assert_eq!(bed.ran(1).0, 1);
+    assert_eq!(bed.run_counts(1).0, 1);
 }
 
-/// Returns an address where nobody listens.
+/// Returns an address on which nothing listens.
 async fn dead_address() -> Box<str> {
     let stand_in = StandIn::bind(StandInSettings::default()).await;
     let stand_in = stand_in.expect("a free port exists");
@@ -48,68 +48,68 @@
     address.into()
 }
 
-fn billed(request_id: u64) -> Offer {
+fn non_idempotent(request_id: u64) -> Offer {
     Offer {
         idempotent: false,
         ..offer(request_id)
     }
 }
 
-async fn is_denied(verdict: Option<ClaimVerdict>, reason: NotRunReason) {
-    let bed = Bed::open(|_| ()).await;
+async fn check_claim_denied(verdict: Option<ClaimVerdict>, reason: NotRunReason) {
+    let bed = TestBed::open(|_| ()).await;
     bed.claims.answer(verdict);
-    let (mut entry, granted) = bed.stream(billed(1), 1).await;
+    let (mut entry, granted) = bed.stream(non_idempotent(1), 1).await;
     let failed = entry.whole().await.expect_err("the key is denied");
     assert_eq!((failed.kind, failed.reason), (FailureKind::NotRun, reason));
     assert_eq!(bed.verdict(&granted).await, Verdict::NeverHandedOver);
-    assert_eq!(bed.ran(1), (0, 0));
+    assert_eq!(bed.run_counts(1), (0, 0));
 }
 
 async_cases! { real
     an_endpoint_that_hangs_leaves_the_outcome_unknown => {
-        is_unknown(Fault::Hang, NotRunReason::EndpointFailed).await;
+        check_outcome_unknown(Fault::Hang, NotRunReason::EndpointFailed).await;
     }
     an_endpoint_that_stalls_leaves_the_outcome_unknown => {
-        is_unknown(Fault::Stall { after_bytes: 30 }, NotRunReason::EndpointFailed).await;
+        check_outcome_unknown(Fault::Stall { after_bytes: 30 }, NotRunReason::EndpointFailed).await;
     }
-    an_answer_that_is_cut_is_truncated_and_not_shorter => {
-        is_unknown(Fault::Cut { after_bytes: 30 }, NotRunReason::AnswerTruncated).await;
+    a_cut_answer_is_reported_as_truncated => {
+        check_outcome_unknown(Fault::Cut { after_bytes: 30 }, NotRunReason::AnswerTruncated).await;
     }
     an_answer_of_another_request_is_crossed_and_none_of_it_is_passed_on => {
-        let bed = Bed::open(|_| ()).await;
+        let bed = TestBed::open(|_| ()).await;
         bed.stand_in.set_fault(Some(Fault::Crossed));
         let (mut entry, _) = bed.stream(offer(1), 10).await;
         let failed = entry.whole().await.expect_err("the answer is crossed");
         assert_eq!((failed.kind, failed.reason), (FailureKind::Unknown, NotRunReason::AnswerCrossed));
-        assert_eq!(bed.ran(1).0, 1);
+        assert_eq!(bed.run_counts(1).0, 1);
     }
     a_refused_connection_is_not_run => {
         let dead = dead_address().await;
-        let bed = Bed::open(|settings| settings.endpoint_address = dead).await;
+        let bed = TestBed::open(|settings| settings.endpoint_address = dead).await;
         let (mut entry, granted) = bed.stream(offer(1), 1).await;
         let failed = entry.whole().await.expect_err("nobody listens");
         assert_eq!((failed.kind, failed.reason), (FailureKind::NotRun, NotRunReason::EndpointRefused));
         assert_eq!(bed.verdict(&granted).await, Verdict::NeverHandedOver);
     }
     a_failing_endpoint_gets_no_work => {
-        let bed = Bed::open(|settings| {
-            impatient(settings);
+        let bed = TestBed::open(|settings| {
+            short_timeouts(settings);
             settings.load_interval = WAIT;
             settings.health.max_failures_in_row = 1;
         }).await;
-        fail_by(&bed, Fault::Hang).await;
+        run_into_fault(&bed, Fault::Hang).await;
         let refused = bed.offer(offer(2)).await.refused().await;
         assert_eq!(refused.reason, NotRunReason::NoEndpoint);
         assert!(bed.sidecar.is_ejected());
     }
     a_failing_endpoint_is_probed_and_readmitted => {
-        let bed = Bed::open(|settings| {
-            impatient(settings);
+        let bed = TestBed::open(|settings| {
+            short_timeouts(settings);
             settings.load_interval = Duration::from_millis(5);
             let soon = Duration::from_millis(5);
             settings.health = HealthRules { max_failures_in_row: 1, probe_after: soon, probe_timeout: soon, ..settings.health };
         }).await;
-        fail_by(&bed, Fault::Hang).await;
+        run_into_fault(&bed, Fault::Hang).await;
         bed.stand_in.set_fault(None);
         let readmitted = async {
             for request_id in 2.. {
@@ -122,21 +122,21 @@
         tokio::time::timeout(WAIT, readmitted).await.expect("the endpoint is readmitted");
         assert!(!bed.sidecar.is_ejected());
     }
-    a_key_that_runs_is_not_run_again => {
-        is_denied(Some(ClaimVerdict::AlreadyRunning), NotRunReason::AlreadyRunning).await;
+    a_request_with_a_running_key_is_not_run => {
+        check_claim_denied(Some(ClaimVerdict::AlreadyRunning), NotRunReason::AlreadyRunning).await;
     }
-    a_key_that_has_finished_is_not_run_again => {
-        is_denied(Some(ClaimVerdict::Finished), NotRunReason::KeyFinished).await;
+    a_request_with_a_finished_key_is_not_run => {
+        check_claim_denied(Some(ClaimVerdict::Finished), NotRunReason::KeyFinished).await;
     }
     a_key_of_another_request_is_a_conflict => {
-        is_denied(Some(ClaimVerdict::Conflict), NotRunReason::KeyConflict).await;
+        check_claim_denied(Some(ClaimVerdict::Conflict), NotRunReason::KeyConflict).await;
     }
-    without_control_nothing_runs_that_may_not_run_twice => {
-        is_denied(None, NotRunReason::ControlUnreachable).await;
+    without_control_a_non_idempotent_request_is_not_run => {
+        check_claim_denied(None, NotRunReason::ControlUnreachable).await;
     }
     a_request_without_a_key_claims_one_made_of_its_id => {
-        let bed = Bed::open(|_| ()).await;
-        let (mut entry, _) = bed.stream(billed(1), 1).await;
+        let bed = TestBed::open(|_| ()).await;
+        let (mut entry, _) = bed.stream(non_idempotent(1), 1).await;
         entry.whole().await.expect("the key is granted");
         let claimed = bed.claims.claimed.lock().expect("no case panics while it claims").clone();
         assert_eq!(&*claimed[0].key, "request/entry-1-9-1");
@@ -144,10 +144,10 @@
         let finished = finished.wait_for(|all| !all.is_empty()).await.expect("the fake lives").clone();
         assert_eq!(finished[0].outcome, KeyOutcome::Completed);
     }
-    a_key_is_given_back_before_not_run_is_told => {
+    a_key_is_released_before_the_entry_is_told_not_run => {
         let dead = dead_address().await;
-        let bed = Bed::open(|settings| settings.endpoint_address = dead).await;
-        let (mut entry, _) = bed.stream(billed(1), 1).await;
+        let bed = TestBed::open(|settings| settings.endpoint_address = dead).await;
+        let (mut entry, _) = bed.stream(non_idempotent(1), 1).await;
         entry.whole().await.expect_err("nobody listens");
         assert_eq!(bed.claims.finished.borrow()[0].outcome, KeyOutcome::NeverHandedOver);
     }
--- a/crates/sidecar/tests/sidecar/main.rs
+++ b/crates/sidecar/tests/sidecar/main.rs
@@ -1,4 +1,4 @@
-//! Checks a sidecar between a client that plays the entry and a stand-in endpoint, over real connections.
+//! Tests of a sidecar between a client that acts as the entry and a stand-in endpoint, over real connections.
 
 mod answers;
 mod faults;
--- a/crates/sidecar/tests/sidecar/orders.rs
+++ b/crates/sidecar/tests/sidecar/orders.rs
@@ -1,4 +1,4 @@
-//! Checks what goes between a sidecar and control: fencing numbers, claims, sums.
+//! Tests of the calls between a sidecar and control: orders, configuration, announcements, sums and claims.
 
 use std::time::Duration;
 
@@ -16,11 +16,12 @@
 use tokio::sync::watch;
 use viz::{Request, Router};
 
-use crate::faults::{fail_by, impatient};
-use crate::support::{Bed, WAIT, announce, config, key, offer};
+use crate::faults::{run_into_fault, short_timeouts};
+use crate::support::{TestBed, WAIT, announce, config, key, offer};
 
-/// Plays a control instance whose lowest valid fencing number is 5, and that drains every sidecar; it keeps the last report
-/// of sums that holds any, and what was announced.
+/// A fake control instance that drains every sidecar and whose lowest valid fencing number is 5.
+///
+/// It keeps the last report with any sums, and all announcements.
 struct Control {
     server: ServerHandle,
     reports: watch::Receiver<Option<ServiceReport>>,
@@ -78,14 +79,14 @@
     Announced {
         config_version: 4,
         fence: 5,
-        // A third of it is longer than any case waits.
+        // Announcements are renewed after a third of the lease, which is longer than any test waits.
         lease_ms: 600_000,
         members_version: 0,
         drained: Some(true),
     }
 }
 
-/// Grants keys that begin with `free`, and says of others that they run.
+/// Grants keys that begin with `free`, and answers that others are already running.
 fn claimed(batch: &ClaimBatch) -> ClaimBatchReply {
     let answer = |claim: &ClaimKey| ClaimReply {
         verdict: if claim.key.starts_with("free") {
@@ -132,7 +133,7 @@
     }
 }
 
-async fn order(bed: &Bed, fence: u64) -> OrderReply {
+async fn order(bed: &TestBed, fence: u64) -> OrderReply {
     let order = Order {
         order_id: fence,
         fence,
@@ -149,27 +150,27 @@
 
 async_cases! { real
     an_order_before_the_fencing_number_is_known_is_not_ready => {
-        let bed = Bed::open(|_| ()).await;
+        let bed = TestBed::open(|_| ()).await;
         assert_eq!(order(&bed, 9).await.verdict, OrderVerdict::NotReady);
         assert!(bed.stand_in.orders().is_empty());
     }
-    orders_never_go_back_even_at_an_engine_that_ignores_the_number => {
+    older_orders_are_fenced_even_at_an_engine_that_ignores_fencing_numbers => {
         let control = Control::bind().await;
-        let careless = StandInSettings { checks_fence: false, ..StandInSettings::default() };
-        let bed = Bed::under(&control.address(), careless, |_| ()).await;
+        let unfenced = StandInSettings { checks_fence: false, ..StandInSettings::default() };
+        let bed = TestBed::with_control(&control.address(), unfenced, |_| ()).await;
         bed.until_announced().await;
         assert_eq!(order(&bed, 4).await.verdict, OrderVerdict::Fenced);
         assert_eq!(order(&bed, 6).await.verdict, OrderVerdict::Done);
         let refused = order(&bed, 5).await;
         assert_eq!((refused.verdict, refused.highest_fence), (OrderVerdict::Fenced, 6));
         assert_eq!(order(&bed, 6).await.verdict, OrderVerdict::Done);
-        let carried: Vec<u64> = bed.stand_in.orders().iter().map(|order| order.fence).collect();
-        assert_eq!(carried, [6, 6]);
+        let forwarded: Vec<u64> = bed.stand_in.orders().iter().map(|order| order.fence).collect();
+        assert_eq!(forwarded, [6, 6]);
     }
-    a_sidecar_behind_control_takes_nothing_before_it_has_caught_up => {
+    a_sidecar_with_an_older_configuration_than_control_refuses_offers => {
         let control = Control::bind().await;
         let member = Member::spawn(Client::new(key()), announce(), vec![control.address().into()]);
-        let bed = Bed::of(member, StandInSettings::default(), |_| ()).await;
+        let bed = TestBed::with_member(member, StandInSettings::default(), |_| ()).await;
         bed.until_announced().await;
         assert_eq!(bed.member.learn_config(&config(3)), Applied::Advanced(3));
         let refused = bed.offer(offer(1)).await.refused().await;
@@ -180,42 +181,42 @@
     the_end_of_the_last_run_of_a_drained_sidecar_is_announced_at_once => {
         let control = Control::bind().await;
         let held = StandInSettings { fault: Some(Fault::HoldEnd), ..StandInSettings::default() };
-        let bed = Bed::under(&control.address(), held, |_| ()).await;
+        let bed = TestBed::with_control(&control.address(), held, |_| ()).await;
         bed.until_announced().await;
         let (mut entry, _) = bed.stream(offer(1), 20).await;
         bed.member.set_model_version("2");
-        // The run ends only once control knows of it; otherwise no word of its end is owed.
+        // The run must end only after control has heard of it; otherwise its end need not be announced at once.
         let mut announced = control.announced.clone();
         let is_busy = |all: &Vec<Announce>| all.iter().any(|announce| announce.running == Some(1));
-        let told = tokio::time::timeout(WAIT, announced.wait_for(is_busy)).await;
-        told.expect("the new version is announced").expect("control lives");
+        let announcement = tokio::time::timeout(WAIT, announced.wait_for(is_busy)).await;
+        announcement.expect("the new version is announced").expect("control lives");
         bed.stand_in.set_fault(None);
         entry.whole().await.expect("the answer is whole");
-        let has_told = |all: &Vec<Announce>| {
+        let has_announced_end = |all: &Vec<Announce>| {
             let busy = all.iter().position(|announce| announce.running == Some(1));
             busy.is_some_and(|at| all[at..].iter().any(|announce| announce.running == Some(0)))
         };
         let mut announced = control.announced.clone();
-        let told = tokio::time::timeout(WAIT, announced.wait_for(has_told)).await;
-        told.expect("it doesn't wait for the lease").expect("control lives");
+        let announcement = tokio::time::timeout(WAIT, announced.wait_for(has_announced_end)).await;
+        announcement.expect("the announcement does not wait for the lease's renewal").expect("control lives");
     }
     an_ejection_is_announced_at_once => {
         let control = Control::bind().await;
-        let bed = Bed::under(&control.address(), StandInSettings::default(), |settings| {
-            impatient(settings);
+        let bed = TestBed::with_control(&control.address(), StandInSettings::default(), |settings| {
+            short_timeouts(settings);
             settings.health.max_failures_in_row = 1;
         }).await;
         bed.until_announced().await;
-        fail_by(&bed, Fault::Hang).await;
-        let is_told = |all: &Vec<Announce>| all.iter().any(|announce| announce.ejected == Some(true));
+        run_into_fault(&bed, Fault::Hang).await;
+        let has_announced_ejection = |all: &Vec<Announce>| all.iter().any(|announce| announce.ejected == Some(true));
         let mut announced = control.announced.clone();
-        let told = tokio::time::timeout(WAIT, announced.wait_for(is_told)).await;
-        told.expect("it doesn't wait for the lease").expect("control lives");
+        let announcement = tokio::time::timeout(WAIT, announced.wait_for(has_announced_ejection)).await;
+        announcement.expect("the announcement does not wait for the lease's renewal").expect("control lives");
     }
     sums_of_service_reach_control => {
         let control = Control::bind().await;
         let quick = |settings: &mut hinge_sidecar::SidecarSettings| settings.sums_interval = Duration::from_millis(5);
-        let bed = Bed::under(&control.address(), StandInSettings::default(), quick).await;
+        let bed = TestBed::with_control(&control.address(), StandInSettings::default(), quick).await;
         let (mut entry, _) = bed.stream(offer(1), 20).await;
         entry.whole().await.expect("the answer is whole");
         let mut reports = control.reports.clone();
--- a/crates/sidecar/tests/sidecar/support.rs
+++ b/crates/sidecar/tests/sidecar/support.rs
@@ -1,4 +1,4 @@
-//! Sets up a sidecar before a stand-in, and plays the entry.
+//! A test bed with a sidecar and a stand-in endpoint, and a client that acts as the entry.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -20,7 +20,7 @@
 use serde_bytes::ByteBuf;
 use tokio::sync::watch;
 
-/// Ends a case that hangs; no case waits for it to pass.
+/// Timeout of a test that hangs; no test waits it out in order to pass.
 pub(crate) const WAIT: Duration = Duration::from_secs(30);
 
 pub(crate) const INCARNATION: u64 = 7;
@@ -76,7 +76,7 @@
     }
 }
 
-/// Answers claims with the given verdicts in turn, then always grants; `None` stands for an unreachable control.
+/// A fake that answers claims with the given verdicts in turn, then grants; `None` stands for an unreachable control.
 #[derive(Debug, Default)]
 pub(crate) struct FakeClaims {
     pub(crate) verdicts: Mutex<VecDeque<Option<ClaimVerdict>>>,
@@ -101,7 +101,7 @@
         let verdict = verdicts.pop_front().unwrap_or(Some(ClaimVerdict::Granted));
         let reply = verdict.map(|verdict| ClaimReply {
             verdict,
-            // Control names the outcome of a finished key.
+            // Control also returns the outcome of a finished key.
             outcome: (verdict == ClaimVerdict::Finished).then(|| "completed".into()),
             retry_after_ms: 5,
         });
@@ -114,8 +114,8 @@
     }
 }
 
-/// Holds a sidecar and what stands around it.
-pub(crate) struct Bed {
+/// A sidecar with its stand-in endpoint, its fake claims and a client.
+pub(crate) struct TestBed {
     pub(crate) stand_in: StandIn,
     pub(crate) sidecar: Sidecar,
     pub(crate) member: Member,
@@ -124,23 +124,23 @@
     pub(crate) address: String,
 }
 
-impl Bed {
+impl TestBed {
     pub(crate) async fn open(change: impl FnOnce(&mut SidecarSettings)) -> Self {
-        Self::before(StandInSettings::default(), change).await
+        Self::with_stand_in(StandInSettings::default(), change).await
     }
 
-    pub(crate) async fn before(
+    pub(crate) async fn with_stand_in(
         stand_in: StandInSettings,
         change: impl FnOnce(&mut SidecarSettings),
     ) -> Self {
         let member = Member::detached(announce());
         let applied = member.learn_config(&config(3));
         assert_eq!(applied, Applied::Advanced(3));
-        Self::of(member, stand_in, change).await
+        Self::with_member(member, stand_in, change).await
     }
 
-    /// Sets a sidecar up whose member talks to the given control instance.
-    pub(crate) async fn under(
+    /// Starts a sidecar that announces itself to the given control instance.
+    pub(crate) async fn with_control(
         control: &str,
         stand_in: StandInSettings,
         change: impl FnOnce(&mut SidecarSettings),
@@ -148,10 +148,10 @@
         let client = Client::new(key());
         let member = Member::spawn(client, announce(), vec![control.into()]);
         let _applied = member.learn_config(&config(3));
-        Self::of(member, stand_in, change).await
+        Self::with_member(member, stand_in, change).await
     }
 
-    pub(crate) async fn of(
+    pub(crate) async fn with_member(
         member: Member,
         stand_in: StandInSettings,
         change: impl FnOnce(&mut SidecarSettings),
@@ -161,7 +161,7 @@
             endpoint_address: stand_in.local_address().to_string().into(),
             pool: "forecast".into(),
             slots: 1,
-            // No case that wants another end of a grant may see it run out instead.
+            // Grants must not expire in tests that expect another end.
             grant_lease: WAIT * 2,
             ..SidecarSettings::default()
         };
@@ -227,7 +227,7 @@
         (entry, granted)
     }
 
-    /// Offers a request that streams this many tokens, and binds it.
+    /// Offers a request for this many streamed tokens, and binds it once it is granted.
     pub(crate) async fn stream(&self, offer: Offer, tokens: u32) -> (Entry, Granted) {
         let (entry, granted) = self.granted(offer).await;
         entry.bind("/v1/completions", &stream_body(tokens)).await;
@@ -262,7 +262,7 @@
         reply.verdict
     }
 
-    /// Asks for the rest of an answer.
+    /// Resumes an answer at an offset.
     pub(crate) async fn resume(&self, granted: &Granted, offset: u64, acknowledged: bool) -> Entry {
         Self::resume_at(&self.client, &self.address, granted, offset, acknowledged).await
     }
@@ -295,8 +295,8 @@
         }
     }
 
-    /// Returns the stand-in's counts of a request: runs that began, runs that completed.
-    pub(crate) fn ran(&self, request_id: u64) -> (u32, u32) {
+    /// Returns how many runs of a request began and how many completed, as the stand-in counted them.
+    pub(crate) fn run_counts(&self, request_id: u64) -> (u32, u32) {
         let record = self.stand_in.record();
         let run = record.requests.get(&*format!("entry-1-9-{request_id}"));
         run.map_or((0, 0), |run| (run.begun, run.completed))
@@ -307,17 +307,17 @@
     ClusterKey::derive(b"test")
 }
 
-/// Plays the entry on one exchange.
+/// The entry's side of one exchange.
 pub(crate) struct Entry {
     request_id: u64,
     pub(crate) exchange: Exchange,
-    /// Whether the entry says that it acknowledges; it does so in [`Entry::acknowledged_rest`] only.
+    /// Whether the bind announces acknowledgements; only [`Entry::acknowledged_rest`] sends them.
     pub(crate) acknowledges: bool,
 }
 
-/// What an answer came to.
+/// A complete answer.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) struct Whole {
+pub(crate) struct WholeAnswer {
     pub(crate) status: u16,
     pub(crate) bytes: Vec<u8>,
     pub(crate) service_units: u64,
@@ -346,11 +346,11 @@
     }
 
     pub(crate) async fn send(&self, frame: impl Into<ToSidecar>) {
-        // A sidecar that has given the request up no longer reads.
+        // A sidecar that has ended the run no longer reads.
         let _sent_or_closed = self.exchange.sender.send(&frame.into()).await;
     }
 
-    /// Sends the head and a body whose end claims the given length.
+    /// Sends the bind and a body whose end frame states the given length.
     pub(crate) async fn bind_with_end(&self, path: &str, body: &[u8], total_bytes: u64) {
         let request_id = self.request_id;
         let bind = Bind {
@@ -385,7 +385,7 @@
         self.send(Cancel { request_id }).await;
     }
 
-    /// Says that the whole answer is here, and waits until the sidecar has taken note.
+    /// Confirms that the whole answer has arrived, and waits until the sidecar has ended its side.
     pub(crate) async fn release(self) {
         let Exchange { sender, mut reader } = self.exchange;
         drop(sender);
@@ -394,13 +394,13 @@
         assert_eq!(end.expect("the exchange is whole"), None);
     }
 
-    /// Reads an answer to its end; the frames' order and offsets are checked.
-    pub(crate) async fn whole(&mut self) -> Result<Whole, Failed> {
+    /// Reads an answer to its end, and checks the order and the offsets of its frames.
+    pub(crate) async fn whole(&mut self) -> Result<WholeAnswer, Failed> {
         let Some(FromSidecar::Head(head)) = self.head_or_failed().await? else {
             panic!("an answer begins with its head");
         };
         let (bytes, service_units) = self.rest(0).await?;
-        Ok(Whole {
+        Ok(WholeAnswer {
             status: head.status,
             bytes,
             service_units,
@@ -414,7 +414,7 @@
         }
     }
 
-    /// Reads exactly so many bytes of the body, and acknowledges none.
+    /// Reads chunks until this many bytes of the body have arrived, and acknowledges none.
     pub(crate) async fn read_bytes(&mut self, len: usize) -> Vec<u8> {
         let mut bytes = Vec::new();
         while bytes.len() < len {
@@ -427,7 +427,7 @@
         bytes
     }
 
-    /// Reads the rest of an answer from an offset on, and acknowledges each part.
+    /// Reads the rest of an answer from an offset on, and acknowledges each chunk.
     pub(crate) async fn acknowledged_rest(&mut self, mut offset: u64) -> Result<Vec<u8>, Failed> {
         let mut bytes = Vec::new();
         loop {
