--- a/crates/sidecar/src/claims.rs
+++ b/crates/sidecar/src/claims.rs
@@ -206,8 +206,12 @@
     async fn send(&mut self, batch: &ClaimBatch) -> Option<ClaimBatchReply> {
         for _ in 0..self.control.len() {
             let address = &self.control[self.preferred];
-            let wait = self.timeout / 2;
-            match self.client.call(address, CLAIMS_PATH, batch, wait).await {
+            let call_timeout = self.timeout / 2;
+            match self
+                .client
+                .call(address, CLAIMS_PATH, batch, call_timeout)
+                .await
+            {
                 Ok(reply) => return Some(reply),
                 Err(_error) => self.preferred = (self.preferred + 1) % self.control.len(),
             }
--- a/crates/sidecar/src/dispatch/offers.rs
+++ b/crates/sidecar/src/dispatch/offers.rs
@@ -101,7 +101,7 @@
         /// Reason, and delay before the next offer.
         refusal: Refusal,
     },
-    /// Stops whatever is done for a grant; its run has ended with this verdict.
+    /// Stops all work for a grant; its run has ended with this verdict.
     Stop {
         /// Offer of the grant.
         offer_id: OfferId,
--- a/crates/sidecar/src/endpoint.rs
+++ b/crates/sidecar/src/endpoint.rs
@@ -68,8 +68,11 @@
 }
 
 impl Connection {
-    pub(crate) async fn open(address: &str, wait: Duration) -> Result<Self, NotConnected> {
-        let Ok(Ok(stream)) = timeout(wait, TcpStream::connect(address)).await else {
+    pub(crate) async fn open(
+        address: &str,
+        connect_timeout: Duration,
+    ) -> Result<Self, NotConnected> {
+        let Ok(Ok(stream)) = timeout(connect_timeout, TcpStream::connect(address)).await else {
             return Err(NotConnected);
         };
         // Without TCP_NODELAY the last bytes of a request wait for an acknowledgement; the request works either way.
--- a/crates/sidecar/src/exchange.rs
+++ b/crates/sidecar/src/exchange.rs
@@ -316,8 +316,8 @@
 
 /// Sends an answer over an exchange while reading the entry's side.
 ///
-/// Once the entry holds the whole answer it ends its side or sends a cancel, and the answer is forgotten here; otherwise it
-/// is kept for the resume window.
+/// Once the entry has the whole answer it ends its side or sends a cancel, and the answer is dropped here; otherwise it is
+/// kept for the resume window.
 pub(crate) async fn relay_answer(
     shared: &Arc<Shared>,
     claim: ClaimId,
@@ -360,8 +360,8 @@
 
 /// Returns whether the entry confirms, after the last frame, that it has received the whole answer.
 ///
-/// It ends its side and goes on reading until this side has ended. An entry that drops the whole exchange ends its side as
-/// well, but resets the exchange with it; its answer must be kept.
+/// To confirm, the entry ends its side and goes on reading until this side has ended. An entry that drops the exchange also
+/// ends its side, but resets the exchange with it; its answer must be kept.
 async fn is_delivered(sender: &FrameSender, entry_side: impl Future<Output = EntrySide>) -> bool {
     match timeout(DELIVERY_TIMEOUT, entry_side).await {
         Ok(EntrySide::Cancelled) => true,
--- a/crates/sidecar/src/meter.rs
+++ b/crates/sidecar/src/meter.rs
@@ -46,7 +46,7 @@
     usage: Option<Usage>,
 }
 
-/// Returns what a request costs from its hand-over on, as far as it is known then.
+/// Returns the cost of a request from its hand-over on, as far as it is known at that time.
 #[must_use]
 pub fn hand_over_cost(kind: PoolKind, request_bytes: usize) -> HandOverCost {
     match kind {
--- a/crates/sidecar/src/run.rs
+++ b/crates/sidecar/src/run.rs
@@ -212,8 +212,8 @@
         connection: &mut Connection,
         request: http::Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, Failure> {
-        let wait = self.shared.settings.head_timeout;
-        let sent = timeout(wait, connection.sender.send_request(request)).await;
+        let head_timeout = self.shared.settings.head_timeout;
+        let sent = timeout(head_timeout, connection.sender.send_request(request)).await;
         let response = match sent {
             Ok(Ok(response)) => response,
             Ok(Err(_broken)) => return Err(Failure::by_endpoint(Reason::EndpointFailed)),
@@ -344,9 +344,9 @@
     async fn finish_key(self, verdict: Verdict) {
         if needs_key(&self.bound.offer) {
             let finished = self.shared.claims.finish(self.finish_message(verdict));
-            let wait = self.shared.settings.claim_timeout;
+            let claim_timeout = self.shared.settings.claim_timeout;
             // Control may be unreachable for long; the report is sent later without this run.
-            let _reported_or_elapsed = timeout(wait, finished).await;
+            let _reported_or_elapsed = timeout(claim_timeout, finished).await;
         }
     }
 
