--- a/crates/routing/src/choose.rs
+++ b/crates/routing/src/choose.rs
@@ -1,54 +1,55 @@
-//! Chooses the endpoint of a request by where the parts of its prompt are cached, by load, and by data centre.
+//! Chooses the endpoint of a request by its cached prompt prefix, by load, and by data centre.
 //!
-//! The load pattern: prompts share long parts, and reading one again costs an engine more than everything else that a
-//! request does. Many gateways choose at once and don't see each other's choices. So each shared part has a few *homes*,
-//! which every gateway computes alike from the endpoints' ids (rendezvous hashing); a request goes to the cheapest home
-//! and leaves them only where their load costs more than reading the part anew.
+//! Prompts share long prefixes, and prefilling one again costs an engine more than everything else that a
+//! request does. Many gateways choose at once without seeing each other's choices. Each shared prefix
+//! therefore has a few *homes*, which every gateway computes alike from the ids of the endpoints (rendezvous
+//! hashing). A request goes to the cheapest home, and elsewhere only where the load of the homes costs more
+//! than prefilling the prefix again.
 
 use std::time::Duration;
 
 use smallvec::SmallVec;
 
-use crate::lag::{Backlog, Lag, Room};
+use crate::usage_lag::{Backlog, BacklogLimits, UsageLag};
 
-/// Describes one part of a prompt.
+/// One part of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Number of the part; equal numbers are equal text.
+    /// Identifier of the text; parts with equal identifiers have equal text.
     pub id: u64,
-    /// Its length, in tokens.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
-/// Describes a request's prompt and answer.
+/// The prompt of a request, and the limit of its answer.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// Its parts, in order; the last one is the request's own.
+    /// Parts in order; the last one is specific to the request.
     pub parts: SmallVec<[PromptPart; 4]>,
     /// Tokens of the whole prompt.
     pub prompt_tokens: u32,
-    /// Most tokens of the answer.
+    /// Highest number of tokens in the answer.
     pub max_answer_tokens: u32,
 }
 
 impl Prompt {
     /// Returns the parts that other requests share.
     #[must_use]
-    pub fn shared(&self) -> &[PromptPart] {
+    pub fn shared_parts(&self) -> &[PromptPart] {
         self.parts.split_last().map_or(&[], |(_own, shared)| shared)
     }
 
-    /// Returns the tokens that no other request shares.
+    /// Returns the number of tokens that no other request shares.
     #[must_use]
-    pub fn own_tokens(&self) -> u32 {
-        let shared = self.shared().iter().map(|part| part.tokens).sum();
+    pub fn unshared_tokens(&self) -> u32 {
+        let shared = self.shared_parts().iter().map(|part| part.tokens).sum();
         self.prompt_tokens.saturating_sub(shared)
     }
 
-    /// Returns the number that stands for the shared parts, and their tokens; none without shared parts.
+    /// Returns the key of the shared prefix and its length in tokens, or `None` without shared parts.
     #[must_use]
     pub fn shared_key(&self) -> Option<(u64, u32)> {
-        let shared = self.shared();
+        let shared = self.shared_parts();
         if shared.is_empty() {
             return None;
         }
@@ -58,136 +59,140 @@
     }
 }
 
-/// Describes an endpoint that could take the request.
+/// An endpoint that could take the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Candidate {
-    /// Number that stands for the endpoint's id, the same at every gateway.
+    /// Hash of the endpoint's id, the same at every gateway.
     pub hash: u64,
-    /// Requests that run or wait there, as far as is known.
+    /// Requests known to run or wait there.
     pub running: u32,
-    /// Requests that it runs at once.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Prompt tokens that it has before it.
+    /// Prompt tokens queued there.
     pub backlog: Backlog,
     /// Whether it is in this gateway's data centre.
-    pub is_near: bool,
-    /// Whether it has read the shared parts lately, as far as this gateway has seen.
-    pub keeps_parts: bool,
+    pub is_local: bool,
+    /// Whether it has processed the shared prefix recently, as far as this gateway has seen.
+    pub has_cached_prefix: bool,
 }
 
-/// Sets what the choice weighs; costs are in microseconds of an engine's time.
+/// The weights of the choice; costs are in microseconds of an engine's time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ChoiceRules {
-    /// Endpoints that keep a shared part.
-    pub homes: usize,
-    /// Cost of one token that has to be read first.
-    pub token_us: u64,
-    /// Cost of one token that would have to be read anew.
+    /// Number of homes of a shared prefix.
+    pub home_count: usize,
+    /// Cost of one queued token, which is prefilled first.
+    pub backlog_token_us: u64,
+    /// Cost of one token of the shared prefix that would have to be prefilled again.
     pub missing_token_us: u64,
-    /// Cost of one request that runs already: every step takes longer, and its prompt may be read first.
+    /// Cost of one running request: it slows down every step, and its prompt may be prefilled first.
     pub running_us: u64,
     /// Cost of a request that would have to wait for a slot.
     pub waiting_us: u64,
-    /// Cost of leaving the data centre: its round trip.
-    pub far_us: u64,
+    /// Cost of leaving the data centre: one round trip.
+    pub remote_us: u64,
     /// Cost of a kilobyte that leaves the data centre.
-    pub far_kb_us: u64,
+    pub remote_kb_us: u64,
 }
 
 impl Default for ChoiceRules {
     /// Returns the defaults.
     ///
-    /// An engine reads some 25 to 45 tokens in a millisecond: 40 µs a token. A part that is read again costs its other
-    /// callers as well, and the most were on time from 100 µs on. A second home would halve the load of a hot part, but
-    /// memory turns over before either home uses the part again. A running request adds some
-    /// 2 ms; beyond the slots a request waits for another to end. Leaving the data centre costs its round trip and
-    /// its bytes, which the users weigh: a kilobyte about as much as 30 tokens that are read again.
+    /// An engine prefills some 25 to 45 tokens per millisecond, hence 40 µs per queued token. Prefilling a
+    /// prefix again delays other callers of the engine as well, and the most requests are on time with a cost
+    /// of 100 µs or more per missing token. A second home would halve the load of a hot prefix, but the cache
+    /// memory is reused before either home sees the prefix again. A running request adds some 2 ms; beyond
+    /// the slots, a request waits for another one to end. Leaving the data centre costs a round trip and the
+    /// bytes sent, to which users give weight: a kilobyte counts about as much as 30 tokens that are
+    /// prefilled again.
     fn default() -> Self {
         Self {
-            homes: 1,
-            token_us: 40,
+            home_count: 1,
+            backlog_token_us: 40,
             missing_token_us: 200,
             running_us: 2_000,
             waiting_us: 60_000,
-            far_us: 8_000,
-            far_kb_us: 5_000,
+            remote_us: 8_000,
+            remote_kb_us: 5_000,
         }
     }
 }
 
 impl ChoiceRules {
-    /// Returns how many tokens an engine reads in some time, as the choice weighs them.
+    /// Returns how many tokens an engine prefills in a given time, by the cost of a queued token.
     #[must_use]
-    pub fn readable_tokens(&self, time: Duration) -> u32 {
-        let tokens = time.as_micros() / u128::from(self.token_us.max(1));
+    pub fn prefillable_tokens(&self, time: Duration) -> u32 {
+        let tokens = time.as_micros() / u128::from(self.backlog_token_us.max(1));
         u32::try_from(tokens).unwrap_or(u32::MAX)
     }
 }
 
-/// Returns the rank of an endpoint as a home of a shared part; the highest ones are its homes.
+/// Returns the rank of an endpoint for a shared prefix; the endpoints with the highest ranks are its homes.
 #[must_use]
 pub fn home_rank(key: u64, endpoint: u64) -> u64 {
     mix(key ^ mix(endpoint))
 }
 
-/// Chooses an endpoint, and returns its place among the candidates; none if there are no candidates.
+/// Returns the index of the cheapest candidate, or `None` if there are no candidates.
 ///
-/// `far_bytes` are the bytes that leave the data centre with it; `draw` decides between equal ones.
+/// `remote_bytes` is the number of bytes that would leave the data centre; `draw` breaks ties.
 #[must_use]
-pub fn choose(
+pub fn choose_endpoint(
     candidates: &[Candidate],
     prompt: Option<&Prompt>,
-    far_bytes: u64,
+    remote_bytes: u64,
     rules: &ChoiceRules,
     draw: u64,
 ) -> Option<usize> {
     let shared = prompt.and_then(Prompt::shared_key);
-    let homes = shared.map(|(key, _)| homes_of(candidates, key, rules.homes + 1));
-    let costs = candidates.iter().enumerate().map(|(place, candidate)| {
+    let homes = shared.map(|(key, _)| homes_of(candidates, key, rules.home_count + 1));
+    let costs = candidates.iter().enumerate().map(|(index, candidate)| {
         let tokens = shared.map_or(0, |(_, tokens)| u64::from(tokens));
         let homes = homes.as_ref();
-        let rank = homes.and_then(|homes| homes.iter().position(|home| *home == place));
-        // Requests that leave the homes go to the next one in rank, so that it has the part the next time.
+        let rank = homes.and_then(|homes| homes.iter().position(|home| *home == index));
+        // Requests that leave the homes go to the next endpoint in rank, so that it has the prefix cached the
+        // next time.
         let missing = match rank {
-            _ if candidate.keeps_parts => 0,
-            Some(rank) if rank < rules.homes => 0,
+            _ if candidate.has_cached_prefix => 0,
+            Some(rank) if rank < rules.home_count => 0,
             Some(_next) => tokens * 3 / 4,
             None => tokens,
         };
         let cost = load_us(candidate, rules)
-            + far_us(candidate, far_bytes, rules)
+            + remote_us(candidate, remote_bytes, rules)
             + missing * rules.missing_token_us;
-        (cost, mix(draw ^ candidate.hash), place)
+        (cost, mix(draw ^ candidate.hash), index)
     });
-    costs.min().map(|(_, _, place)| place)
+    costs.min().map(|(_, _, index)| index)
 }
 
-/// Chooses an endpoint for a request that another one refused, among those that may be asked; none if there are none.
+/// Returns the index of the endpoint to try after a refusal by another one, or `None` if none may be tried.
 ///
-/// The load pattern: a long prompt keeps the endpoint busy that has the shared parts, and a request of a team that has had less than
-/// the others can't wait for it. The next in rank is often as busy, while some endpoint is idle at every moment, or has only asks of
-/// those others waiting. Reading the shared parts anew takes the place of others, so only a team that is behind leaves the next in rank.
+/// A long prompt keeps the endpoint busy that has its prefix cached, and a request of a team with less usage
+/// than the others can't wait for it. The next endpoint in rank is often as busy, while at any moment some
+/// endpoint is idle or has only requests of those other teams waiting. Prefilling the prefix there takes
+/// capacity from others, so only a team that is behind may skip the next endpoint in rank.
 #[must_use]
-pub fn choose_again(
+pub fn choose_after_refusal(
     candidates: &[Candidate],
     prompt: Option<&Prompt>,
-    far_bytes: u64,
+    remote_bytes: u64,
     rules: &ChoiceRules,
-    lag: Lag,
-    room: Room,
+    lag: UsageLag,
+    limits: BacklogLimits,
     draw: u64,
 ) -> Option<usize> {
-    if lag == Lag::Even {
-        let chosen = choose(candidates, prompt, far_bytes, rules, draw)?;
+    if lag == UsageLag::Even {
+        let chosen = choose_endpoint(candidates, prompt, remote_bytes, rules, draw)?;
         return lag
-            .may_ask(candidates[chosen].backlog, room)
+            .may_try(candidates[chosen].backlog, limits)
             .then_some(chosen);
     }
-    let places = candidates.iter().copied().enumerate();
-    let asked = places.filter(|(_, candidate)| lag.may_ask(candidate.backlog, room));
-    let (places, asked): (Vec<usize>, Vec<Candidate>) = asked.unzip();
-    let chosen = choose(&asked, prompt, far_bytes, rules, draw)?;
-    Some(places[chosen])
+    let indexes = candidates.iter().copied().enumerate();
+    let eligible = indexes.filter(|(_, candidate)| lag.may_try(candidate.backlog, limits));
+    let (indexes, eligible): (Vec<usize>, Vec<Candidate>) = eligible.unzip();
+    let chosen = choose_endpoint(&eligible, prompt, remote_bytes, rules, draw)?;
+    Some(indexes[chosen])
 }
 
 fn load_us(candidate: &Candidate, rules: &ChoiceRules) -> u64 {
@@ -198,27 +203,27 @@
     );
     u64::from(candidate.running) * rules.running_us
         + waiting * rules.waiting_us
-        + u64::from(candidate.backlog.tokens()) * rules.token_us
+        + u64::from(candidate.backlog.tokens()) * rules.backlog_token_us
 }
 
-fn far_us(candidate: &Candidate, bytes: u64, rules: &ChoiceRules) -> u64 {
-    if candidate.is_near {
+fn remote_us(candidate: &Candidate, bytes: u64, rules: &ChoiceRules) -> u64 {
+    if candidate.is_local {
         0
     } else {
-        rules.far_us + bytes * rules.far_kb_us / 1_000
+        rules.remote_us + bytes * rules.remote_kb_us / 1_000
     }
 }
 
 fn homes_of(candidates: &[Candidate], key: u64, count: usize) -> SmallVec<[usize; 4]> {
     let ranked = candidates.iter().enumerate();
     let mut ranked: SmallVec<[(u64, usize); 16]> = ranked
-        .map(|(place, candidate)| (home_rank(key, candidate.hash), place))
+        .map(|(index, candidate)| (home_rank(key, candidate.hash), index))
         .collect();
     ranked.sort_unstable_by(|a, b| b.cmp(a));
-    ranked.iter().take(count).map(|(_, place)| *place).collect()
+    ranked.iter().take(count).map(|(_, index)| *index).collect()
 }
 
-/// Spreads the bits of a number (the finaliser of `SplitMix64`).
+/// Mixes the bits of a number (the finaliser of `SplitMix64`).
 fn mix(value: u64) -> u64 {
     let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
