--- a/crates/sidecar/src/rules.rs
+++ b/crates/sidecar/src/rules.rs
@@ -3,7 +3,7 @@
 use hinge_config::effective::{Effective, PoolKind as ConfiguredKind};
 use hinge_placement::SlotRules;
 
-use crate::core::TeamRules;
+use crate::dispatch::TeamRules;
 use crate::settings::{PoolKind, SidecarSettings, UnitWeights};
 
 /// Returns the rules of a team; `None` for an unknown one.
@@ -28,13 +28,13 @@
             cached: weights.cached_prompt_units.into(),
             generated: weights.generated_units.into(),
         }),
-        ConfiguredKind::Service => PoolKind::Plain {
+        ConfiguredKind::Service => PoolKind::Service {
             busy_ms_units: weights.busy_ms_units.into(),
         },
     }
 }
 
-/// Returns what the endpoint has room for, when health allows it this many slots.
+/// Returns the endpoint's capacity when its health allows this many slots.
 pub(crate) fn slots(
     effective: &Effective,
     settings: &SidecarSettings,
@@ -51,7 +51,7 @@
     }
 }
 
-/// Leaves at least one slot to work that is not urgent, or it would wait for ever.
+/// Leaves at least one slot for work that is not urgent, which would otherwise wait forever.
 pub(crate) fn with_common_slot(rules: SlotRules) -> SlotRules {
     let urgent_slots = rules.urgent_slots.min(rules.slots.saturating_sub(1));
     SlotRules {
