--- a/crates/entry/benches/stream.rs
+++ b/crates/entry/benches/stream.rs
@@ -1,7 +1,7 @@
-//! Measures the streamed chunks that one thread of an entry passes on in a second.
+//! Measures how many streamed chunks per second one thread of an entry forwards.
 //!
-//! The entry runs alone on one thread; fake sidecars and callers run on others, in the same process. Each stream has many
-//! chunks of the length of one token's event, so that the setting up of a request weighs little.
+//! The entry has a thread of its own; fake sidecars and callers run on other threads of the same process. Each stream has
+//! many chunks of the length of one token's event, so the set-up of a request has little effect on the result.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,17 +30,17 @@
 use tokio::runtime::{Builder, Runtime};
 use viz::{Body, Request, Router};
 
-/// Chunks of one stream.
+/// Chunks per stream.
 const CHUNKS: u64 = 5_000;
 
-/// Length of a chunk: a token's event with its JSON wrapping.
+/// Length of a chunk: one token's event with its JSON envelope.
 const CHUNK_BYTES: usize = 200;
 
-/// Streams that run at once.
+/// Concurrent streams.
 const STREAMS: u64 = 16;
 
-/// Threads of the fake sidecars and callers, which must be faster than the entry's one.
-const OTHER_THREADS: usize = 6;
+/// Threads of the fake sidecars and callers, enough for the entry's thread to be the bottleneck.
+const PEER_THREADS: usize = 6;
 
 type Http = HttpClient<HttpConnector, Full<Bytes>>;
 
@@ -74,7 +74,7 @@
         status: 200,
         headers: vec![],
     });
-    let _gone = sender.send(&head).await;
+    let _closed = sender.send(&head).await;
     let data = ByteBuf::from(vec![b'x'; CHUNK_BYTES]);
     for number in 0..CHUNKS {
         let chunk = FromSidecar::Chunk(AnswerChunk {
@@ -91,7 +91,7 @@
         total_bytes: CHUNKS * CHUNK_BYTES as u64,
         service_units: 1,
     });
-    let _gone = sender.send(&end).await;
+    let _closed = sender.send(&end).await;
     let _entry_side = reader.next::<ToSidecar>().await;
 }
 
@@ -178,7 +178,7 @@
     .expect("free ports exist")
 }
 
-/// Runs one stream, and returns the bytes that came.
+/// Runs one stream and returns the number of bytes received.
 async fn stream(http: &Http, address: &str) -> u64 {
     let request = http::Request::post(format!("http://{address}/v1/completions"))
         .header("authorization", "Bearer key")
@@ -196,18 +196,18 @@
     bytes
 }
 
-fn others() -> Runtime {
+fn peer_runtime() -> Runtime {
     Builder::new_multi_thread()
-        .worker_threads(OTHER_THREADS)
+        .worker_threads(PEER_THREADS)
         .enable_all()
         .build()
         .expect("threads can be started")
 }
 
 fn streams(criterion: &mut Criterion) {
-    let others = others();
-    let (_server, sidecar) = others.block_on(sidecar());
-    let (told, address) = std::sync::mpsc::channel();
+    let peer_runtime = peer_runtime();
+    let (_server, sidecar) = peer_runtime.block_on(sidecar());
+    let (address_sender, address) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         let runtime = Builder::new_current_thread()
             .enable_all()
@@ -215,7 +215,8 @@
             .expect("a runtime can be built");
         runtime.block_on(async {
             let entry = entry(sidecar).await;
-            told.send(entry.callers_address().to_string())
+            address_sender
+                .send(entry.callers_address().to_string())
                 .expect("the bench waits for it");
             std::future::pending::<()>().await;
         });
@@ -229,7 +230,7 @@
         .measurement_time(Duration::from_secs(10));
     group.bench_function("streamed_chunks_per_thread", |bencher| {
         bencher.iter(|| {
-            others.block_on(async {
+            peer_runtime.block_on(async {
                 let all = (0..STREAMS).map(|_| stream(&http, &address));
                 let bytes: u64 = join_all(all).await.into_iter().sum();
                 assert_eq!(bytes, STREAMS * CHUNKS * CHUNK_BYTES as u64);
--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -1,4 +1,4 @@
-//! Streams an answer to its caller, and never ends a broken one as if it were whole.
+//! Streams an answer to its caller; a broken answer never ends like a complete one.
 
 use std::error::Error;
 use std::fmt;
@@ -13,125 +13,130 @@
 use tokio::time::Instant;
 use viz::{Body, Response};
 
-use crate::bound::{Bound, Turn};
+use crate::bound::{AnswerPart, BoundRequest};
 use crate::headers;
-use crate::job::Job;
-use crate::metrics::Gaps;
+use crate::metrics::WriteGaps;
 use crate::refusal::Refusal;
+use crate::request::RequestContext;
 
-/// Says that an answer broke after its head was sent; it aborts the caller's connection or exchange.
+/// The error of an answer that broke after its head was sent; it aborts the caller's connection or HTTP stream.
 #[derive(Debug, Clone, Copy)]
-pub struct AnswerLost(Outcome);
+pub struct BrokenAnswer(Outcome);
 
-impl fmt::Display for AnswerLost {
+impl fmt::Display for BrokenAnswer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "the answer broke: {}", self.0)
     }
 }
 
-impl Error for AnswerLost {}
+impl Error for BrokenAnswer {}
 
-/// Says what the body does next.
+/// The next step of the response body.
 #[derive(Debug, Clone, Copy)]
-enum Next {
+enum NextStep {
     Read,
-    /// The error event is written; let it leave before the abort.
+    /// The error event was returned; abort once it is written.
     Abort(Outcome),
 }
 
-struct Streaming {
-    bound: Bound,
-    job: Job,
-    gaps: Gaps,
-    wrote_at: Option<Instant>,
-    is_events: bool,
-    next: Next,
+/// The state of a streamed response body.
+struct AnswerStream {
+    bound: BoundRequest,
+    request: RequestContext,
+    gaps: WriteGaps,
+    last_write_at: Option<Instant>,
+    is_event_stream: bool,
+    next: NextStep,
 }
 
 /// Returns the response whose body is the rest of the answer.
-pub fn response(bound: Bound, job: Job, head: &AnswerHead) -> Response {
+pub fn response(bound: BoundRequest, request: RequestContext, head: &AnswerHead) -> Response {
     let headers = headers::for_caller(&head.headers);
-    let is_events = headers
+    let is_event_stream = headers
         .get(CONTENT_TYPE)
         .is_some_and(|value| value.as_bytes().starts_with(b"text/event-stream"));
-    let streaming = Box::new(Streaming {
-        gaps: Gaps::open(&job.shared.metrics, &job.metrics),
+    let answer_stream = Box::new(AnswerStream {
+        gaps: WriteGaps::new(&request.shared.metrics, &request.metrics),
         bound,
-        job,
-        wrote_at: None,
-        is_events,
-        next: Next::Read,
+        request,
+        last_write_at: None,
+        is_event_stream,
+        next: NextStep::Read,
     });
     let mut response = Response::new(Body::from_stream(stream::unfold(
-        Some(streaming),
-        |streaming| async move { streaming?.step().await },
+        Some(answer_stream),
+        |answer_stream| async move { answer_stream?.step().await },
     )));
     *response.status_mut() = StatusCode::from_u16(head.status).unwrap_or(StatusCode::BAD_GATEWAY);
     *response.headers_mut() = headers;
     response
 }
 
-type Written = (Result<Bytes, AnswerLost>, Option<Box<Streaming>>);
+type StreamItem = (Result<Bytes, BrokenAnswer>, Option<Box<AnswerStream>>);
 
-impl Streaming {
-    async fn step(mut self: Box<Self>) -> Option<Written> {
-        if let Next::Abort(outcome) = self.next {
+impl AnswerStream {
+    async fn step(mut self: Box<Self>) -> Option<StreamItem> {
+        if let NextStep::Abort(outcome) = self.next {
             return Some(abort(outcome).await);
         }
-        // The body is asked for its next part once the connection has taken all before.
-        self.bound.passed_on();
-        match self.bound.next_within_silence().await {
-            Turn::Bytes(bytes) => {
-                self.wrote(bytes.len());
+        // The body is polled for the next part once the connection has accepted all before it.
+        self.bound.acknowledge_written();
+        match self.bound.next_before_idle_timeout().await {
+            AnswerPart::Bytes(bytes) => {
+                self.record_write(bytes.len());
                 Some((Ok(bytes), Some(self)))
             }
-            Turn::Settled(Outcome::Completed) => {
-                self.job.count_end(Outcome::Completed);
+            AnswerPart::Settled(Outcome::Completed) => {
+                self.request.count_end(Outcome::Completed);
                 None
             }
-            Turn::Settled(outcome) => Some(self.broke(outcome).await),
-            // The check lets one head pass.
-            Turn::Head(_) => Some((Ok(Bytes::new()), Some(self))),
+            AnswerPart::Settled(outcome) => Some(self.end_broken(outcome).await),
+            // The answer check accepts only one head.
+            AnswerPart::Head(_) => Some((Ok(Bytes::new()), Some(self))),
         }
     }
 
-    fn wrote(&mut self, bytes: usize) {
+    fn record_write(&mut self, bytes: usize) {
         let now = Instant::now();
-        if self.wrote_at.is_none() {
-            let wait = now.duration_since(self.job.arrived);
-            self.job.metrics.first_byte(wait);
+        if self.last_write_at.is_none() {
+            let wait = now.duration_since(self.request.arrived);
+            self.request.metrics.observe_first_byte(wait);
         }
-        let gap = self.wrote_at.map(|at| now.duration_since(at));
-        self.gaps.wrote(bytes, gap);
-        self.wrote_at = Some(now);
+        let gap = self.last_write_at.map(|at| now.duration_since(at));
+        self.gaps.record_write(bytes, gap);
+        self.last_write_at = Some(now);
     }
 
-    async fn broke(mut self: Box<Self>, outcome: Outcome) -> Written {
+    async fn end_broken(mut self: Box<Self>, outcome: Outcome) -> StreamItem {
         let sidecar = self.bound.sidecar();
-        self.job.observe_outcome(sidecar, outcome);
-        self.job.count_end(outcome);
+        self.request.observe_outcome(sidecar, outcome);
+        self.request.count_end(outcome);
         hinge_telemetry::warn!(
             Part::Entry,
             "An answer broke.",
-            team = self.job.team,
-            pool = self.job.pool,
+            team = self.request.team,
+            pool = self.request.pool,
             outcome = outcome,
         );
-        if !self.is_events {
+        if !self.is_event_stream {
             return abort(outcome).await;
         }
-        let refusal =
-            Refusal::of_outcome(outcome, self.job.min_retry_after, self.job.is_resend_safe());
+        let refusal = Refusal::of_outcome(
+            outcome,
+            self.request.min_retry_after,
+            self.request.is_resend_safe(),
+        );
         let event = format!("\n\nevent: error\ndata: {}\n\n", refusal.json());
-        self.next = Next::Abort(outcome);
+        self.next = NextStep::Abort(outcome);
         (Ok(Bytes::from(event)), Some(self))
     }
 }
 
 /// Ends the body with an error.
 ///
-/// The connection writes what it has while the body is pending, so that bytes that were whole leave before the abort.
-async fn abort(outcome: Outcome) -> Written {
+/// Yields first: the connection flushes its buffer while the body is pending, so that valid bytes are written before the
+/// abort.
+async fn abort(outcome: Outcome) -> StreamItem {
     tokio::task::yield_now().await;
-    (Err(AnswerLost(outcome)), None)
+    (Err(BrokenAnswer(outcome)), None)
 }
--- a/crates/entry/src/body.rs
+++ b/crates/entry/src/body.rs
@@ -1,4 +1,4 @@
-//! Reads the body of a caller's request: a bounded part before the grant, the rest after it.
+//! Reads the body of a caller's request: a bounded part is buffered before the grant, the rest is streamed after it.
 
 use std::pin::Pin;
 use std::time::Duration;
@@ -14,48 +14,48 @@
 use viz::{Body, HttpBody};
 
 use crate::refusal::Refusal;
-use crate::teams::Seat;
+use crate::teams::QueuePermit;
 
-/// Longest part of a body in one frame, in bytes; four of them fit the longest frame.
-const PART_BYTES: usize = 256 * 1024;
+/// Most body bytes in one frame, in bytes; the longest frame has room for four times as many.
+const MAX_CHUNK_BYTES: usize = 256 * 1024;
 
-/// Says why a body did not come whole.
+/// The reason why a body was not read completely.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyFault {
-    /// The body is longer than allowed.
+    /// The body is longer than the limit.
     TooLarge {
-        /// Longest body that is allowed, in bytes.
+        /// Longest allowed body, in bytes.
         max_bytes: u64,
     },
-    /// The caller sends too slowly.
+    /// The caller sent the body too slowly.
     TooSlow,
     /// The connection broke, or the caller ended it early.
     Broken,
-    /// The entry holds too many bytes.
+    /// The entry has too many buffered bytes.
     NoRoom,
 }
 
 impl BodyFault {
-    /// Returns what the caller is told when nothing of the body went on.
+    /// Returns the refusal for a caller whose body was not sent to any sidecar.
     #[must_use]
     pub fn refusal(self, retry_after: Duration) -> Refusal {
         match self {
-            Self::TooLarge { max_bytes } => Refusal::mistake(
+            Self::TooLarge { max_bytes } => Refusal::caller_error(
                 StatusCode::PAYLOAD_TOO_LARGE,
                 "body_too_large",
                 format!("The body is too long; allowed are {max_bytes} bytes."),
             ),
-            Self::TooSlow => Refusal::mistake(
+            Self::TooSlow => Refusal::caller_error(
                 StatusCode::REQUEST_TIMEOUT,
                 "body_too_slow",
                 "The body did not come in time.",
             ),
-            Self::Broken => Refusal::mistake(
+            Self::Broken => Refusal::caller_error(
                 StatusCode::BAD_REQUEST,
                 "body_broken",
                 "The body ended early.",
             ),
-            Self::NoRoom => Refusal::not_now(
+            Self::NoRoom => Refusal::unavailable(
                 Reason::Shed.as_str(),
                 "This entry holds too many waiting bodies.",
                 retry_after,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Returns the reason when a part of the body had gone on, for logs and counts.
+    /// Returns the reason, for logs and metrics, when a part of the body had been sent to a sidecar.
     #[must_use]
     pub fn reason(self) -> Reason {
         match self {
@@ -73,41 +73,45 @@
     }
 }
 
-/// Bounds the reading of a body.
+/// Limits on reading a body.
 #[derive(Debug, Clone, Copy)]
 pub struct BodyLimits {
     /// Longest body, in bytes.
     pub max_bytes: u64,
-    /// Part that is read before the grant, in bytes.
-    pub parked_bytes: usize,
-    /// Longest wait for the caller, summed over the whole body.
-    pub wait: Duration,
+    /// Part that is buffered before the grant, in bytes.
+    pub buffered_bytes: usize,
+    /// Longest total time spent waiting for the caller over the whole body.
+    pub max_wait: Duration,
 }
 
-/// Holds a body whose beginning was read.
+/// A body whose beginning was read into memory.
 #[derive(Debug)]
-pub struct ParkedBody {
-    /// What was read, which is everything if there is no rest.
+pub struct BufferedBody {
+    /// Bytes read so far; the whole body if nothing is left unread.
     pub read: Bytes,
     /// Length of the whole body, if it is known.
     pub total_bytes: Option<u64>,
-    rest: Option<Rest>,
+    unread: Option<UnreadBody>,
 }
 
 #[derive(Debug)]
-struct Rest {
+struct UnreadBody {
     body: Body,
     limits: BodyLimits,
     waited: Duration,
 }
 
-impl ParkedBody {
+impl BufferedBody {
     /// Reads the beginning of a body.
     ///
     /// # Errors
     ///
     /// Returns the fault of the body or its sender.
-    pub async fn read(body: Body, limits: BodyLimits, seat: &mut Seat) -> Result<Self, BodyFault> {
+    pub async fn read(
+        body: Body,
+        limits: BodyLimits,
+        permit: &mut QueuePermit,
+    ) -> Result<Self, BodyFault> {
         let too_large = BodyFault::TooLarge {
             max_bytes: limits.max_bytes,
         };
@@ -115,18 +119,19 @@
         if total_bytes.is_some_and(|total| total > limits.max_bytes) {
             return Err(too_large);
         }
-        let mut rest = Rest {
+        let mut unread = UnreadBody {
             body,
             limits,
             waited: Duration::ZERO,
         };
         let mut read = BytesMut::new();
-        // One byte more than the bound tells a body of just that length from a longer one.
-        while read.len() <= limits.parked_bytes {
-            let Some(part) = rest.next().await? else {
+        // Reading beyond the limit by one byte tells a body of exactly that length from a longer one.
+        while read.len() <= limits.buffered_bytes {
+            let Some(part) = unread.next().await? else {
                 return Ok(Self::whole(read.freeze()));
             };
-            seat.hold(part.len() as u64)
+            permit
+                .reserve_bytes(part.len() as u64)
                 .map_err(|_reason| BodyFault::NoRoom)?;
             read.extend_from_slice(&part);
             if read.len() as u64 > limits.max_bytes {
@@ -136,7 +141,7 @@
         Ok(Self {
             read: read.freeze(),
             total_bytes,
-            rest: Some(rest),
+            unread: Some(unread),
         })
     }
 
@@ -144,64 +149,73 @@
         Self {
             total_bytes: Some(read.len() as u64),
             read,
-            rest: None,
+            unread: None,
         }
     }
 
-    /// Returns whether all of the body is here, so that it can be sent more than once.
+    /// Returns whether the whole body is in memory, so that it can be sent more than once.
     #[must_use]
     pub fn is_whole(&self) -> bool {
-        self.rest.is_none()
+        self.unread.is_none()
     }
 
     /// Returns whether the body can still be sent from its beginning.
     #[must_use]
     pub fn is_sendable(&self) -> bool {
-        self.total_bytes == Some(self.read.len() as u64) || self.rest.is_some()
+        self.total_bytes == Some(self.read.len() as u64) || self.unread.is_some()
     }
 
-    /// Sends the body on, and takes the rest away with it.
+    /// Sends the body to a sidecar, and moves the unread rest into the returned future.
     ///
-    /// Frames that fit the exchange leave at once; what is left is sent by the future, if there is one.
-    pub fn send(&mut self, sender: &FrameSender, request_id: u64) -> Option<Pump> {
+    /// Frames for which the exchange has room are sent at once; the future, if any, sends the others.
+    pub fn send(&mut self, sender: &FrameSender, request_id: u64) -> Option<BodySender> {
         let mut offset = 0;
         let mut read = self.read.clone();
         let is_whole = self.is_whole();
         while !read.is_empty() {
-            let part = read.slice(..read.len().min(PART_BYTES));
-            if sender.try_send(&chunk(request_id, offset, &part)).is_err() {
-                return Some(self.pump(sender.clone(), request_id, offset, read));
+            let part = read.slice(..read.len().min(MAX_CHUNK_BYTES));
+            if sender
+                .try_send(&chunk_frame(request_id, offset, &part))
+                .is_err()
+            {
+                return Some(self.body_sender(sender.clone(), request_id, offset, read));
             }
             offset += part.len() as u64;
             read = read.split_off(part.len());
         }
-        if is_whole && sender.try_send(&end(request_id, offset)).is_ok() {
+        if is_whole && sender.try_send(&end_frame(request_id, offset)).is_ok() {
             return None;
         }
-        Some(self.pump(sender.clone(), request_id, offset, read))
+        Some(self.body_sender(sender.clone(), request_id, offset, read))
     }
 
-    fn pump(&mut self, sender: FrameSender, request_id: u64, offset: u64, read: Bytes) -> Pump {
-        let rest = self.rest.take();
-        Box::pin(pump(sender, request_id, offset, read, rest))
+    fn body_sender(
+        &mut self,
+        sender: FrameSender,
+        request_id: u64,
+        offset: u64,
+        read: Bytes,
+    ) -> BodySender {
+        let unread = self.unread.take();
+        Box::pin(send_unread(sender, request_id, offset, read, unread))
     }
 }
 
-/// Sends the rest of a body; it ends when the body has gone, the caller failed, or the sidecar takes no more.
-pub type Pump = Pin<Box<dyn Future<Output = Result<(), BodyFault>> + Send>>;
+/// A future that sends the rest of a body; it ends when all is sent, the caller failed, or the exchange is closed.
+pub type BodySender = Pin<Box<dyn Future<Output = Result<(), BodyFault>> + Send>>;
 
-async fn pump(
+async fn send_unread(
     sender: FrameSender,
     request_id: u64,
     mut offset: u64,
     mut read: Bytes,
-    mut rest: Option<Rest>,
+    mut unread: Option<UnreadBody>,
 ) -> Result<(), BodyFault> {
     loop {
         while !read.is_empty() {
-            let part = read.split_to(read.len().min(PART_BYTES));
+            let part = read.split_to(read.len().min(MAX_CHUNK_BYTES));
             if sender
-                .send(&chunk(request_id, offset, &part))
+                .send(&chunk_frame(request_id, offset, &part))
                 .await
                 .is_err()
             {
@@ -209,30 +223,30 @@
             }
             offset += part.len() as u64;
         }
-        let next = match &mut rest {
-            Some(rest) => rest.next().await?,
+        let next = match &mut unread {
+            Some(unread) => unread.next().await?,
             None => None,
         };
-        match (next, &rest) {
+        match (next, &unread) {
             (None, _) => break,
-            (Some(part), Some(rest)) if offset + part.len() as u64 > rest.limits.max_bytes => {
+            (Some(part), Some(unread)) if offset + part.len() as u64 > unread.limits.max_bytes => {
                 return Err(BodyFault::TooLarge {
-                    max_bytes: rest.limits.max_bytes,
+                    max_bytes: unread.limits.max_bytes,
                 });
             }
             (Some(part), _) => read = part,
         }
     }
-    // A closed exchange is noticed by the reader of the answer, which knows better what it means.
-    let _closed = sender.send(&end(request_id, offset)).await;
+    // A closed exchange is handled by the reader of the answer, which can tell its cause.
+    let _closed = sender.send(&end_frame(request_id, offset)).await;
     Ok(())
 }
 
-impl Rest {
-    /// Returns the next part; only the wait for the caller counts against its time.
+impl UnreadBody {
+    /// Returns the next part; only the time spent waiting for the caller counts against the limit.
     async fn next(&mut self) -> Result<Option<Bytes>, BodyFault> {
         loop {
-            let left = self.limits.wait.saturating_sub(self.waited);
+            let left = self.limits.max_wait.saturating_sub(self.waited);
             let from = Instant::now();
             let frame = timeout(left, self.body.frame())
                 .await
@@ -241,7 +255,7 @@
             match frame {
                 None => return Ok(None),
                 Some(Err(_broken)) => return Err(BodyFault::Broken),
-                // Trailers end here, as they belong to one connection's framing in all but a few protocols.
+                // Trailers are dropped: in all but a few protocols they only concern the framing of one connection.
                 Some(Ok(frame)) => match frame.into_data() {
                     Ok(data) if !data.is_empty() => return Ok(Some(data)),
                     Ok(_) | Err(_) => {}
@@ -251,7 +265,7 @@
     }
 }
 
-fn chunk(request_id: u64, offset: u64, part: &[u8]) -> ToSidecar {
+fn chunk_frame(request_id: u64, offset: u64, part: &[u8]) -> ToSidecar {
     ToSidecar::Body(BodyChunk {
         request_id,
         offset,
@@ -259,7 +273,7 @@
     })
 }
 
-fn end(request_id: u64, total_bytes: u64) -> ToSidecar {
+fn end_frame(request_id: u64, total_bytes: u64) -> ToSidecar {
     ToSidecar::BodyEnd(BodyEnd {
         request_id,
         total_bytes,
--- a/crates/entry/src/bound.rs
+++ b/crates/entry/src/bound.rs
@@ -1,4 +1,4 @@
-//! Follows a request that is bound to a grant until its answer is whole or its outcome is final.
+//! Reads the answer of a request that is bound to a grant, until it is complete or the outcome is final.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,112 +16,120 @@
 use rand::RngExt;
 use tokio::time::{sleep, timeout};
 
-use crate::body::{BodyFault, Pump};
+use crate::body::{BodyFault, BodySender};
 use crate::estimates::CostFeatures;
-use crate::hold::Hold;
-use crate::job::Job;
+use crate::exchange_guard::ExchangeGuard;
 use crate::offers::Grant;
+use crate::request::RequestContext;
 use crate::shared::Shared;
 use crate::wire;
 
-/// Bytes of an answer that are joined into one write; a write to a caller's socket is about as large.
-const JOINED_BYTES: usize = 64 * 1024;
+/// Size at which chunks are no longer coalesced into one write; about the size of a write to a caller's socket.
+const MAX_COALESCED_BYTES: usize = 64 * 1024;
 
-/// Upper end of the random wait before a sidecar is asked again; it doubles with each ask.
-const ASK_DELAY: Duration = Duration::from_millis(50);
+/// Base of the random delay between verdict calls to a sidecar; its upper bound doubles with each call.
+const VERDICT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Says what comes next of an answer.
+/// The next part of an answer, or the outcome that ended it.
 #[derive(Debug)]
-pub enum Turn {
-    /// The head.
+pub enum AnswerPart {
+    /// The status and headers.
     Head(AnswerHead),
-    /// Bytes of the body, as many as had come.
+    /// Bytes of the body; all that had arrived, up to a limit.
     Bytes(Bytes),
     /// The request has its final outcome.
     Settled(Outcome),
 }
 
-/// Follows one bound request.
-pub struct Bound {
+/// A request that is bound to a grant, with the state of its answer.
+pub struct BoundRequest {
     shared: Arc<Shared>,
     request_id: u64,
     holder: Holder,
     cost_features: Arc<CostFeatures>,
-    hold: Hold,
-    pump: Option<Pump>,
+    guard: ExchangeGuard,
+    body_sender: Option<BodySender>,
     check: AnswerCheck,
     pacer: Option<AckPacer>,
     attempt: Attempt,
-    /// A frame that came behind the bytes of the last turn.
+    /// A frame that was read after the bytes of the last part, and is handled next.
     next_frame: Option<FromSidecar>,
-    asks: u32,
-    /// Outcome that the next turn tells.
+    verdict_calls: u32,
+    /// Outcome that the next call to [`Self::next`] returns.
     settled: Option<Outcome>,
-    /// What went wrong with the caller's body, if that ended the request.
+    /// Fault of the caller's body, if that ended the request.
     pub body_fault: Option<BodyFault>,
 }
 
-impl std::fmt::Debug for Bound {
+impl std::fmt::Debug for BoundRequest {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Bound")
+        f.debug_struct("BoundRequest")
             .field("request_id", &self.request_id)
             .field("holder", &self.holder)
             .finish_non_exhaustive()
     }
 }
 
-impl Bound {
-    /// Binds the request to a grant, and sends its head and body on.
-    pub async fn open(job: &mut Job, mut attempt: Attempt, request_id: u64, grant: Grant) -> Self {
+impl BoundRequest {
+    /// Binds the request to a grant and sends its head and body to the sidecar.
+    pub async fn bind(
+        request: &mut RequestContext,
+        mut attempt: Attempt,
+        request_id: u64,
+        grant: Grant,
+    ) -> Self {
         let Grant {
             holder,
-            mut hold,
+            mut guard,
             replay_bytes,
         } = grant;
         attempt.on(Event::BindSent);
-        // The first frame behind an offer always finds room; a closed exchange is noticed by the reader.
-        let sender = hold.exchange().sender.clone();
-        let _closed = sender.send(&ToSidecar::Bind(job.bind(request_id))).await;
-        let pump = job.body.send(&sender, request_id);
+        // There is always room for the first frame after an offer; a closed exchange is detected by the reader.
+        let sender = guard.exchange().sender.clone();
+        let _closed = sender
+            .send(&ToSidecar::Bind(request.bind(request_id)))
+            .await;
+        let body_sender = request.body.send(&sender, request_id);
         Self {
-            shared: Arc::clone(&job.shared),
-            cost_features: Arc::clone(&job.cost_features),
+            shared: Arc::clone(&request.shared),
+            cost_features: Arc::clone(&request.cost_features),
             request_id,
             holder,
-            hold,
-            pump,
+            guard,
+            body_sender,
             check: AnswerCheck::open(request_id),
-            pacer: replay_bytes.map(pacer),
+            pacer: replay_bytes.map(ack_pacer),
             attempt,
             next_frame: None,
-            asks: 0,
+            verdict_calls: 0,
             settled: None,
             body_fault: None,
         }
     }
 
-    /// Returns the sidecar that granted.
+    /// Returns the sidecar that granted the request.
     #[must_use]
     pub fn sidecar(&self) -> SidecarId {
         self.holder.sidecar
     }
 
-    /// Returns whether anything of the answer has gone to the caller.
+    /// Returns whether the answer's head has been received.
     #[must_use]
     pub fn has_answer_started(&self) -> bool {
         self.check.has_head()
     }
 
-    /// Settles the request for a cause of this entry, such as the deadline, and returns its outcome.
-    pub fn give_up(&mut self, event: Event) -> Outcome {
+    /// Applies an event that ends the request, such as its deadline, and returns the outcome.
+    pub fn settle(&mut self, event: Event) -> Outcome {
         self.attempt.on(event);
         self.outcome()
     }
 
-    /// Acknowledges what has come so far, as the caller's connection has taken it.
+    /// Acknowledges the bytes received so far, which the caller's connection has accepted.
     ///
-    /// The sidecar drops these bytes, and has room for more. When the frame finds no room, the next call makes up for it.
-    pub fn passed_on(&mut self) {
+    /// The sidecar drops them from its replay buffer. When there is no room to send the frame, the next call acknowledges
+    /// these bytes as well.
+    pub fn acknowledge_written(&mut self) {
         let Some(pacer) = &mut self.pacer else {
             return;
         };
@@ -133,47 +141,49 @@
             request_id: self.request_id,
             offset,
         });
-        if self.hold.try_send(&ack) {
+        if self.guard.try_send(&ack) {
             *pacer = next;
         }
     }
 
     /// Returns the next part of the answer, or the outcome.
-    pub async fn next(&mut self) -> Turn {
+    pub async fn next(&mut self) -> AnswerPart {
         loop {
             if let Some(outcome) = self.settled {
-                return Turn::Settled(outcome);
+                return AnswerPart::Settled(outcome);
             }
             let frame = match self.next_frame.take() {
                 Some(frame) => Some(frame),
                 None => self.read().await,
             };
-            let turn = match frame {
-                Some(FromSidecar::Chunk(chunk)) => self.take_chunks(chunk),
-                Some(frame) => self.take(frame),
-                None if self.body_fault.is_some() => Some(Turn::Settled(self.cancel_run().await)),
+            let part = match frame {
+                Some(FromSidecar::Chunk(chunk)) => self.on_chunks(chunk),
+                Some(frame) => self.on_frame(frame),
+                None if self.body_fault.is_some() => {
+                    Some(AnswerPart::Settled(self.cancel_run().await))
+                }
                 None => self.recover().await,
             };
-            if let Some(turn) = turn {
-                if matches!(turn, Turn::Settled(_)) {
-                    self.pump = None;
+            if let Some(part) = part {
+                if matches!(part, AnswerPart::Settled(_)) {
+                    self.body_sender = None;
                 }
-                return turn;
+                return part;
             }
         }
     }
 
-    /// Reads a frame while the body goes on; `None` when the exchange broke or the body failed.
+    /// Reads a frame while the body is being sent; returns `None` when the exchange broke or the body failed.
     async fn read(&mut self) -> Option<FromSidecar> {
         loop {
-            let Some(pump) = &mut self.pump else {
-                return self.hold.exchange().reader.next().await.unwrap_or(None);
+            let Some(body_sender) = &mut self.body_sender else {
+                return self.guard.exchange().reader.next().await.unwrap_or(None);
             };
             tokio::select! {
                 biased;
-                frame = self.hold.exchange().reader.next() => return frame.unwrap_or(None),
-                sent = pump => {
-                    self.pump = None;
+                frame = self.guard.exchange().reader.next() => return frame.unwrap_or(None),
+                sent = body_sender => {
+                    self.body_sender = None;
                     if let Err(fault) = sent {
                         self.body_fault = Some(fault);
                         return None;
@@ -183,20 +193,20 @@
         }
     }
 
-    /// Takes a chunk and those that have come behind it, as one piece.
-    fn take_chunks(&mut self, first: AnswerChunk) -> Option<Turn> {
+    /// Coalesces a chunk with those already received after it.
+    fn on_chunks(&mut self, first: AnswerChunk) -> Option<AnswerPart> {
         let first = match self.check_chunk(first) {
             Ok(bytes) => bytes,
-            Err(outcome) => return Some(Turn::Settled(outcome)),
+            Err(outcome) => return Some(AnswerPart::Settled(outcome)),
         };
-        let mut joined: Option<BytesMut> = None;
+        let mut coalesced: Option<BytesMut> = None;
         loop {
-            let so_far = joined.as_ref().map_or(first.len(), BytesMut::len);
-            if so_far >= JOINED_BYTES {
+            let coalesced_bytes = coalesced.as_ref().map_or(first.len(), BytesMut::len);
+            if coalesced_bytes >= MAX_COALESCED_BYTES {
                 break;
             }
-            // A fault of the reader shows again at the next read, after these bytes have gone.
-            let Ok(Some(frame)) = self.hold.exchange().reader.buffered() else {
+            // An error of the reader is returned again by the next read, after these bytes have been passed on.
+            let Ok(Some(frame)) = self.guard.exchange().reader.buffered() else {
                 break;
             };
             let FromSidecar::Chunk(chunk) = frame else {
@@ -204,26 +214,26 @@
                 break;
             };
             if chunk.request_id != self.request_id {
-                // Checked at the next turn: what came before it was whole and may go.
+                // Rejected by the next call: the bytes before it are valid and are passed on first.
                 self.next_frame = Some(FromSidecar::Chunk(chunk));
                 break;
             }
             match self.check_chunk(chunk) {
-                Ok(bytes) => joined
-                    .get_or_insert_with(|| copy_first(&first))
+                Ok(bytes) => coalesced
+                    .get_or_insert_with(|| start_coalescing(&first))
                     .extend_from_slice(&bytes),
-                // What came before the fault was whole and goes first; the next turn tells the outcome.
+                // The bytes before the fault are valid and are passed on first; the next call returns the outcome.
                 Err(outcome) => {
                     self.settled = Some(outcome);
                     break;
                 }
             }
         }
-        let bytes = joined.map_or(first, BytesMut::freeze);
-        (!bytes.is_empty()).then_some(Turn::Bytes(bytes))
+        let bytes = coalesced.map_or(first, BytesMut::freeze);
+        (!bytes.is_empty()).then_some(AnswerPart::Bytes(bytes))
     }
 
-    /// Returns the bytes of a chunk that are new to the caller.
+    /// Validates a chunk and returns its bytes without those that the caller already has.
     fn check_chunk(&mut self, chunk: AnswerChunk) -> Result<Bytes, Outcome> {
         let frame = Frame::Chunk {
             attempt: chunk.request_id,
@@ -232,21 +242,21 @@
         };
         match self.check.accept(frame) {
             Ok(Accepted::Chunk { skip, pass }) => {
-                self.asks = 0;
+                self.verdict_calls = 0;
                 self.attempt.on(Event::Chunk { bytes: pass });
                 let data = Bytes::from(chunk.data.into_vec());
                 let skip = usize::try_from(skip).expect("a skip is shorter than its chunk");
                 Ok(data.slice(skip..))
             }
             Ok(_) => Ok(Bytes::new()),
-            Err(fault) => Err(self.give_up(Event::AnswerBroken(fault.reason()))),
+            Err(fault) => Err(self.settle(Event::AnswerBroken(fault.reason()))),
         }
     }
 
-    fn take(&mut self, frame: FromSidecar) -> Option<Turn> {
+    fn on_frame(&mut self, frame: FromSidecar) -> Option<AnswerPart> {
         match frame {
-            FromSidecar::Head(head) => self.take_head(head),
-            FromSidecar::Chunk(chunk) => self.take_chunks(chunk),
+            FromSidecar::Head(head) => self.on_head(head),
+            FromSidecar::Chunk(chunk) => self.on_chunks(chunk),
             FromSidecar::End(end) => {
                 let frame = Frame::End {
                     attempt: end.request_id,
@@ -257,24 +267,26 @@
                     Err(fault) => Event::AnswerBroken(fault.reason()),
                 };
                 if event == Event::End {
-                    // Learnt first: the end of the exchange lets the sidecar's next grant, and the next offer, go ahead.
+                    // Update the estimates before the exchange ends, as its end allows the sidecar's next grant and thereby the
+                    // next offer.
                     self.shared
                         .estimates
                         .learn(&self.cost_features, end.service_units);
-                    self.hold.disarm();
+                    self.guard.disarm();
                 }
-                Some(Turn::Settled(self.give_up(event)))
+                Some(AnswerPart::Settled(self.settle(event)))
             }
             FromSidecar::Failed(failed) if failed.request_id == self.request_id => {
                 let verdict = wire::failure(&failed);
-                self.hold.disarm();
+                self.guard.disarm();
                 Some(self.on_verdict(verdict))
             }
-            // The grant ended before the bind arrived: a refusal proves as much as a failure before the hand-over.
+            // The grant ended before the bind arrived: like a failure before the hand-over, a refusal proves that the
+            // request did not run.
             FromSidecar::Refused(refused) if refused.request_id == self.request_id => {
                 let reason = wire::reason(refused.reason);
                 let retry_after = Duration::from_millis(refused.retry_after_ms);
-                self.hold.disarm();
+                self.guard.disarm();
                 Some(self.on_verdict(hinge_outcome::Verdict::NeverHandedOver {
                     reason,
                     retry_after,
@@ -282,57 +294,59 @@
             }
             FromSidecar::Granted(granted) if granted.request_id == self.request_id => None,
             FromSidecar::Failed(_) | FromSidecar::Refused(_) | FromSidecar::Granted(_) => {
-                let outcome = self.give_up(Event::AnswerBroken(Reason::AnswerCrossed));
-                Some(Turn::Settled(outcome))
+                let outcome = self.settle(Event::AnswerBroken(Reason::AnswerCrossed));
+                Some(AnswerPart::Settled(outcome))
             }
         }
     }
 
-    fn take_head(&mut self, head: AnswerHead) -> Option<Turn> {
+    fn on_head(&mut self, head: AnswerHead) -> Option<AnswerPart> {
         let frame = Frame::Head {
             attempt: head.request_id,
         };
         match self.check.accept(frame) {
             Ok(Accepted::Head) => {
-                self.asks = 0;
+                self.verdict_calls = 0;
                 self.attempt.on(Event::Head);
-                Some(Turn::Head(head))
+                Some(AnswerPart::Head(head))
             }
             Ok(_) => None,
             Err(fault) => {
-                let outcome = self.give_up(Event::AnswerBroken(fault.reason()));
-                Some(Turn::Settled(outcome))
+                let outcome = self.settle(Event::AnswerBroken(fault.reason()));
+                Some(AnswerPart::Settled(outcome))
             }
         }
     }
 
-    fn on_verdict(&mut self, verdict: hinge_outcome::Verdict) -> Turn {
+    fn on_verdict(&mut self, verdict: hinge_outcome::Verdict) -> AnswerPart {
         let event = Event::Verdict {
             incarnation: self.holder.incarnation,
             verdict,
         };
-        Turn::Settled(self.give_up(event))
+        AnswerPart::Settled(self.settle(event))
     }
 
-    /// Asks the sidecar after a break, and resumes if the run goes on; `None` when the answer is resumed.
-    async fn recover(&mut self) -> Option<Turn> {
+    /// Asks the sidecar for its verdict after the exchange broke, and resumes a run that goes on.
+    ///
+    /// Returns `None` when the answer is resumed.
+    async fn recover(&mut self) -> Option<AnswerPart> {
         self.attempt.on(Event::LinkLost(self.holder.sidecar));
-        self.hold.lose();
-        // The rest of a body can't follow on another exchange, so such a run can only be proved not to have begun.
-        let has_body_left = self.pump.take().is_some();
-        while self.asks < self.shared.settings.max_asks {
-            self.asks += 1;
-            if self.asks > 1 {
+        self.guard.mark_lost();
+        // The rest of a body can't be sent on another exchange, so such a run can't be resumed, only proved not to have begun.
+        let has_body_left = self.body_sender.take().is_some();
+        while self.verdict_calls < self.shared.settings.max_verdict_calls {
+            self.verdict_calls += 1;
+            if self.verdict_calls > 1 {
                 self.attempt.on(Event::LinkLost(self.holder.sidecar));
-                sleep(self.ask_delay()).await;
+                sleep(self.verdict_retry_delay()).await;
             }
-            let Some(reply) = self.ask().await else {
+            let Some(reply) = self.ask_verdict().await else {
                 continue;
             };
             match self.attempt.on(wire::verdict(&reply)) {
                 Step::Settle { outcome, .. } => {
-                    self.hold.disarm();
-                    return Some(Turn::Settled(outcome));
+                    self.guard.disarm();
+                    return Some(AnswerPart::Settled(outcome));
                 }
                 Step::Resume {
                     offset, has_head, ..
@@ -345,32 +359,32 @@
         } else {
             Event::AskFailed
         };
-        Some(Turn::Settled(self.give_up(event)))
+        Some(AnswerPart::Settled(self.settle(event)))
     }
 
-    fn ask_delay(&self) -> Duration {
-        let limit = ASK_DELAY.saturating_mul(1 << self.asks.min(8));
+    fn verdict_retry_delay(&self) -> Duration {
+        let limit = VERDICT_RETRY_DELAY.saturating_mul(1 << self.verdict_calls.min(8));
         limit.mul_f64(rand::rng().random_range(0.5..=1.0))
     }
 
-    async fn ask(&mut self) -> Option<VerdictReply> {
+    async fn ask_verdict(&mut self) -> Option<VerdictReply> {
         let ask = AskVerdict {
             request_id: self.request_id,
             claim_id: self.holder.claim,
             incarnation: self.holder.incarnation,
         };
-        let wait = self.shared.settings.ask_timeout;
+        let wait = self.shared.settings.call_timeout;
         let client = &self.shared.client;
         let reply = client
-            .call(&self.hold.address, "/v1/verdict", &ask, wait)
+            .call(&self.guard.address, "/v1/verdict", &ask, wait)
             .await;
         match reply {
             Ok(reply) => Some(reply),
             Err(error) => {
                 hinge_telemetry::warn!(
                     Part::Entry,
-                    "A sidecar gave no word on a run.",
-                    address = self.hold.address,
+                    "A sidecar did not answer a verdict call.",
+                    address = self.guard.address,
                     error = error,
                 );
                 None
@@ -381,7 +395,7 @@
     async fn resume(&mut self, offset: u64, has_head: bool) -> bool {
         let wait = self.shared.settings.open_timeout;
         let client = &self.shared.client;
-        let opened = client.open(&self.hold.address, "/v1/resume", wait).await;
+        let opened = client.open(&self.guard.address, "/v1/resume", wait).await;
         let Ok(Exchange { sender, reader }) = opened else {
             return false;
         };
@@ -395,29 +409,29 @@
         if sender.send(&resume).await.is_err() {
             return false;
         }
-        self.shared.metrics.resumed();
-        self.hold.replace(Exchange { sender, reader });
+        self.shared.metrics.count_resume();
+        self.guard.replace(Exchange { sender, reader });
         self.check.resume();
         true
     }
 
-    /// Cancels the run, as its body won't come whole, and returns what the sidecar can prove of it.
+    /// Cancels a run whose body will stay incomplete, and returns the outcome that the sidecar can prove.
     async fn cancel_run(&mut self) -> Outcome {
         let cancel = hinge_schema::messages::CancelRun {
             request_id: self.request_id,
             claim_id: self.holder.claim,
             incarnation: self.holder.incarnation,
         };
-        let wait = self.shared.settings.ask_timeout;
+        let wait = self.shared.settings.call_timeout;
         let client = &self.shared.client;
         let reply: Result<VerdictReply, _> = client
-            .call(&self.hold.address, "/v1/cancel", &cancel, wait)
+            .call(&self.guard.address, "/v1/cancel", &cancel, wait)
             .await;
         if let Ok(reply) = reply {
             self.attempt.on(wire::verdict(&reply));
         }
         let reason = self.body_fault.map_or(Reason::Cancelled, BodyFault::reason);
-        self.give_up(Event::AnswerBroken(reason))
+        self.settle(Event::AnswerBroken(reason))
     }
 
     fn outcome(&self) -> Outcome {
@@ -426,24 +440,24 @@
         })
     }
 
-    /// Waits for the next part, but not longer than an answer may be silent.
-    pub async fn next_within_silence(&mut self) -> Turn {
-        let wait = self.shared.settings.answer_timeout;
+    /// Returns the next part, or settles the request when the answer was silent for the idle timeout.
+    pub async fn next_before_idle_timeout(&mut self) -> AnswerPart {
+        let wait = self.shared.settings.answer_idle_timeout;
         match timeout(wait, self.next()).await {
-            Ok(turn) => turn,
+            Ok(part) => part,
             Err(_elapsed) => {
-                Turn::Settled(self.give_up(Event::AnswerBroken(Reason::EndpointTimeout)))
+                AnswerPart::Settled(self.settle(Event::AnswerBroken(Reason::EndpointTimeout)))
             }
         }
     }
 }
 
-fn pacer(replay_bytes: u64) -> AckPacer {
+fn ack_pacer(replay_bytes: u64) -> AckPacer {
     AckPacer::open(usize::try_from(replay_bytes).unwrap_or(usize::MAX))
 }
 
-fn copy_first(first: &Bytes) -> BytesMut {
-    let mut joined = BytesMut::with_capacity(JOINED_BYTES.min(8 * first.len() + 1024));
-    joined.extend_from_slice(first);
-    joined
+fn start_coalescing(first: &Bytes) -> BytesMut {
+    let mut coalesced = BytesMut::with_capacity(MAX_COALESCED_BYTES.min(8 * first.len() + 1024));
+    coalesced.extend_from_slice(first);
+    coalesced
 }
--- a/crates/entry/src/caller.rs
+++ b/crates/entry/src/caller.rs
@@ -1,4 +1,4 @@
-//! Reads who calls and what the headers promise.
+//! Parses the team key and the request options from a caller's headers.
 
 use std::time::Duration;
 
@@ -14,30 +14,30 @@
 /// Longest idempotency key, in bytes; a UUID has 36.
 const MAX_KEY_BYTES: usize = 255;
 
-/// Longest deadline that a caller may ask for, in milliseconds: a day, as in the configuration.
+/// Longest deadline that a caller may set, in milliseconds: one day, the same limit as in the configuration.
 const MAX_DEADLINE_MS: u64 = 86_400_000;
 
-/// Holds what the headers of a request say, apart from who sent it.
+/// The options that a caller sets in the headers of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Wishes {
+pub struct RequestOptions {
     /// Urgency class.
     pub class: UrgencyClass,
-    /// Time until the answer's head, if the caller names one.
+    /// Time until the answer's head must arrive, if the caller sets one.
     pub deadline: Option<Duration>,
     /// Idempotency key.
     pub key: Option<Box<str>>,
-    /// What the caller says of running twice.
+    /// Whether the request may run more than once, if the caller states it.
     pub is_idempotent: Option<bool>,
-    /// Hint at the cost, in service units.
+    /// Estimated cost given by the caller, in service units.
     pub estimated_units: Option<u64>,
 }
 
-impl Wishes {
-    /// Reads the headers.
+impl RequestOptions {
+    /// Parses the options from the headers.
     ///
     /// # Errors
     ///
-    /// Returns a refusal that names the header that can't be read.
+    /// Returns a refusal that names the first invalid header.
     pub fn read(headers: &HeaderMap) -> Result<Self, Refusal> {
         Ok(Self {
             class: read(headers, URGENCY, "urgent, standard or batch", |text| {
@@ -69,12 +69,12 @@
 
     /// Returns whether the request may run more than once.
     ///
-    /// The caller's own word goes first; a key asks for one run; else generating again does no harm, and neither does a
-    /// plain service's GET or HEAD.
+    /// The caller's explicit header takes precedence. An idempotency key requests at most one run. Otherwise model calls, and
+    /// GET and HEAD requests to a plain service, are safe to repeat.
     #[must_use]
     pub fn may_repeat(&self, kind: PoolKind, method: &Method) -> bool {
-        if let Some(word) = self.is_idempotent {
-            return word;
+        if let Some(is_idempotent) = self.is_idempotent {
+            return is_idempotent;
         }
         if self.key.is_some() {
             return false;
@@ -85,22 +85,22 @@
         }
     }
 
-    /// Returns the time that the request has, from the caller, its class or its pool.
+    /// Returns the time allowed for the request: set by the caller, else by its class, else by its pool.
     #[must_use]
     pub fn deadline(&self, classes: &Classes, pool: &Pool) -> Duration {
-        let of_class = match self.class {
+        let class_settings = match self.class {
             UrgencyClass::Urgent => &classes.urgent,
             UrgencyClass::Standard => &classes.standard,
             UrgencyClass::Batch => &classes.batch,
         };
-        let default_ms = match of_class.deadline_ms {
+        let default_ms = match class_settings.deadline_ms {
             0 => pool.deadline_ms,
             ms => ms,
         };
         self.deadline.unwrap_or(Duration::from_millis(default_ms))
     }
 
-    /// Returns the shortest time to come back after a refusal.
+    /// Returns the shortest retry delay after a refusal.
     #[must_use]
     pub fn min_retry_after(&self, classes: &Classes) -> Duration {
         let class = match self.class {
@@ -125,7 +125,7 @@
     let parsed = value.to_str().ok().map(str::trim).and_then(parse);
     match (parsed, values.next()) {
         (Some(parsed), None) => Ok(Some(parsed)),
-        (_, _) => Err(Refusal::mistake(
+        (_, _) => Err(Refusal::caller_error(
             StatusCode::BAD_REQUEST,
             "bad_header",
             format!("The header {name} must come once; allowed is {allowed}."),
@@ -133,11 +133,11 @@
     }
 }
 
-/// Returns the SHA-256 of the caller's key; the key itself is not kept.
+/// Returns the SHA-256 of the caller's key; the key itself is not stored.
 ///
 /// # Errors
 ///
-/// Returns a refusal when there is no key.
+/// Returns a refusal when the request carries no key.
 pub fn key_hash(headers: &HeaderMap) -> Result<KeyHash, Refusal> {
     let key = headers
         .get(AUTHORIZATION)
@@ -146,7 +146,7 @@
         .map(|(_, key)| key.trim_ascii());
     match key {
         Some(key) if !key.is_empty() => Ok(Sha256::digest(key).into()),
-        _ => Err(Refusal::mistake(
+        _ => Err(Refusal::caller_error(
             StatusCode::UNAUTHORIZED,
             "no_key",
             "Send your team's key as `Authorization: Bearer KEY`.",
--- a/crates/entry/src/estimates.rs
+++ b/crates/entry/src/estimates.rs
@@ -1,7 +1,7 @@
-//! Estimates what a request costs, from what similar requests have cost here.
+//! Estimates the cost of a request from the actual costs of similar requests at this entry.
 //!
-//! Every entry learns by itself: a group of similar requests is believed after a few answers, and the sidecar charges what a
-//! request really took, so that estimates of two entries need not agree.
+//! Every entry learns on its own: the samples of a group of similar requests are used after a few answers. The sidecar charges
+//! the actual cost, so the estimates of two entries need not agree.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -13,38 +13,38 @@
 
 use crate::model::Estimate;
 
-/// Thousandths in a whole; the estimator's weights are in units of a thousand tokens.
+/// Converts weights per token to the estimator's weights per thousand tokens.
 const PERMILLE: u64 = 1000;
 
-/// Holds what the entry knows of a request before it runs.
+/// The properties of a request from which its cost is estimated before it runs.
 #[derive(Debug, Clone)]
 pub struct CostFeatures {
-    /// Pool that is asked for.
+    /// Requested pool.
     pub pool: Box<str>,
-    /// Team that is charged.
+    /// Team that is charged for the request.
     pub team: Box<str>,
     /// Urgency class.
     pub class: UrgencyClass,
-    /// Model that is asked for; empty for a plain service.
+    /// Requested model; empty for a plain service.
     pub model: Box<str>,
-    /// Tokens of the prompt; 0 for a plain service.
+    /// Estimated tokens of the prompt; 0 for a plain service.
     pub prompt_tokens: u64,
-    /// Most tokens that the caller lets the model generate; 0 when it does not say.
+    /// The caller's limit on generated tokens; 0 for none.
     pub max_tokens: u64,
-    /// Cost that the caller expects, in service units of the pool.
+    /// Cost estimated by the caller, in service units of the pool.
     pub hint_units: Option<u64>,
-    /// Hash of the prompt's beginning; 0 for none.
+    /// Hash of the prompt's prefix; 0 for none.
     pub prefix_hash: u64,
 }
 
-/// Learns the costs of each pool; a lock is held for about a microsecond at the start and at the end of a request.
+/// The cost estimators of all pools; the lock is held for about a microsecond at the start and end of a request.
 #[derive(Debug, Default)]
 pub struct Estimates {
-    pools: Mutex<HashMap<Box<str>, Learnt>>,
+    pools: Mutex<HashMap<Box<str>, PoolEstimator>>,
 }
 
 #[derive(Debug)]
-struct Learnt {
+struct PoolEstimator {
     weights: (PoolKind, Weights),
     estimator: Estimator,
 }
@@ -52,58 +52,58 @@
 impl Estimates {
     /// Estimates the cost of a request to a pool.
     ///
-    /// What a pool has taught is dropped when its unit changes.
+    /// The samples of a pool are dropped when its kind or unit weights change.
     #[must_use]
-    pub fn estimate(&self, pool: &Pool, asked: &CostFeatures) -> Estimate {
+    pub fn estimate(&self, pool: &Pool, request: &CostFeatures) -> Estimate {
         let weights = unit_weights(pool);
-        let features = features(asked, weights);
+        let features = features(request, weights);
         let mut pools = self.lock();
-        let learnt = pools
-            .entry(asked.pool.clone())
-            .or_insert_with(|| Learnt::open(pool));
-        if learnt.weights != (pool.kind, pool.weights.clone()) {
-            *learnt = Learnt::open(pool);
+        let pool_estimator = pools
+            .entry(request.pool.clone())
+            .or_insert_with(|| PoolEstimator::new(pool));
+        if pool_estimator.weights != (pool.kind, pool.weights.clone()) {
+            *pool_estimator = PoolEstimator::new(pool);
         }
-        let is_known = learnt.estimator.has_samples(&features);
-        let estimate = learnt.estimator.estimate(&features);
+        let is_known = pool_estimator.estimator.has_samples(&features);
+        let estimate = pool_estimator.estimator.estimate(&features);
         drop(pools);
-        let hinted = asked.hint_units.filter(|_| !is_known);
+        let hinted = request.hint_units.filter(|_| !is_known);
         Estimate {
             units: hinted.unwrap_or(estimate.service_units).max(1),
-            prompt_units: asked.prompt_tokens.saturating_mul(weights.prompt),
+            prompt_units: request.prompt_tokens.saturating_mul(weights.prompt),
             kv_tokens: match pool.kind {
                 PoolKind::Model => estimate.kv_tokens,
                 PoolKind::Service => 0,
             },
-            prefix_hash: asked.prefix_hash,
+            prefix_hash: request.prefix_hash,
         }
     }
 
-    /// Learns what a request has cost, in service units of its pool.
-    pub fn learn(&self, asked: &CostFeatures, service_units: u64) {
+    /// Records the actual cost of a request, in service units of its pool.
+    pub fn learn(&self, request: &CostFeatures, service_units: u64) {
         let mut pools = self.lock();
-        if let Some(learnt) = pools.get_mut(&asked.pool) {
-            let weights = learnt.unit_weights();
-            learnt
+        if let Some(pool_estimator) = pools.get_mut(&request.pool) {
+            let weights = pool_estimator.unit_weights();
+            pool_estimator
                 .estimator
-                .learn(&features(asked, weights), service_units);
+                .learn(&features(request, weights), service_units);
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<Box<str>, Learnt>> {
+    fn lock(&self) -> MutexGuard<'_, HashMap<Box<str>, PoolEstimator>> {
         self.pools.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Learnt {
-    fn open(pool: &Pool) -> Self {
+impl PoolEstimator {
+    fn new(pool: &Pool) -> Self {
         let weights = unit_weights(pool);
         let rules = Rules {
             prompt_units_permille: weights.prompt * PERMILLE,
             generated_units_permille: weights.generated * PERMILLE,
             default_generated_tokens: match pool.kind {
                 PoolKind::Model => Rules::default().default_generated_tokens,
-                // Nothing is known of a plain call but that it takes a while; the sidecar charges what it took.
+                // Nothing is known in advance about a service call; the sidecar charges its actual cost.
                 PoolKind::Service => 1,
             },
             ..Rules::default()
@@ -116,11 +116,11 @@
 
     fn unit_weights(&self) -> UnitWeights {
         let (kind, weights) = &self.weights;
-        of_kind(*kind, weights)
+        weights_of_kind(*kind, weights)
     }
 }
 
-/// Weighs a prompt's token and a generated one, in service units; a plain service has busy milliseconds in place of the latter.
+/// Service units per prompt token and per generated token; a plain service counts busy milliseconds as generated tokens.
 #[derive(Debug, Clone, Copy)]
 struct UnitWeights {
     prompt: u64,
@@ -128,10 +128,10 @@
 }
 
 fn unit_weights(pool: &Pool) -> UnitWeights {
-    of_kind(pool.kind, &pool.weights)
+    weights_of_kind(pool.kind, &pool.weights)
 }
 
-fn of_kind(kind: PoolKind, weights: &Weights) -> UnitWeights {
+fn weights_of_kind(kind: PoolKind, weights: &Weights) -> UnitWeights {
     match kind {
         PoolKind::Model => UnitWeights {
             prompt: u64::from(weights.prompt_units),
@@ -144,21 +144,21 @@
     }
 }
 
-fn features(asked: &CostFeatures, weights: UnitWeights) -> Features<'_> {
-    let prompt_units = asked.prompt_tokens.saturating_mul(weights.prompt);
-    let hinted_tokens = asked
+fn features(request: &CostFeatures, weights: UnitWeights) -> Features<'_> {
+    let prompt_units = request.prompt_tokens.saturating_mul(weights.prompt);
+    let hinted_tokens = request
         .hint_units
         .map(|units| units.saturating_sub(prompt_units) / weights.generated.max(1));
     Features {
-        team: &asked.team,
-        class: match asked.class {
+        team: &request.team,
+        class: match request.class {
             UrgencyClass::Urgent => Class::Urgent,
             UrgencyClass::Standard => Class::Standard,
             UrgencyClass::Batch => Class::Batch,
         },
-        model: &asked.model,
-        prompt_tokens: asked.prompt_tokens,
-        max_tokens: asked.max_tokens,
+        model: &request.model,
+        prompt_tokens: request.prompt_tokens,
+        max_tokens: request.max_tokens,
         hinted_tokens,
     }
 }
--- a/crates/entry/src/headers.rs
+++ b/crates/entry/src/headers.rs
@@ -1,4 +1,4 @@
-//! Sorts headers into those that travel end to end and those that end here.
+//! Separates end-to-end headers from hop-by-hop headers and those meant for this fleet.
 
 use hinge_schema::messages::Header;
 use http::header::{
@@ -12,22 +12,22 @@
 /// Urgency class of a request.
 pub const URGENCY: &str = "x-urgency";
 
-/// Time that the caller waits for the answer's head, in milliseconds.
+/// Longest time until the answer's head, in milliseconds.
 pub const DEADLINE_MS: &str = "x-deadline-ms";
 
-/// Key under which a request runs at most once.
+/// Idempotency key, under which a request runs at most once.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
 /// Whether a request may run more than once.
 pub const IDEMPOTENT: &str = "x-idempotent";
 
-/// Rough hint at a request's cost, in service units of the pool.
+/// Estimated cost of a request, in service units of the pool.
 pub const ESTIMATED_UNITS: &str = "x-estimated-units";
 
 const KEEP_ALIVE: &str = "keep-alive";
 const PROXY_CONNECTION: &str = "proxy-connection";
 
-/// Returns whether a header concerns one connection alone.
+/// Returns whether a header is hop-by-hop, that is, concerns one connection only.
 fn is_hop_by_hop(name: &HeaderName) -> bool {
     [
         CONNECTION,
@@ -44,8 +44,8 @@
 
 /// Returns whether a header of a request is meant for this fleet and not for the endpoint.
 ///
-/// The caller's key must not reach an endpoint, and the length travels in the bind.
-fn ends_here(name: &HeaderName) -> bool {
+/// The caller's key must not reach an endpoint, and the length is sent in the bind message.
+fn is_consumed_here(name: &HeaderName) -> bool {
     [AUTHORIZATION, CONTENT_LENGTH, EXPECT, HOST].contains(name)
         || [URGENCY, DEADLINE_MS, IDEMPOTENT, ESTIMATED_UNITS].contains(&name.as_str())
 }
@@ -61,13 +61,13 @@
         .collect()
 }
 
-/// Returns the headers of a request that travel to the endpoint.
+/// Returns the headers of a request that are forwarded to the endpoint.
 #[must_use]
 pub fn for_endpoint(headers: &HeaderMap) -> Vec<Header> {
     let named = named_by_connection(headers);
     headers
         .iter()
-        .filter(|(name, _)| !is_hop_by_hop(name) && !ends_here(name))
+        .filter(|(name, _)| !is_hop_by_hop(name) && !is_consumed_here(name))
         .filter(|(name, _)| !named.iter().any(|other| &**other == name.as_str()))
         .map(|(name, value)| Header {
             name: name.as_str().into(),
@@ -76,7 +76,7 @@
         .collect()
 }
 
-/// Returns the headers of an answer that travel to the caller; what is no valid header is left out.
+/// Returns the headers of an answer that are forwarded to the caller; invalid ones are left out.
 #[must_use]
 pub fn for_caller(headers: &[Header]) -> HeaderMap {
     let all: HeaderMap = headers
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,24 +1,25 @@
-//! Runs the entry role: takes callers' requests, offers them to sidecars, and streams the answers back.
+//! The entry role: accepts callers' requests, offers them to sidecars, and streams the answers back.
 //!
-//! A request is parked here until a sidecar grants it a slot, and is bound to the first grant. What may be said of a
-//! request that was not answered is decided by `hinge-outcome`; this crate feeds its machine and does what it says.
+//! A request is queued here until a sidecar grants it a slot, and is bound to the first grant. The state machine in
+//! `hinge-outcome` decides what a caller is told of a request without an answer; this crate feeds it events and carries
+//! out its steps.
 
 mod answer;
 mod body;
 mod bound;
 mod caller;
-mod choose;
 mod estimates;
+mod exchange_guard;
 mod headers;
-mod hold;
-mod job;
 mod metrics;
 mod model;
 mod offers;
 mod peers;
 mod probe;
 mod refusal;
+mod request;
 mod run;
+mod selection;
 mod serve;
 mod settings;
 mod shared;
@@ -44,7 +45,7 @@
 use crate::shared::Shared;
 use hinge_member::Member;
 
-/// Holds a running entry.
+/// A running entry.
 pub struct Entry {
     shared: Arc<Shared>,
     callers: ServerHandle,
@@ -61,17 +62,17 @@
     }
 }
 
-/// Reports how a planned stop went.
+/// The result of a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DrainReport {
-    /// Requests that were open at the deadline, and are cut off when the process exits; 0 for a clean stop.
+    /// Requests that were open at the deadline and are cut off when the process exits; 0 for a clean stop.
     pub cut_requests: u64,
-    /// Time that the stop took.
+    /// Duration of the stop.
     pub took: Duration,
 }
 
 impl DrainReport {
-    /// Returns whether every request ended by itself.
+    /// Returns whether every request ended before the deadline.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         self.cut_requests == 0
@@ -79,11 +80,11 @@
 }
 
 impl Entry {
-    /// Binds both listeners and serves from now on; requests are refused until the member is current.
+    /// Binds both listeners and starts to serve; requests are refused until the member's configuration is current.
     ///
     /// # Errors
     ///
-    /// Returns the error of the system when an address can't be bound.
+    /// Returns the I/O error when an address can't be bound.
     pub async fn bind(
         settings: EntrySettings,
         member: Member,
@@ -101,7 +102,7 @@
         let peer_routes = peers::routes(key, &member);
         let peers = Server::bind(&settings.peer_listen, peer_routes, Limits::default()).await?;
         let callers_listen = settings.callers_listen.clone();
-        let shared = Arc::new(Shared::open(settings, member, client, metrics, readiness));
+        let shared = Arc::new(Shared::new(settings, member, client, metrics, readiness));
         let routes = serve::routes(&shared);
         let callers = Server::bind(&callers_listen, routes, callers_limits).await?;
         shared
@@ -125,13 +126,13 @@
         })
     }
 
-    /// Returns the address for callers.
+    /// Returns the address on which callers are served.
     #[must_use]
     pub fn callers_address(&self) -> SocketAddr {
         self.callers.local_address()
     }
 
-    /// Returns the address for other processes of the fleet.
+    /// Returns the address on which other processes of the fleet are served.
     #[must_use]
     pub fn peer_address(&self) -> SocketAddr {
         self.peers.local_address()
@@ -143,13 +144,13 @@
         self.shared.open_requests()
     }
 
-    /// Stops in a planned way: refuses new requests at once, and lets the open ones end until the deadline.
+    /// Performs a planned stop: refuses new requests at once, and lets open ones finish until the deadline.
     pub async fn drain(self, deadline: Duration) -> DrainReport {
         let began = Instant::now();
         let until = began + deadline;
-        self.shared.leave();
+        self.shared.begin_drain();
         hinge_telemetry::info!(Part::Entry, "Draining.", open = self.shared.open_requests(),);
-        let _in_time = timeout_at(until, self.shared.all_ended()).await;
+        let _in_time = timeout_at(until, self.shared.wait_until_idle()).await;
         for task in &self.tasks {
             task.abort();
         }
@@ -168,7 +169,7 @@
     }
 }
 
-/// Brings the readiness up to date with every change of the configuration, until the member's handle is gone.
+/// Updates the readiness on every change of the configuration, until the member is dropped.
 async fn follow_readiness(shared: Arc<Shared>) {
     let mut changed = shared.member.changed();
     loop {
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counts what an entry does.
+//! Metrics of an entry.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,13 +15,13 @@
 
 use crate::refusal::Refusal;
 
-/// Upper bounds for the number of offers that a request took.
+/// Histogram buckets for the number of offers per request.
 const OFFERS: &[f64] = &[1.0, 2.0, 3.0, 4.0, 6.0, 8.0, 12.0, 16.0, 32.0, 64.0];
 
-/// Gaps that a request keeps before it writes them to the shared histogram.
-const KEPT_GAPS: usize = 64;
+/// Gaps that a request buffers before it writes them to the shared histogram.
+const MAX_BUFFERED_GAPS: usize = 64;
 
-/// Names how a request ended; what was not known of it yet is empty.
+/// Labels of a request's outcome; values that were not yet known are empty.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct EndLabels {
     team: Arc<str>,
@@ -31,29 +31,29 @@
     reason: &'static str,
 }
 
-/// Names the times of requests that are alike.
+/// Labels of the latency histograms.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct TimeLabels {
     class: &'static str,
     pool: Arc<str>,
 }
 
-/// Names who sent a request, as far as it is known.
+/// The labels of a request, as far as they are known.
 #[derive(Debug, Clone, Default)]
-pub struct Who {
+pub struct RequestLabels {
     team: Arc<str>,
     class: Option<UrgencyClass>,
     pool: Arc<str>,
 }
 
-impl Who {
-    /// Notes the team and the class.
+impl RequestLabels {
+    /// Sets the team and the class.
     pub fn set_sender(&mut self, metrics: &Metrics, team: &str, class: UrgencyClass) {
         self.team = metrics.team_labels.label(team);
         self.class = Some(class);
     }
 
-    /// Notes the pool, which must be one of the configuration.
+    /// Sets the pool, which must be one of the configuration.
     pub fn set_pool(&mut self, pool: &str) {
         self.pool = pool.into();
     }
@@ -68,7 +68,7 @@
     }
 }
 
-/// Holds the metrics of an entry.
+/// The metrics of an entry.
 #[derive(Debug, Clone)]
 pub struct Metrics {
     ends: Family<EndLabels, Counter>,
@@ -124,15 +124,20 @@
     }
 
     /// Counts a request that was refused before it was offered.
-    pub fn refused(&self, who: &Who, refusal: &Refusal) {
-        self.count_end(who, refusal.certainty.as_str(), refusal.reason);
+    pub fn count_refusal(&self, request_labels: &RequestLabels, refusal: &Refusal) {
+        self.count_end(request_labels, refusal.certainty.as_str(), refusal.reason);
     }
 
-    fn count_end(&self, who: &Who, outcome: &'static str, reason: &'static str) {
+    fn count_end(
+        &self,
+        request_labels: &RequestLabels,
+        outcome: &'static str,
+        reason: &'static str,
+    ) {
         let labels = EndLabels {
-            team: Arc::clone(&who.team),
-            class: who.class(),
-            pool: Arc::clone(&who.pool),
+            team: Arc::clone(&request_labels.team),
+            class: request_labels.class(),
+            pool: Arc::clone(&request_labels.pool),
             outcome,
             reason,
         };
@@ -141,121 +146,121 @@
 
     /// Returns the metrics of one request, looked up once, as its answer may have many parts.
     #[must_use]
-    pub fn of_request(&self, who: Who) -> RequestMetrics {
+    pub fn request_metrics(&self, request_labels: RequestLabels) -> RequestMetrics {
         let labels = TimeLabels {
-            class: who.class(),
-            pool: Arc::clone(&who.pool),
+            class: request_labels.class(),
+            pool: Arc::clone(&request_labels.pool),
         };
         RequestMetrics {
             wait: self.waits.get_or_create(&labels).clone(),
             first_byte: self.first_bytes.get_or_create(&labels).clone(),
             gaps: self.gaps.get_or_create(&labels).clone(),
-            who,
+            request_labels,
         }
     }
 
-    /// Notes the number of waiting requests.
-    pub fn waiting(&self, waiting: u32) {
+    /// Sets the number of waiting requests.
+    pub fn set_waiting(&self, waiting: u32) {
         self.waiting.set(i64::from(waiting));
     }
 
-    /// Counts the offers of one attempt.
-    pub fn offered(&self, offers: u32) {
+    /// Records the number of offers of one attempt.
+    pub fn observe_offers(&self, offers: u32) {
         self.offers.observe(f64::from(offers));
     }
 
-    /// Counts a grant that came too late.
-    pub fn grant_lost(&self) {
+    /// Counts a grant that arrived after the request was bound elsewhere.
+    pub fn count_lost_grant(&self) {
         self.grants_lost.inc();
     }
 
     /// Counts a retry.
-    pub fn retried(&self) {
+    pub fn count_retry(&self) {
         self.retries.inc();
     }
 
     /// Counts a resume.
-    pub fn resumed(&self) {
+    pub fn count_resume(&self) {
         self.resumes.inc();
     }
 
     /// Counts an ejection.
-    pub fn ejected(&self) {
+    pub fn count_ejection(&self) {
         self.ejections.inc();
     }
 }
 
-/// Holds the metrics of one request.
+/// The metrics of one request.
 #[derive(Debug)]
 pub struct RequestMetrics {
-    who: Who,
+    request_labels: RequestLabels,
     wait: Histogram,
     first_byte: Histogram,
     gaps: Histogram,
 }
 
 impl RequestMetrics {
-    /// Counts the end of the request.
-    pub fn ended(&self, all: &Metrics, outcome: Outcome) {
+    /// Counts the request by its outcome.
+    pub fn count_end(&self, all: &Metrics, outcome: Outcome) {
         let reason = outcome.reason().map_or("", |reason| reason.as_str());
         let outcome = match outcome {
             Outcome::Completed => "completed",
             Outcome::NotRun { .. } => "not_run",
             Outcome::Unknown { .. } => "unknown",
         };
-        all.count_end(&self.who, outcome, reason);
+        all.count_end(&self.request_labels, outcome, reason);
     }
 
-    /// Notes the time from the arrival to the grant.
-    pub fn waited(&self, wait: Duration) {
+    /// Records the time from the arrival to the grant.
+    pub fn observe_wait(&self, wait: Duration) {
         self.wait.observe(wait.as_secs_f64());
     }
 
-    /// Notes the time from the arrival to the first bytes.
-    pub fn first_byte(&self, wait: Duration) {
+    /// Records the time from the arrival to the first bytes.
+    pub fn observe_first_byte(&self, wait: Duration) {
         self.first_byte.observe(wait.as_secs_f64());
     }
 }
 
-/// Keeps the gaps and bytes of one answer, so that a write does not take the histogram's lock.
+/// A buffer for the gaps and bytes of one answer, so that not every write takes the histogram's lock.
 #[derive(Debug)]
-pub struct Gaps {
-    between: Histogram,
+pub struct WriteGaps {
+    histogram: Histogram,
     answer_bytes: Counter,
-    kept: SmallVec<[Duration; KEPT_GAPS]>,
+    buffered: SmallVec<[Duration; MAX_BUFFERED_GAPS]>,
     bytes: u64,
 }
 
-impl Gaps {
-    /// Opens an empty list.
+impl WriteGaps {
+    /// Creates an empty buffer.
     #[must_use]
-    pub fn open(all: &Metrics, request: &RequestMetrics) -> Self {
+    pub fn new(all: &Metrics, request: &RequestMetrics) -> Self {
         Self {
-            between: request.gaps.clone(),
+            histogram: request.gaps.clone(),
             answer_bytes: all.answer_bytes.clone(),
-            kept: SmallVec::new(),
+            buffered: SmallVec::new(),
             bytes: 0,
         }
     }
 
-    /// Notes one write.
-    pub fn wrote(&mut self, bytes: usize, gap: Option<Duration>) {
+    /// Records one write, and the gap since the one before.
+    pub fn record_write(&mut self, bytes: usize, gap: Option<Duration>) {
         self.bytes += bytes as u64;
-        self.kept.extend(gap);
-        if self.kept.len() == KEPT_GAPS {
+        self.buffered.extend(gap);
+        if self.buffered.len() == MAX_BUFFERED_GAPS {
             self.flush();
         }
     }
 
     fn flush(&mut self) {
-        for gap in self.kept.drain(..) {
-            self.between.observe(gap.as_secs_f64());
+        for gap in self.buffered.drain(..) {
+            self.histogram.observe(gap.as_secs_f64());
         }
         self.answer_bytes.inc_by(std::mem::take(&mut self.bytes));
     }
 }
 
-impl Drop for Gaps {
+impl Drop for WriteGaps {
     fn drop(&mut self) {
         self.flush();
     }
--- a/crates/entry/src/offers.rs
+++ b/crates/entry/src/offers.rs
@@ -1,4 +1,4 @@
-//! Offers a waiting request to sidecars until the first of them grants.
+//! Offers a waiting request to sidecars until one of them grants it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,58 +15,58 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until, timeout};
 
-use crate::choose::Target;
-use crate::hold::Hold;
-use crate::job::Job;
+use crate::exchange_guard::ExchangeGuard;
+use crate::request::RequestContext;
+use crate::selection::Target;
 use crate::shared::Shared;
 use crate::wire;
 
-/// Offers that one sidecar gets of an attempt: the second one comes after the configuration was brought up to date.
-const MAX_OFFERS_TO_ONE: u32 = 2;
+/// Offers that one attempt makes to the same sidecar; the second one follows an update of the configuration.
+const MAX_OFFERS_PER_SIDECAR: u32 = 2;
 
-/// Longest wait for a newer configuration before the refusal counts; a fetch in a region takes some milliseconds.
+/// Longest wait for a newer configuration before the refusal counts; a fetch within a region takes a few milliseconds.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Holds a grant with the exchange that it came on.
+/// A grant with the exchange on which it was received.
 #[derive(Debug)]
 pub struct Grant {
-    /// Names the grant.
+    /// Sidecar, incarnation and claim of the grant.
     pub holder: Holder,
-    /// Withdraws the request when it is dropped.
-    pub hold: Hold,
-    /// Bytes of the answer that may be unacknowledged; `None` from a sidecar that takes no acknowledgements.
+    /// Cancels the request when dropped.
+    pub guard: ExchangeGuard,
+    /// Most unacknowledged bytes of the answer; `None` from a sidecar that does not support acknowledgements.
     pub replay_bytes: Option<u64>,
 }
 
-/// Says how one offer ended.
+/// The result of one offer.
 #[derive(Debug)]
 enum OfferEnd {
     Granted(Box<Grant>),
     Refused(SidecarId, Reason, Duration),
     Lost(SidecarId),
-    /// The offer has moved to another sidecar.
+    /// The offer was withdrawn in favour of another sidecar.
     Withdrawn(SidecarId),
 }
 
-/// Says how the offers of an attempt ended.
+/// The result of the offers of one attempt.
 #[derive(Debug)]
-pub enum RaceEnd {
-    /// A sidecar granted; the other offers are withdrawn.
+pub enum RaceResult {
+    /// A sidecar granted the request; the other offers are withdrawn.
     Granted(Box<Grant>),
-    /// Nobody grants.
+    /// No sidecar granted the request.
     Settled(Outcome),
 }
 
-/// Keeps the refusal that says most to the caller.
+/// The most useful refusal for the caller among those received.
 #[derive(Debug, Default)]
-struct Best {
+struct BestRefusal {
     refusal: Option<(Reason, Duration)>,
-    is_lost: bool,
+    has_lost_offer: bool,
 }
 
-impl Best {
-    /// Keeps a refusal for load before one of a place, and of these the one that lets the caller come back first.
-    fn note(&mut self, reason: Reason, retry_after: Duration) {
+impl BestRefusal {
+    /// Keeps a refusal due to the request or load over one specific to a sidecar, then the one with the shortest retry delay.
+    fn record(&mut self, reason: Reason, retry_after: Duration) {
         let rank = |reason: Reason, after| (reason.is_of_place(), after);
         let is_better = self
             .refusal
@@ -77,7 +77,7 @@
     }
 
     fn event(&self) -> Event {
-        let (reason, retry_after) = match (self.refusal, self.is_lost) {
+        let (reason, retry_after) = match (self.refusal, self.has_lost_offer) {
             (Some(refusal), _) => refusal,
             (None, true) => (Reason::SidecarLost, Duration::ZERO),
             (None, false) => (Reason::NoEndpoint, Duration::ZERO),
@@ -89,79 +89,84 @@
     }
 }
 
-/// Offers the request until a sidecar grants, all refuse, the deadline comes, or the request is shed.
-pub async fn race(job: &Job, attempt: &mut Attempt, request_id: u64) -> RaceEnd {
-    let mut race = Race::open(job, request_id);
+/// Offers the request until a sidecar grants it, all refuse, the deadline passes, or the request is shed.
+pub async fn race_offers(
+    request: &RequestContext,
+    attempt: &mut Attempt,
+    request_id: u64,
+) -> RaceResult {
+    let mut race = OfferRace::new(request, request_id);
     race.widen(attempt);
     let end = loop {
         match race.step(attempt).await {
             Ok(Step::OfferMore) => race.widen(attempt),
-            Ok(Step::Settle { outcome, .. }) => break RaceEnd::Settled(outcome),
+            Ok(Step::Settle { outcome, .. }) => break RaceResult::Settled(outcome),
             Ok(_) => {}
-            Err(grant) => break RaceEnd::Granted(grant),
+            Err(grant) => break RaceResult::Granted(grant),
         }
     };
-    race.end();
+    race.finish();
     end
 }
 
-/// Holds the offers of one attempt.
-struct Race<'a> {
-    job: &'a Job,
+/// The open offers of one attempt.
+struct OfferRace<'a> {
+    request: &'a RequestContext,
     request_id: u64,
     plan: AttemptOffers,
     open: FuturesUnordered<BoxFuture<'static, OfferEnd>>,
-    /// Withdraws the offer that is open at a sidecar.
+    /// Signals that withdraw the offer open at each sidecar.
     withdrawals: SmallVec<[(SidecarId, Arc<Notify>); 4]>,
-    best: Best,
+    best_refusal: BestRefusal,
     offers: u32,
-    /// When to make or move offers; `None` once every sidecar has refused.
+    /// Time of the next round of offers; `None` once every sidecar has refused.
     widen_at: Option<Instant>,
 }
 
-impl<'a> Race<'a> {
-    fn open(job: &'a Job, request_id: u64) -> Self {
-        let prefix = job.estimate.prefix_hash;
+impl<'a> OfferRace<'a> {
+    fn new(request: &'a RequestContext, request_id: u64) -> Self {
+        let prefix = request.estimate.prefix_hash;
         let prefix = (prefix != 0).then_some(prefix);
         Self {
-            plan: AttemptOffers::new(prefix, &job.avoid, &mut rand::rng())
-                .with_urgency(job.class == UrgencyClass::Urgent),
-            job,
+            plan: AttemptOffers::new(prefix, &request.avoid, &mut rand::rng())
+                .with_urgency(request.class == UrgencyClass::Urgent),
+            request,
             request_id,
             open: FuturesUnordered::new(),
             withdrawals: SmallVec::new(),
-            best: Best::default(),
+            best_refusal: BestRefusal::default(),
             offers: 0,
             widen_at: None,
         }
     }
 
-    /// Makes the offers of the next round, among the members of now.
+    /// Makes the offers of the next round, using the current member list.
     fn widen(&mut self, attempt: &mut Attempt) {
-        let job = self.job;
-        let shared = &job.shared;
+        let request = self.request;
+        let shared = &request.shared;
         let members = shared.member.members();
         let snapshot = shared.member.config();
         let limits = &snapshot.effective.limits;
-        job.choice
-            .refresh(&members, limits, &job.pool, shared.now());
-        let Some(round) = job.choice.next_round(&mut self.plan, shared.now()) else {
+        request
+            .selector
+            .refresh(&members, limits, &request.pool, shared.now());
+        let Some(round) = request.selector.next_round(&mut self.plan, shared.now()) else {
             self.widen_at = None;
             return;
         };
-        let mut moved = round.withdraw.and_then(|id| self.withdrawal(id));
+        let mut replaced = round.withdraw.and_then(|id| self.withdrawal(id));
         for target in round.targets {
             attempt.on(Event::OfferSent);
             self.offers += 1;
             let withdrawal = Arc::new(Notify::new());
             self.withdrawals.push((target.id, Arc::clone(&withdrawal)));
-            let offer = Opening {
+            let offer = OfferCall {
                 shared: Arc::clone(shared),
                 target,
-                offer: job.offer(self.request_id),
-                moved: moved.take(),
+                offer: request.offer(self.request_id),
+                replaced: replaced.take(),
             };
-            self.open.push(offer.make(withdrawal).boxed());
+            self.open.push(offer.run(withdrawal).boxed());
         }
         self.widen_at = Some(Instant::now() + round.widen_after);
     }
@@ -172,35 +177,35 @@
         found.map(|(_, withdrawal)| Arc::clone(withdrawal))
     }
 
-    /// Waits for what happens next; the grant that wins comes as the error.
+    /// Waits for the next event; the winning grant is returned as the error, to end the loop.
     async fn step(&mut self, attempt: &mut Attempt) -> Result<Step, Box<Grant>> {
         if self.open.is_empty() {
             return Ok(self.step_without_offers(attempt));
         }
-        let (job, widen_at) = (self.job, self.widen_at);
-        let retry_after = job.min_retry_after;
+        let (request, widen_at) = (self.request, self.widen_at);
+        let retry_after = request.min_retry_after;
         let event = tokio::select! {
             biased;
             Some(ended) = self.open.next() => return self.on_end(attempt, ended),
-            () = sleep_until(job.deadline) => Event::Deadline { retry_after },
-            () = job.seat.shed() => Event::GiveUp { reason: Reason::Shed, retry_after },
-            () = sleep_until(widen_at.unwrap_or(job.deadline)), if widen_at.is_some() => {
+            () = sleep_until(request.deadline) => Event::Deadline { retry_after },
+            () = request.permit.wait_for_shed() => Event::GiveUp { reason: Reason::Shed, retry_after },
+            () = sleep_until(widen_at.unwrap_or(request.deadline)), if widen_at.is_some() => {
                 return Ok(Step::OfferMore);
             }
         };
         Ok(attempt.on(event))
     }
 
-    /// Goes on to the sidecars that are left, or gives up at once.
+    /// Offers the request to the remaining sidecars, or gives up if there are none.
     fn step_without_offers(&mut self, attempt: &mut Attempt) -> Step {
         if self.widen_at.is_some() {
             return Step::OfferMore;
         }
-        attempt.on(self.best.event())
+        attempt.on(self.best_refusal.event())
     }
 
     fn on_end(&mut self, attempt: &mut Attempt, ended: OfferEnd) -> Result<Step, Box<Grant>> {
-        self.note_end(&ended);
+        self.record_end(&ended);
         match ended {
             OfferEnd::Granted(grant) => match attempt.on(Event::Granted(grant.holder)) {
                 Step::Bind(_) => Err(grant),
@@ -208,22 +213,22 @@
             },
             OfferEnd::Withdrawn(_) => Ok(Step::Wait),
             OfferEnd::Refused(_, reason, retry_after) => {
-                self.best.note(reason, retry_after);
+                self.best_refusal.record(reason, retry_after);
                 Ok(attempt.on(Event::OfferRefused {
                     reason,
                     retry_after,
                 }))
             }
             OfferEnd::Lost(sidecar) => {
-                self.best.is_lost = true;
-                self.job.observe(sidecar, Sample::Failed);
+                self.best_refusal.has_lost_offer = true;
+                self.request.observe(sidecar, Sample::Failed);
                 Ok(attempt.on(Event::LinkLost(sidecar)))
             }
         }
     }
 
-    /// Tells the plan that an offer is open no more.
-    fn note_end(&mut self, ended: &OfferEnd) {
+    /// Records in the plan that an offer is no longer open.
+    fn record_end(&mut self, ended: &OfferEnd) {
         let sidecar = match ended {
             OfferEnd::Granted(grant) => grant.holder.sidecar,
             OfferEnd::Refused(id, ..) | OfferEnd::Lost(id) | OfferEnd::Withdrawn(id) => *id,
@@ -235,33 +240,33 @@
         }
     }
 
-    fn end(mut self) {
-        let metrics = &self.job.shared.metrics;
-        metrics.offered(self.offers);
-        // A further grant that was read already is lost here; one that still comes is counted by its hold.
+    fn finish(mut self) {
+        let metrics = &self.request.shared.metrics;
+        metrics.observe_offers(self.offers);
+        // Counts further grants that were already read; one that arrives later is counted by its exchange guard.
         while let Some(Some(late)) = self.open.next().now_or_never() {
             if matches!(late, OfferEnd::Granted(_)) {
-                metrics.grant_lost();
+                metrics.count_lost_grant();
             }
         }
     }
 }
 
-/// Holds one offer that is about to be made.
-struct Opening {
+/// An offer that is about to be made to one sidecar.
+struct OfferCall {
     shared: Arc<Shared>,
     target: Target,
     offer: Offer,
-    /// Withdraws the offer in whose place this one is made.
-    moved: Option<Arc<Notify>>,
+    /// Withdraws the offer that this one replaces.
+    replaced: Option<Arc<Notify>>,
 }
 
-impl Opening {
-    /// Makes the offer, and waits for its end or its withdrawal; dropping the future withdraws the offer, too.
-    async fn make(self, withdrawal: Arc<Notify>) -> OfferEnd {
+impl OfferCall {
+    /// Makes the offer and waits for its result or its withdrawal; dropping the future withdraws the offer as well.
+    async fn run(self, withdrawal: Arc<Notify>) -> OfferEnd {
         let id = self.target.id;
         tokio::select! {
-            // A grant that is here already wins: after the withdrawal the sidecar would not take the bind.
+            // A grant that was already received wins: after the withdrawal the sidecar would not accept the bind.
             biased;
             ended = self.offer() => ended,
             () = withdrawal.notified() => OfferEnd::Withdrawn(id),
@@ -273,10 +278,10 @@
             shared,
             target,
             mut offer,
-            moved,
+            replaced,
         } = self;
         let Target { id, address } = target;
-        for made in 1.. {
+        for sent in 1.. {
             let request_id = offer.request_id;
             let opened = shared
                 .client
@@ -285,8 +290,9 @@
             let Ok(exchange) = opened else {
                 return OfferEnd::Lost(id);
             };
-            let mut hold = Hold::open(Arc::clone(&shared), exchange, address.clone(), request_id);
-            if hold
+            let mut guard =
+                ExchangeGuard::new(Arc::clone(&shared), exchange, address.clone(), request_id);
+            if guard
                 .exchange()
                 .sender
                 .send(&ToSidecar::Offer(offer.clone()))
@@ -295,29 +301,29 @@
             {
                 return OfferEnd::Lost(id);
             }
-            // Only now, so that a sidecar that can't be reached takes no place from one that holds an offer.
-            if let Some(moved) = &moved {
-                moved.notify_one();
+            // Withdraws the replaced offer only now, so that an unreachable sidecar does not displace an open offer.
+            if let Some(replaced) = &replaced {
+                replaced.notify_one();
             }
-            match hold.exchange().reader.next::<FromSidecar>().await {
+            match guard.exchange().reader.next::<FromSidecar>().await {
                 Ok(Some(FromSidecar::Granted(granted))) if granted.request_id == request_id => {
-                    spread_config(&shared, &address, granted.config_version);
-                    let holder = name_grant(id, &granted);
-                    hold.set_run(holder);
+                    sync_config(&shared, &address, granted.config_version);
+                    let holder = grant_holder(id, &granted);
+                    guard.set_grant(holder);
                     return OfferEnd::Granted(Box::new(Grant {
                         holder,
-                        hold,
+                        guard,
                         replay_bytes: granted.replay_bytes,
                     }));
                 }
                 Ok(Some(FromSidecar::Refused(refused))) if refused.request_id == request_id => {
-                    hold.disarm();
+                    guard.disarm();
                     let is_caught_up = catch_up(&shared, &address, &mut offer, &refused).await;
-                    if made == MAX_OFFERS_TO_ONE || !is_caught_up {
+                    if sent == MAX_OFFERS_PER_SIDECAR || !is_caught_up {
                         return refusal(id, &refused);
                     }
                 }
-                // Anything else is a frame of another request or none: this exchange can't be trusted with ours.
+                // A frame of another request, or no valid frame: this exchange can't be trusted.
                 Ok(_) | Err(_) => return OfferEnd::Lost(id),
             }
         }
@@ -325,7 +331,7 @@
     }
 }
 
-fn name_grant(sidecar: SidecarId, granted: &Granted) -> Holder {
+fn grant_holder(sidecar: SidecarId, granted: &Granted) -> Holder {
     Holder {
         sidecar,
         incarnation: granted.incarnation,
@@ -341,7 +347,9 @@
     )
 }
 
-/// Learns from a sidecar that refused for its newer configuration, and returns whether the offer now names a newer one.
+/// Catches up with a sidecar whose refusal shows a newer configuration.
+///
+/// Returns whether the offer now names a newer version and is worth repeating.
 async fn catch_up(
     shared: &Arc<Shared>,
     address: &str,
@@ -349,10 +357,10 @@
     refused: &Refused,
 ) -> bool {
     if refused.config_version <= offer.config_version {
-        spread_config(shared, address, refused.config_version);
+        sync_config(shared, address, refused.config_version);
         return false;
     }
-    spread_config(shared, address, refused.config_version);
+    sync_config(shared, address, refused.config_version);
     let mut changed = shared.member.changed();
     let caught_up = async {
         while shared.member.config_version() < refused.config_version {
@@ -361,7 +369,7 @@
             }
         }
     };
-    // Other requests may be fetching the same version; all of them wait for it to arrive, and none for long.
+    // Another request may already be fetching this version, so wait for the version, but not for long.
     let _in_time = timeout(CATCH_UP_TIMEOUT, caught_up).await;
     let held = shared.member.config_version();
     let is_newer = held > offer.config_version;
@@ -369,8 +377,8 @@
     is_newer && refused.reason == NotRunReason::StaleConfig
 }
 
-/// Brings the older of the two configurations up to date, beside the request and whatever becomes of it.
-fn spread_config(shared: &Arc<Shared>, address: &str, seen_version: u64) {
+/// Updates the side with the older configuration, in a task that outlives the request.
+fn sync_config(shared: &Arc<Shared>, address: &str, seen_version: u64) {
     let held = shared.member.config_version();
     if seen_version == held {
         return;
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -1,4 +1,4 @@
-//! Serves other processes of the fleet, who fetch or push configurations.
+//! HTTP routes for other processes of the fleet, which fetch and push configurations.
 
 use hinge_link::{ClusterKey, unary};
 use hinge_schema::messages::{ConfigDelta, FetchConfig, FetchedConfig};
@@ -28,12 +28,12 @@
         })
 }
 
-/// Takes a pushed configuration, and answers with what the peer lacks in turn.
+/// Applies a pushed configuration, and returns a newer one if the peer lacks it.
 ///
-/// The merge runs apart from the threads on which answers stream.
+/// The merge does not run on the threads that stream answers.
 async fn push(member: &Member, delta: ConfigDelta) -> FetchedConfig {
     let config_version = delta.version;
-    // What became of it shows in the version of the answer.
+    // The version in the reply shows whether it was applied.
     let _applied = member.learn_config_apart(delta).await;
     member.fetched(&FetchConfig { config_version })
 }
--- a/crates/entry/src/probe.rs
+++ b/crates/entry/src/probe.rs
@@ -1,4 +1,4 @@
-//! Probes ejected sidecars, so that they can come back.
+//! Probes ejected sidecars, so that they can be readmitted.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,13 +7,13 @@
 use hinge_schema::messages::{FetchConfig, FetchedConfig};
 use tokio::time::interval;
 
-use crate::choose::{PoolChoice, Target};
+use crate::selection::{PoolSelector, Target};
 use crate::shared::Shared;
 
-/// How often due probes are looked for; the first is due a second after an ejection.
+/// Interval of checks for due probes; the first probe is due a second after an ejection.
 const PROBE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Looks for due probes until the task is aborted.
+/// Starts due probes until the task is aborted.
 pub async fn probe_ejected(shared: Arc<Shared>) {
     let mut ticks = interval(PROBE_INTERVAL);
     loop {
@@ -26,11 +26,11 @@
     }
 }
 
-/// Asks a sidecar for its configuration, which any live sidecar answers at once.
+/// Requests a sidecar's configuration, which any live sidecar returns at once.
 ///
-/// Whether its endpoint works is judged by the sidecar itself, which refuses offers, and by the few requests that a sidecar
-/// gets at the beginning of its way back.
-async fn probe(shared: Arc<Shared>, pool: Arc<PoolChoice>, target: Target) {
+/// This does not test the endpoint: the sidecar itself refuses offers if its endpoint fails, and a readmitted sidecar gets only
+/// a few requests at first.
+async fn probe(shared: Arc<Shared>, pool: Arc<PoolSelector>, target: Target) {
     let ask = FetchConfig {
         config_version: shared.member.config_version(),
     };
@@ -39,5 +39,5 @@
         .client
         .call::<_, FetchedConfig>(&target.address, "/v1/config/fetch", &ask, wait)
         .await;
-    pool.probed(target.id, reply.is_ok(), shared.now());
+    pool.record_probe(target.id, reply.is_ok(), shared.now());
 }
--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Words a refusal for the caller: status, reason, and when to come back.
+//! Refusals as callers see them: status, reason and retry delay.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use serde_json::json;
 use viz::{Body, Response};
 
-/// Says whether a request that was not answered may have run.
+/// Whether a request without an answer may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Certainty {
     /// The request did not run, and this is proven.
@@ -18,7 +18,7 @@
 }
 
 impl Certainty {
-    /// Returns the stable name.
+    /// Returns the stable name used in responses and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -28,25 +28,29 @@
     }
 }
 
-/// Holds what a caller is told in place of an answer.
+/// The response to a caller in place of an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
     /// HTTP status.
     pub status: StatusCode,
     /// Whether the request may have run.
     pub certainty: Certainty,
-    /// Stable reason.
+    /// Stable name of the reason.
     pub reason: &'static str,
-    /// Sentence for a person.
+    /// Human-readable message.
     pub message: Box<str>,
-    /// When to send the request again; `None` when the same request will never be taken, or may not be repeated.
+    /// Retry delay; `None` when the same request would be refused again, or must not be repeated.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// Words a mistake of the caller, which a resend does not mend.
+    /// Creates a refusal for a caller's error, which a resend does not fix.
     #[must_use]
-    pub fn mistake(status: StatusCode, reason: &'static str, message: impl Into<Box<str>>) -> Self {
+    pub fn caller_error(
+        status: StatusCode,
+        reason: &'static str,
+        message: impl Into<Box<str>>,
+    ) -> Self {
         Self {
             status,
             certainty: Certainty::NotRun,
@@ -56,9 +60,9 @@
         }
     }
 
-    /// Words a refusal of the entry itself, before anything was offered.
+    /// Creates a refusal for an entry that can't take the request now, before anything was offered.
     #[must_use]
-    pub fn not_now(reason: &'static str, message: &str, retry_after: Duration) -> Self {
+    pub fn unavailable(reason: &'static str, message: &str, retry_after: Duration) -> Self {
         Self {
             status: StatusCode::SERVICE_UNAVAILABLE,
             certainty: Certainty::NotRun,
@@ -68,9 +72,9 @@
         }
     }
 
-    /// Words the outcome of a request; `min_retry_after` is that of its class.
+    /// Creates the refusal for an outcome; `min_retry_after` is that of the request's class.
     ///
-    /// An unknown outcome names a time only if a resend does no harm.
+    /// An unknown outcome has a retry delay only if a resend is safe.
     ///
     /// # Panics
     ///
@@ -86,7 +90,7 @@
             Certainty::Unknown
         };
         let retry_after = match outcome {
-            // The same key will get the same answer whenever it comes back.
+            // A retry with the same key gets the same refusal at any time.
             _ if matches!(
                 reason,
                 Reason::AlreadyFinished | Reason::AlreadyFailed | Reason::KeyConflict
@@ -107,7 +111,7 @@
         }
     }
 
-    /// Returns the JSON text.
+    /// Returns the JSON body.
     #[must_use]
     pub fn json(&self) -> String {
         json!({
@@ -119,7 +123,7 @@
         .to_string()
     }
 
-    /// Returns the response.
+    /// Returns the HTTP response.
     #[must_use]
     pub fn response(&self) -> Response {
         let mut response = Response::new(Body::from(http_body_util::Full::from(self.json())));
--- a/crates/entry/src/job.rs
+++ b/crates/entry/src/request.rs
@@ -1,4 +1,4 @@
-//! Holds one request while it waits and runs.
+//! The state of one request while it waits and runs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,63 +10,63 @@
 use smallvec::SmallVec;
 use tokio::time::Instant;
 
-use crate::body::ParkedBody;
-use crate::choose::{PoolChoice, sample_of};
+use crate::body::BufferedBody;
 use crate::estimates::CostFeatures;
 use crate::metrics::RequestMetrics;
 use crate::model::Estimate;
+use crate::selection::{PoolSelector, sample_of};
 use crate::shared::{OpenRequest, Shared};
-use crate::teams::Seat;
+use crate::teams::QueuePermit;
 
-/// Holds one request.
+/// A request that waits or runs, with everything its attempts need.
 #[derive(Debug)]
-pub struct Job {
-    /// What all requests share.
+pub struct RequestContext {
+    /// State shared by all requests.
     pub shared: Arc<Shared>,
     /// Counts the request as open.
     pub _open: OpenRequest,
     /// Metrics of the request.
     pub metrics: RequestMetrics,
-    /// Place among the waiting requests.
-    pub seat: Seat,
-    /// Team that is charged.
+    /// Its place in the queue of waiting requests.
+    pub permit: QueuePermit,
+    /// Team that is charged for the request.
     pub team: Box<str>,
-    /// Pool that is asked for.
+    /// Requested pool.
     pub pool: Box<str>,
-    /// Choice among the pool's sidecars.
-    pub choice: Arc<PoolChoice>,
-    /// Sidecars of failed attempts, which come last.
+    /// Selector of the pool's sidecars.
+    pub selector: Arc<PoolSelector>,
+    /// Sidecars of failed attempts, which are tried last.
     pub avoid: SmallVec<[SidecarId; 2]>,
     /// Urgency class.
     pub class: UrgencyClass,
-    /// Time of the request's arrival.
+    /// Arrival time.
     pub arrived: Instant,
-    /// Time by which the answer's head must come.
+    /// Time by which the answer's head must arrive.
     pub deadline: Instant,
-    /// Shortest time to come back after a refusal.
+    /// Shortest retry delay after a refusal.
     pub min_retry_after: Duration,
     /// Whether the request may run more than once.
     pub is_idempotent: bool,
     /// Idempotency key.
     pub key: Option<Box<str>>,
-    /// Hash of the request.
+    /// Hash of the method, the path and the buffered body.
     pub fingerprint: u64,
     /// Estimated cost.
     pub estimate: Estimate,
-    /// What the estimate rests on; the answer's real cost is learnt for it.
+    /// Inputs of the estimate, for which the actual cost is recorded later.
     pub cost_features: Arc<CostFeatures>,
     /// HTTP method.
     pub method: Box<str>,
-    /// Path and query at the endpoint.
+    /// Path and query that are sent to the endpoint.
     pub path: Box<str>,
     /// End-to-end headers.
     pub headers: Vec<Header>,
     /// Body.
-    pub body: ParkedBody,
+    pub body: BufferedBody,
 }
 
-impl Job {
-    /// Returns the offer of one attempt, as of now.
+impl RequestContext {
+    /// Returns the offer for one attempt, with the time and configuration of now.
     #[must_use]
     pub fn offer(&self, request_id: u64) -> Offer {
         let left = self.deadline.saturating_duration_since(Instant::now());
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Returns the bind of one attempt.
+    /// Returns the bind message for one attempt.
     #[must_use]
     pub fn bind(&self, request_id: u64) -> Bind {
         Bind {
@@ -103,24 +103,24 @@
     }
 }
 
-impl Job {
+impl RequestContext {
     /// Returns whether the caller may send the request again although its outcome is unknown.
     ///
-    /// A key makes a resend safe: it gets the first outcome, and never a second run.
+    /// An idempotency key makes a resend safe: it gets the first outcome and never causes a second run.
     #[must_use]
     pub fn is_resend_safe(&self) -> bool {
         self.is_idempotent || self.key.is_some()
     }
 
-    /// Counts the request's end.
+    /// Counts the request's outcome in the metrics.
     pub fn count_end(&self, outcome: Outcome) {
-        self.metrics.ended(&self.shared.metrics, outcome);
+        self.metrics.count_end(&self.shared.metrics, outcome);
     }
 
-    /// Takes a sample of a sidecar.
+    /// Records a health sample of a sidecar.
     pub fn observe(&self, sidecar: SidecarId, sample: Sample) {
-        if self.choice.observe(sidecar, sample, self.shared.now()) {
-            self.shared.metrics.ejected();
+        if self.selector.observe(sidecar, sample, self.shared.now()) {
+            self.shared.metrics.count_ejection();
             hinge_telemetry::warn!(
                 Part::Entry,
                 "A sidecar is ejected.",
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Takes what the end of an attempt says about its sidecar.
+    /// Records the health sample of a failed attempt, and avoids its sidecar in the next ones.
     pub fn observe_outcome(&mut self, sidecar: SidecarId, outcome: Outcome) {
         if let Some(sample) = sample_of(outcome) {
             self.observe(sidecar, sample);
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Takes the head of an answer; `wait` is the time since the bind.
+    /// Records the health sample of an answer's head; `wait` is the time since the bind.
     pub fn observe_head(&self, sidecar: SidecarId, status: u16, wait: Duration) {
         let units = u32::try_from(self.estimate.prompt_units).unwrap_or(u32::MAX);
         let sample = if status >= 500 {
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -1,4 +1,4 @@
-//! Takes a request through its attempts to an answer or a final refusal.
+//! Runs the attempts of a request until it has an answer or a final refusal.
 
 use std::sync::PoisonError;
 
@@ -8,109 +8,122 @@
 
 use crate::answer;
 use crate::body::BodyFault;
-use crate::bound::{Bound, Turn};
-use crate::job::Job;
-use crate::offers::{RaceEnd, race};
+use crate::bound::{AnswerPart, BoundRequest};
+use crate::offers::{RaceResult, race_offers};
 use crate::refusal::{Certainty, Refusal};
+use crate::request::RequestContext;
 
-/// Says how one attempt ended.
+/// The result of one attempt.
 enum AttemptEnd {
-    Answering(Box<Bound>, hinge_schema::messages::AnswerHead),
-    Settled(Outcome, Option<BodyFault>),
+    /// The answer's head arrived.
+    Answering(Box<BoundRequest>, hinge_schema::messages::AnswerHead),
+    /// The attempt ended without an answer.
+    Ended(Outcome, Option<BodyFault>),
 }
 
-/// Runs the request, and returns its answer or a refusal.
-pub async fn run(mut job: Job) -> Response {
+/// Runs the request and returns its answer or a refusal.
+pub async fn run(mut ctx: RequestContext) -> Response {
     let mut attempts = 0;
-    job.shared
+    ctx.shared
         .budgets
         .lock()
         .unwrap_or_else(PoisonError::into_inner)
-        .first_try(&job.team);
+        .first_try(&ctx.team);
     loop {
         attempts += 1;
-        match attempt(&mut job).await {
-            AttemptEnd::Answering(bound, head) => return answer::response(*bound, job, &head),
-            AttemptEnd::Settled(outcome, Some(fault)) => return refuse_body(&job, outcome, fault),
-            AttemptEnd::Settled(outcome, None) => match retry(&job, outcome, attempts) {
+        match attempt(&mut ctx).await {
+            AttemptEnd::Answering(bound, head) => return answer::response(*bound, ctx, &head),
+            AttemptEnd::Ended(outcome, Some(fault)) => return refuse_body(&ctx, outcome, fault),
+            AttemptEnd::Ended(outcome, None) => match decide_retry(&ctx, outcome, attempts) {
                 Retry::After(wait) => {
-                    job.shared.metrics.retried();
+                    ctx.shared.metrics.count_retry();
                     sleep(wait).await;
                 }
-                Retry::Final(outcome) => return refuse(&job, outcome),
+                Retry::Final(outcome) => return refuse(&ctx, outcome),
             },
         }
     }
 }
 
-async fn attempt(job: &mut Job) -> AttemptEnd {
+async fn attempt(request: &mut RequestContext) -> AttemptEnd {
     let request_id = rand::random();
     let mut attempt = Attempt::open();
-    let grant = match race(job, &mut attempt, request_id).await {
-        RaceEnd::Granted(grant) => grant,
-        RaceEnd::Settled(outcome) => return AttemptEnd::Settled(outcome, None),
+    let grant = match race_offers(request, &mut attempt, request_id).await {
+        RaceResult::Granted(grant) => grant,
+        RaceResult::Settled(outcome) => return AttemptEnd::Ended(outcome, None),
     };
-    let wait = job.arrived.elapsed();
-    job.metrics.waited(wait);
-    job.seat.leave();
-    job.shared.metrics.waiting(job.shared.teams.waiting());
+    let wait = request.arrived.elapsed();
+    request.metrics.observe_wait(wait);
+    request.permit.leave_queue();
+    request
+        .shared
+        .metrics
+        .set_waiting(request.shared.teams.waiting());
     let sidecar = grant.holder.sidecar;
-    job.choice.note_bound(sidecar);
+    request.selector.record_assignment(sidecar);
     let bound_at = Instant::now();
-    let mut bound = Bound::open(job, attempt, request_id, *grant).await;
-    let first = timeout_at(job.deadline, bound.next()).await;
-    match first {
-        Ok(Turn::Head(head)) => {
-            job.observe_head(sidecar, head.status, bound_at.elapsed());
+    let mut bound = BoundRequest::bind(request, attempt, request_id, *grant).await;
+    let first_part = timeout_at(request.deadline, bound.next()).await;
+    match first_part {
+        Ok(AnswerPart::Head(head)) => {
+            request.observe_head(sidecar, head.status, bound_at.elapsed());
             AttemptEnd::Answering(Box::new(bound), head)
         }
-        Ok(Turn::Settled(outcome)) => {
+        Ok(AnswerPart::Settled(outcome)) => {
             if bound.body_fault.is_none() {
-                job.observe_outcome(sidecar, outcome);
+                request.observe_outcome(sidecar, outcome);
             }
-            AttemptEnd::Settled(outcome, bound.body_fault)
+            AttemptEnd::Ended(outcome, bound.body_fault)
         }
-        // The check lets no byte pass before the head.
-        Ok(Turn::Bytes(_)) => AttemptEnd::Settled(
-            bound.give_up(Event::AnswerBroken(hinge_outcome::Reason::AnswerGarbled)),
+        // The answer check rejects bytes that come before the head.
+        Ok(AnswerPart::Bytes(_)) => AttemptEnd::Ended(
+            bound.settle(Event::AnswerBroken(hinge_outcome::Reason::AnswerGarbled)),
             None,
         ),
         Err(_elapsed) => {
-            let retry_after = job.min_retry_after;
-            AttemptEnd::Settled(bound.give_up(Event::Deadline { retry_after }), None)
+            let retry_after = request.min_retry_after;
+            AttemptEnd::Ended(bound.settle(Event::Deadline { retry_after }), None)
         }
     }
 }
 
-fn retry(job: &Job, outcome: Outcome, attempts: u32) -> Retry {
-    // A body that has been streamed can't be sent again, whatever the budgets say.
-    if !job.body.is_sendable() {
+fn decide_retry(request: &RequestContext, outcome: Outcome, attempts: u32) -> Retry {
+    // A body that was streamed can't be sent again, even if the retry budgets allow it.
+    if !request.body.is_sendable() {
         return Retry::Final(outcome);
     }
     let tried = Tried {
         outcome,
-        is_idempotent: job.is_idempotent,
+        is_idempotent: request.is_idempotent,
         answer_started: false,
         attempts,
     };
-    let shared = &job.shared;
-    let deadline = job.deadline.saturating_duration_since(shared.started);
+    let shared = &request.shared;
+    let deadline = request.deadline.saturating_duration_since(shared.started);
     shared
         .budgets
         .lock()
         .unwrap_or_else(PoisonError::into_inner)
-        .decide(&job.team, &tried, shared.now(), deadline, &mut rand::rng())
+        .decide(
+            &request.team,
+            &tried,
+            shared.now(),
+            deadline,
+            &mut rand::rng(),
+        )
 }
 
-fn refuse(job: &Job, outcome: Outcome) -> Response {
-    job.count_end(outcome);
-    Refusal::of_outcome(outcome, job.min_retry_after, job.is_resend_safe()).response()
+fn refuse(request: &RequestContext, outcome: Outcome) -> Response {
+    request.count_end(outcome);
+    Refusal::of_outcome(outcome, request.min_retry_after, request.is_resend_safe()).response()
 }
 
-/// Words a fault of the caller's body after the bind: its status, and what the sidecar could prove of the run.
-fn refuse_body(job: &Job, outcome: Outcome, fault: BodyFault) -> Response {
-    job.count_end(outcome);
-    let mut refusal = fault.refusal(job.min_retry_after);
+/// Returns the refusal for a body that failed after the bind.
+///
+/// The status follows from the fault; whether the request is reported as not run depends on what the sidecar could prove.
+fn refuse_body(request: &RequestContext, outcome: Outcome, fault: BodyFault) -> Response {
+    request.count_end(outcome);
+    let mut refusal = fault.refusal(request.min_retry_after);
     if !outcome.is_not_run() {
         refusal.certainty = Certainty::Unknown;
     }
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -1,4 +1,4 @@
-//! Serves callers: checks each request, finds its team and pool, and runs it.
+//! HTTP routes for callers: validates each request, resolves its team and pool, and runs it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,27 +14,27 @@
 use tokio::time::Instant;
 use viz::{Body, Request, Response, Router};
 
-use crate::body::{BodyLimits, ParkedBody};
-use crate::caller::{Wishes, key_hash};
+use crate::body::{BodyLimits, BufferedBody};
+use crate::caller::{RequestOptions, key_hash};
 use crate::estimates::CostFeatures;
 use crate::headers;
-use crate::job::Job;
-use crate::metrics::Who;
+use crate::metrics::RequestLabels;
 use crate::model::ModelCall;
 use crate::refusal::Refusal;
+use crate::request::RequestContext;
 use crate::run::run;
 use crate::shared::{OpenRequest, Shared};
-use crate::teams::Seat;
+use crate::teams::QueuePermit;
 
-/// When to come back to an entry that is not ready or is leaving: the balancer sends the caller to another one by then.
-const SOON: Duration = Duration::from_millis(500);
+/// Retry delay given by an entry that is not ready or is leaving; by then the load balancer picks another entry.
+const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Starts the path of a plain service.
+/// Path prefix of calls to plain services.
 const POOLS: &str = "/pools/";
 
-/// Says which of the callers' paths was asked for.
+/// The kind of path that a caller requested.
 #[derive(Debug, Clone, Copy)]
-enum Call {
+enum Route {
     Model,
     Models,
     Service,
@@ -44,24 +44,24 @@
 /// Returns the routes for callers.
 #[must_use]
 pub fn routes(shared: &Arc<Shared>) -> Router {
-    let on = |call: Call| {
+    let on = |route: Route| {
         let shared = Arc::clone(shared);
         move |request: Request| {
             let shared = Arc::clone(&shared);
-            async move { viz::Result::Ok(answer(shared, request, call).await) }
+            async move { viz::Result::Ok(answer(shared, request, route).await) }
         }
     };
     let ready = Arc::clone(shared);
     Router::new()
-        .any("/v1/chat/completions", on(Call::Model))
-        .any("/v1/completions", on(Call::Model))
-        .any("/v1/models", on(Call::Models))
-        .any("/pools/*", on(Call::Service))
+        .any("/v1/chat/completions", on(Route::Model))
+        .any("/v1/completions", on(Route::Model))
+        .any("/v1/models", on(Route::Models))
+        .any("/pools/*", on(Route::Service))
         .get("/readyz", move |_: Request| {
             let response = readyz(&ready);
             async { viz::Result::Ok(response) }
         })
-        .any("/*", on(Call::NoSuchPath))
+        .any("/*", on(Route::NoSuchPath))
 }
 
 fn readyz(shared: &Shared) -> Response {
@@ -73,14 +73,14 @@
     response
 }
 
-async fn answer(shared: Arc<Shared>, request: Request, call: Call) -> Response {
+async fn answer(shared: Arc<Shared>, request: Request, route: Route) -> Response {
     let open = OpenRequest::begin(&shared);
-    let mut who = Who::default();
-    let mut response = match admit(&shared, open, request, call, &mut who).await {
-        Ok(Admitted::Run(job)) => run(*job).await,
+    let mut labels = RequestLabels::default();
+    let mut response = match admit(&shared, open, request, route, &mut labels).await {
+        Ok(Admitted::Run(context)) => run(*context).await,
         Ok(Admitted::Answered(response)) => response,
         Err(refusal) => {
-            shared.metrics.refused(&who, &refusal);
+            shared.metrics.count_refusal(&labels, &refusal);
             refusal.response()
         }
     };
@@ -94,7 +94,7 @@
 }
 
 enum Admitted {
-    Run(Box<Job>),
+    Run(Box<RequestContext>),
     Answered(Response),
 }
 
@@ -102,8 +102,8 @@
     shared: &Arc<Shared>,
     open: OpenRequest,
     request: Request,
-    call: Call,
-    who: &mut Who,
+    route: Route,
+    labels: &mut RequestLabels,
 ) -> Result<Admitted, Refusal> {
     let arrived = Instant::now();
     check_ready(shared)?;
@@ -111,74 +111,82 @@
     let config = &snapshot.effective;
     let hash = key_hash(request.headers())?;
     let (name, team) = config.team_by_key(&hash).ok_or_else(|| {
-        Refusal::mistake(
+        Refusal::caller_error(
             StatusCode::UNAUTHORIZED,
             "wrong_key",
             "The key belongs to no team.",
         )
     })?;
-    let kind = match call {
-        Call::Model if *request.method() == Method::POST => PoolKind::Model,
-        Call::Models if *request.method() == Method::GET => {
+    let kind = match route {
+        Route::Model if *request.method() == Method::POST => PoolKind::Model,
+        Route::Models if *request.method() == Method::GET => {
             return Ok(Admitted::Answered(list_models(config)));
         }
-        Call::Service => PoolKind::Service,
-        Call::Model | Call::Models => {
-            return Err(Refusal::mistake(
+        Route::Service => PoolKind::Service,
+        Route::Model | Route::Models => {
+            return Err(Refusal::caller_error(
                 StatusCode::METHOD_NOT_ALLOWED,
                 "bad_method",
                 "Calls of models are sent by POST, and the list of models is read by GET.",
             ));
         }
-        Call::NoSuchPath => return Err(no_such_path()),
+        Route::NoSuchPath => return Err(no_such_path()),
     };
-    let wishes = Wishes::read(request.headers())?;
-    who.set_sender(&shared.metrics, name, wishes.class);
-    let min_retry_after = wishes.min_retry_after(&config.classes);
-    let seat = take_seat(shared, name, team, &snapshot, min_retry_after)?;
-    let asked = Asked {
+    let options = RequestOptions::read(request.headers())?;
+    labels.set_sender(&shared.metrics, name, options.class);
+    let min_retry_after = options.min_retry_after(&config.classes);
+    let permit = enter_queue(shared, name, team, &snapshot, min_retry_after)?;
+    let pending = PendingRequest {
         shared,
         config,
         team: name,
-        wishes,
+        options,
         arrived,
         min_retry_after,
-        who,
+        labels,
     };
-    let job = match kind {
-        PoolKind::Model => asked.model_job(open, seat, request).await,
-        PoolKind::Service => asked.service_job(open, seat, request).await,
+    let context = match kind {
+        PoolKind::Model => pending.model_request(open, permit, request).await,
+        PoolKind::Service => pending.service_request(open, permit, request).await,
     };
-    Ok(Admitted::Run(Box::new(job?)))
+    Ok(Admitted::Run(Box::new(context?)))
 }
 
 fn check_ready(shared: &Shared) -> Result<(), Refusal> {
     if shared.is_leaving() {
         let message = "This entry is in a planned stop.";
-        return Err(Refusal::not_now("leaving", message, SOON));
+        return Err(Refusal::unavailable(
+            "leaving",
+            message,
+            UNAVAILABLE_RETRY_AFTER,
+        ));
     }
     if !shared.update_readiness() {
         let message = "This entry has no current configuration yet.";
-        return Err(Refusal::not_now("not_ready", message, SOON));
+        return Err(Refusal::unavailable(
+            "not_ready",
+            message,
+            UNAVAILABLE_RETRY_AFTER,
+        ));
     }
     Ok(())
 }
 
 fn no_such_path() -> Refusal {
-    Refusal::mistake(
+    Refusal::caller_error(
         StatusCode::NOT_FOUND,
         "no_such_path",
         "Callers' paths are /v1/chat/completions, /v1/completions, /v1/models and /pools/POOL/.",
     )
 }
 
-fn take_seat(
+fn enter_queue(
     shared: &Shared,
     name: &str,
     team: &Team,
     snapshot: &Snapshot,
     min_retry_after: Duration,
-) -> Result<Seat, Refusal> {
+) -> Result<QueuePermit, Refusal> {
     let state = shared
         .teams
         .state(name, snapshot.version, &snapshot.effective);
@@ -190,11 +198,11 @@
         Refusal::of_outcome(outcome, min_retry_after, true)
     };
     state
-        .take_rate(team.requests_per_second, shared.now())
+        .take_rate_token(team.requests_per_second, shared.now())
         .map_err(|wait| refuse(Reason::OverLimit, wait))?;
     shared
         .teams
-        .enter(&state, team)
+        .enter_queue(&state, team)
         .map_err(|reason| refuse(reason, Duration::ZERO))
 }
 
@@ -215,39 +223,39 @@
     response
 }
 
-/// Holds what is known of a request before its body is read.
-struct Asked<'a> {
+/// A request that was admitted, before its body is read.
+struct PendingRequest<'a> {
     shared: &'a Arc<Shared>,
     config: &'a Effective,
     team: &'a str,
-    wishes: Wishes,
+    options: RequestOptions,
     arrived: Instant,
     min_retry_after: Duration,
-    who: &'a mut Who,
+    labels: &'a mut RequestLabels,
 }
 
-impl Asked<'_> {
-    async fn model_job(
+impl PendingRequest<'_> {
+    async fn model_request(
         self,
         open: OpenRequest,
-        mut seat: Seat,
+        mut permit: QueuePermit,
         request: Request,
-    ) -> Result<Job, Refusal> {
+    ) -> Result<RequestContext, Refusal> {
         let max_bytes = self.max_body_bytes();
         let (head, body) = request.into_parts();
         let limits = BodyLimits {
             max_bytes,
-            parked_bytes: usize::try_from(max_bytes).unwrap_or(usize::MAX),
-            wait: self.shared.settings.body_timeout,
+            buffered_bytes: usize::try_from(max_bytes).unwrap_or(usize::MAX),
+            max_wait: self.shared.settings.body_timeout,
         };
-        let body = self.read_body(body, limits, &mut seat).await?;
+        let body = self.read_body(body, limits, &mut permit).await?;
         let call = ModelCall::read(&body.read)?;
         let (name, pool) = self
             .config
             .pool_serving(&call.model)
             .filter(|(_, pool)| pool.kind == PoolKind::Model)
-            .ok_or_else(|| no_such("model", &call.model))?;
-        self.who.set_pool(name);
+            .ok_or_else(|| not_found("model", &call.model))?;
+        self.labels.set_pool(name);
         let prompt = call.prompt();
         let cost = CostFeatures {
             model: call.model.clone(),
@@ -257,26 +265,26 @@
             ..self.cost_features(name)
         };
         let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
-        Ok(self.job((open, seat), (pool, cost), &head, path, body))
+        Ok(self.context((open, permit), (pool, cost), &head, path, body))
     }
 
-    async fn service_job(
+    async fn service_request(
         self,
         open: OpenRequest,
-        mut seat: Seat,
+        mut permit: QueuePermit,
         request: Request,
-    ) -> Result<Job, Refusal> {
+    ) -> Result<RequestContext, Refusal> {
         let (head, body) = request.into_parts();
-        let whole = head.uri.path_and_query().map_or("/", |path| path.as_str());
-        let inner = whole.strip_prefix(POOLS).unwrap_or_default();
+        let path_and_query = head.uri.path_and_query().map_or("/", |path| path.as_str());
+        let inner = path_and_query.strip_prefix(POOLS).unwrap_or_default();
         let name_bytes = inner.find(['/', '?']).unwrap_or(inner.len());
-        let (asked, rest) = inner.split_at(name_bytes);
+        let (requested_pool, rest) = inner.split_at(name_bytes);
         let (name, pool) = self
             .config
-            .pool_serving(asked)
+            .pool_serving(requested_pool)
             .filter(|(_, pool)| pool.kind == PoolKind::Service)
-            .ok_or_else(|| no_such("pool", asked))?;
-        self.who.set_pool(name);
+            .ok_or_else(|| not_found("pool", requested_pool))?;
+        self.labels.set_pool(name);
         let path = if rest.starts_with('/') {
             rest.into()
         } else {
@@ -284,75 +292,78 @@
         };
         let limits = BodyLimits {
             max_bytes: self.max_body_bytes(),
-            parked_bytes: self.shared.settings.parked_body_bytes,
-            wait: self.shared.settings.body_timeout,
+            buffered_bytes: self.shared.settings.buffered_body_bytes,
+            max_wait: self.shared.settings.body_timeout,
         };
-        let body = self.read_body(body, limits, &mut seat).await?;
+        let body = self.read_body(body, limits, &mut permit).await?;
         let cost = self.cost_features(name);
-        Ok(self.job((open, seat), (pool, cost), &head, &path, body))
+        Ok(self.context((open, permit), (pool, cost), &head, &path, body))
     }
 
-    /// Returns what is known of any request to a pool.
+    /// Returns the cost features that requests to model and service pools have in common.
     fn cost_features(&self, pool: &str) -> CostFeatures {
         CostFeatures {
             pool: pool.into(),
             team: self.team.into(),
-            class: self.wishes.class,
+            class: self.options.class,
             model: Box::default(),
             prompt_tokens: 0,
             max_tokens: 0,
-            hint_units: self.wishes.estimated_units,
+            hint_units: self.options.estimated_units,
             prefix_hash: 0,
         }
     }
 
     fn max_body_bytes(&self) -> u64 {
-        let of_fleet = self.config.limits.max_body_bytes;
-        self.shared.settings.max_body_bytes.min(of_fleet)
+        let fleet_max_bytes = self.config.limits.max_body_bytes;
+        self.shared.settings.max_body_bytes.min(fleet_max_bytes)
     }
 
     async fn read_body(
         &self,
         body: Body,
         limits: BodyLimits,
-        seat: &mut Seat,
-    ) -> Result<ParkedBody, Refusal> {
-        ParkedBody::read(body, limits, seat)
+        permit: &mut QueuePermit,
+    ) -> Result<BufferedBody, Refusal> {
+        BufferedBody::read(body, limits, permit)
             .await
             .map_err(|fault| fault.refusal(self.min_retry_after))
     }
 
-    fn job(
+    fn context(
         self,
-        (open, seat): (OpenRequest, Seat),
+        (open, permit): (OpenRequest, QueuePermit),
         (pool, cost): (&Pool, CostFeatures),
         head: &http::request::Parts,
         path: &str,
-        body: ParkedBody,
-    ) -> Job {
+        body: BufferedBody,
+    ) -> RequestContext {
         let estimate = self.shared.estimates.estimate(pool, &cost);
-        let hashed_bytes = body.read.len().min(self.shared.settings.parked_body_bytes);
+        let hashed_bytes = body
+            .read
+            .len()
+            .min(self.shared.settings.buffered_body_bytes);
         let hashed = if body.is_whole() {
             &*body.read
         } else {
             &body.read[..hashed_bytes]
         };
-        Job {
+        RequestContext {
             fingerprint: request_fingerprint(head.method.as_str(), path, hashed),
             shared: Arc::clone(self.shared),
             _open: open,
-            metrics: self.shared.metrics.of_request(self.who.clone()),
-            seat,
+            metrics: self.shared.metrics.request_metrics(self.labels.clone()),
+            permit,
             team: self.team.into(),
-            choice: self.shared.pools.get(&cost.pool),
+            selector: self.shared.pools.get(&cost.pool),
             avoid: SmallVec::new(),
             pool: cost.pool.clone(),
-            class: self.wishes.class,
+            class: self.options.class,
             arrived: self.arrived,
-            deadline: self.arrived + self.wishes.deadline(&self.config.classes, pool),
+            deadline: self.arrived + self.options.deadline(&self.config.classes, pool),
             min_retry_after: self.min_retry_after,
-            is_idempotent: self.wishes.may_repeat(pool.kind, &head.method),
-            key: self.wishes.key,
+            is_idempotent: self.options.may_repeat(pool.kind, &head.method),
+            key: self.options.key,
             estimate,
             cost_features: Arc::new(cost),
             method: head.method.as_str().into(),
@@ -363,7 +374,7 @@
     }
 }
 
-fn no_such(what: &str, name: &str) -> Refusal {
+fn not_found(what: &str, name: &str) -> Refusal {
     let name: String = name.chars().take(128).collect();
     let reason = if what == "model" {
         "no_such_model"
@@ -371,5 +382,5 @@
         "no_such_pool"
     };
     let message = format!("There is no {what} `{name}`.");
-    Refusal::mistake(StatusCode::NOT_FOUND, reason, message)
+    Refusal::caller_error(StatusCode::NOT_FOUND, reason, message)
 }
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -1,4 +1,4 @@
-//! Holds what all requests of an entry share.
+//! State shared by all requests of an entry.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -11,56 +11,56 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use crate::choose::Pools;
 use crate::estimates::Estimates;
 use crate::metrics::Metrics;
+use crate::selection::PoolSelectors;
 use crate::settings::EntrySettings;
 use crate::teams::Teams;
 use hinge_member::Member;
 
-/// Holds what all requests of an entry share; nothing here is locked while an answer streams.
+/// State shared by all requests of an entry; no lock in it is taken while an answer streams.
 #[derive(Debug)]
 pub struct Shared {
     /// Settings of the entry.
     pub settings: EntrySettings,
-    /// What is known of the fleet.
+    /// The entry's view of the fleet: configuration and members.
     pub member: Member,
-    /// Calls to other processes.
+    /// Client for calls to other processes.
     pub client: Client,
     /// Metrics.
     pub metrics: Metrics,
-    /// Whether the process takes work.
+    /// Readiness of the process.
     pub readiness: Arc<Readiness>,
-    /// Counts of the teams.
+    /// Queue state of the teams.
     pub teams: Arc<Teams>,
-    /// Choice among the sidecars of each pool.
-    pub pools: Pools,
-    /// Costs of similar requests.
+    /// Sidecar selectors of the pools.
+    pub pools: PoolSelectors,
+    /// Cost estimators of the pools.
     pub estimates: Estimates,
-    /// Start of the process, from which times are counted.
+    /// Start of the entry, to which times are relative.
     pub started: Instant,
-    /// Retry budgets; the lock is held for some steps at the start of a request and before a retry, and never waits.
+    /// Retry budgets; the lock is held briefly at the start of a request and before a retry, and never across an await.
     pub budgets: Mutex<RetryBudgets>,
     is_leaving: AtomicBool,
     open: AtomicU64,
-    closed_one: Notify,
+    request_closed: Notify,
 }
 
 impl Shared {
-    /// Opens the shared state.
+    /// Creates the shared state.
     #[must_use]
-    pub fn open(
+    pub fn new(
         settings: EntrySettings,
         member: Member,
         client: Client,
         metrics: Metrics,
         readiness: Arc<Readiness>,
     ) -> Self {
-        let teams = Teams::open(settings.max_waiting_requests, settings.max_waiting_bytes);
+        let teams = Teams::new(settings.max_waiting_requests, settings.max_waiting_bytes);
         Self {
             budgets: Mutex::new(RetryBudgets::open(settings.retry)),
             teams: Arc::new(teams),
-            pools: Pools::open(member.instance()),
+            pools: PoolSelectors::new(member.instance()),
             estimates: Estimates::default(),
             settings,
             member,
@@ -70,11 +70,11 @@
             started: Instant::now(),
             is_leaving: AtomicBool::new(false),
             open: AtomicU64::new(0),
-            closed_one: Notify::new(),
+            request_closed: Notify::new(),
         }
     }
 
-    /// Brings the readiness up to date, and returns whether the configuration is current.
+    /// Updates the readiness, and returns whether the configuration is current.
     pub fn update_readiness(&self) -> bool {
         let is_current = self.member.is_current();
         self.readiness.update(NotReady::NoConfig, !is_current);
@@ -88,7 +88,7 @@
     }
 
     /// Begins a planned stop.
-    pub fn leave(&self) {
+    pub fn begin_drain(&self) {
         self.is_leaving.store(true, Ordering::Release);
         self.readiness.set(NotReady::Leaving);
         self.member.set_leaving();
@@ -101,9 +101,9 @@
     }
 
     /// Waits until no request is open.
-    pub async fn all_ended(&self) {
+    pub async fn wait_until_idle(&self) {
         loop {
-            let next = self.closed_one.notified();
+            let next = self.request_closed.notified();
             if self.open_requests() == 0 {
                 return;
             }
@@ -111,21 +111,21 @@
         }
     }
 
-    /// Returns the time since the start of the process.
+    /// Returns the time since the start of the entry.
     #[must_use]
     pub fn now(&self) -> Duration {
         self.started.elapsed()
     }
 }
 
-/// Counts one open request until it is dropped.
+/// A guard that counts one open request until it is dropped.
 #[derive(Debug)]
 pub struct OpenRequest {
     shared: Arc<Shared>,
 }
 
 impl OpenRequest {
-    /// Counts a request from now on.
+    /// Counts a request as open.
     #[must_use]
     pub fn begin(shared: &Arc<Shared>) -> Self {
         shared.open.fetch_add(1, Ordering::AcqRel);
@@ -140,6 +140,6 @@
     fn drop(&mut self) {
         self.shared.open.fetch_sub(1, Ordering::AcqRel);
         self.shared.metrics.open.dec();
-        self.shared.closed_one.notify_waiters();
+        self.shared.request_closed.notify_waiters();
     }
 }
--- a/crates/entry/src/teams.rs
+++ b/crates/entry/src/teams.rs
@@ -1,4 +1,4 @@
-//! Counts what each team has waiting at this entry, and sheds from the team that is furthest above its share.
+//! Counts the waiting requests of each team at this entry, and sheds from the team that is furthest above its share.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,108 +13,110 @@
 /// Microseconds in a second.
 const SECOND_US: u64 = 1_000_000;
 
-/// Holds the counts of one team.
+/// The queue and rate-limit state of one team.
 #[derive(Debug, Default)]
 pub struct TeamState {
     waiting: AtomicU32,
-    /// Time, in microseconds, at which the team's rate has room for a whole second's burst again.
-    rate_until_us: AtomicU64,
+    /// Theoretical arrival time of the team's rate limiter (GCRA), in microseconds; the burst is full from then on.
+    theoretical_arrival_us: AtomicU64,
     shed: Notify,
 }
 
 impl TeamState {
-    /// Returns the number of the team's requests that wait here.
+    /// Returns the number of the team's waiting requests.
     #[must_use]
     pub fn waiting(&self) -> u32 {
         self.waiting.load(Ordering::Relaxed)
     }
 
-    /// Waits until this waiting request is chosen to be shed; the youngest is chosen first.
-    pub async fn shed(&self) {
+    /// Waits until this request is chosen to be shed; the most recent waiter is chosen first.
+    pub async fn wait_for_shed(&self) {
         self.shed.notified().await;
     }
 
-    /// Takes one request from a rate with a burst of one second, or says when there is room.
+    /// Admits one request under a rate limit with a burst of one second; a rate of 0 sets no limit.
     ///
     /// # Errors
     ///
-    /// Returns the wait until the next request fits.
-    pub fn take_rate(&self, per_second: u32, now: Duration) -> Result<(), Duration> {
+    /// Returns the wait until the next request is admitted.
+    pub fn take_rate_token(&self, per_second: u32, now: Duration) -> Result<(), Duration> {
         if per_second == 0 {
             return Ok(());
         }
         let now_us = u64::try_from(now.as_micros()).unwrap_or(u64::MAX);
         let step_us = SECOND_US / u64::from(per_second);
-        let taken =
-            self.rate_until_us
-                .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |until| {
-                    let next = until.max(now_us) + step_us;
-                    (next <= now_us + SECOND_US).then_some(next)
-                });
+        let taken = self.theoretical_arrival_us.fetch_update(
+            Ordering::Relaxed,
+            Ordering::Relaxed,
+            |arrival_us| {
+                let next = arrival_us.max(now_us) + step_us;
+                (next <= now_us + SECOND_US).then_some(next)
+            },
+        );
         match taken {
             Ok(_before) => Ok(()),
-            Err(until) => Err(Duration::from_micros(
-                (until + step_us).saturating_sub(now_us + SECOND_US),
+            Err(arrival_us) => Err(Duration::from_micros(
+                (arrival_us + step_us).saturating_sub(now_us + SECOND_US),
             )),
         }
     }
 }
 
 #[derive(Debug)]
-struct Row {
+struct TeamRow {
     share: u32,
     state: Arc<TeamState>,
 }
 
 #[derive(Debug, Default)]
-struct Rows {
+struct TeamTable {
     version: u64,
-    rows: HashMap<Box<str>, Row>,
+    rows: HashMap<Box<str>, TeamRow>,
 }
 
-/// Holds the counts of all teams, and of the entry as a whole.
+/// The queue state of all teams and of the entry as a whole.
 #[derive(Debug)]
 pub struct Teams {
-    rows: ArcSwap<Rows>,
+    table: ArcSwap<TeamTable>,
     waiting: AtomicU32,
     max_waiting: u32,
-    held_bytes: AtomicU64,
-    max_held_bytes: u64,
+    buffered_bytes: AtomicU64,
+    max_buffered_bytes: u64,
 }
 
 impl Teams {
-    /// Opens the counts with the entry's bounds.
+    /// Creates the state with the entry's limits.
     #[must_use]
-    pub fn open(max_waiting: u32, max_held_bytes: u64) -> Self {
+    pub fn new(max_waiting: u32, max_buffered_bytes: u64) -> Self {
         Self {
-            rows: ArcSwap::default(),
+            table: ArcSwap::default(),
             waiting: AtomicU32::new(0),
             max_waiting,
-            held_bytes: AtomicU64::new(0),
-            max_held_bytes,
+            buffered_bytes: AtomicU64::new(0),
+            max_buffered_bytes,
         }
     }
 
-    /// Returns the number of requests that wait here.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub fn waiting(&self) -> u32 {
         self.waiting.load(Ordering::Relaxed)
     }
 
-    /// Returns the state of a team, after taking over the teams of a newer configuration.
+    /// Returns the state of a team, after applying a newer configuration if there is one.
     #[must_use]
     pub fn state(&self, name: &str, version: u64, config: &Effective) -> Arc<TeamState> {
-        if self.rows.load().version < version {
+        if self.table.load().version < version {
             self.refresh(version, config);
         }
-        let rows = self.rows.load();
-        let row = rows.rows.get(name);
-        // A team that is gone in the meantime gets counts of its own, which end with the request.
+        let table = self.table.load();
+        let row = table.rows.get(name);
+        // A team that was removed in the meantime gets a state of its own, which lasts as long as the request.
         row.map_or_else(Arc::default, |row| Arc::clone(&row.state))
     }
 
     fn refresh(&self, version: u64, config: &Effective) {
-        self.rows.rcu(|old| {
+        self.table.rcu(|old| {
             if old.version >= version {
                 return Arc::clone(old);
             }
@@ -122,85 +124,97 @@
                 let state = old.rows.get(name).map(|row| Arc::clone(&row.state));
                 let state = state.unwrap_or_default();
                 let share = team.share;
-                (Box::from(name), Row { share, state })
+                (Box::from(name), TeamRow { share, state })
             });
-            Arc::new(Rows {
+            Arc::new(TeamTable {
                 version,
                 rows: rows.collect(),
             })
         });
     }
 
-    /// Gives a request a place among the waiting ones.
+    /// Adds a request to the queue.
     ///
-    /// When the entry is full, the team with the most waiting requests for its share gives one up, which may be this one.
+    /// When the entry is full, a request is shed from the team with the most waiting requests relative to its share, which
+    /// may be the new request.
     ///
     /// # Errors
     ///
-    /// Returns the reason when there is no room for it.
-    pub fn enter(self: &Arc<Self>, state: &Arc<TeamState>, team: &Team) -> Result<Seat, Reason> {
-        let of_team = state.waiting.fetch_add(1, Ordering::Relaxed) + 1;
-        let of_entry = self.waiting.fetch_add(1, Ordering::Relaxed) + 1;
-        let seat = Seat {
+    /// Returns the reason when the request is refused.
+    pub fn enter_queue(
+        self: &Arc<Self>,
+        state: &Arc<TeamState>,
+        team: &Team,
+    ) -> Result<QueuePermit, Reason> {
+        let team_waiting = state.waiting.fetch_add(1, Ordering::Relaxed) + 1;
+        let entry_waiting = self.waiting.fetch_add(1, Ordering::Relaxed) + 1;
+        let permit = QueuePermit {
             teams: Arc::clone(self),
             state: Arc::clone(state),
-            held_bytes: 0,
+            buffered_bytes: 0,
             is_waiting: true,
         };
-        if of_team > team.max_waiting {
+        if team_waiting > team.max_waiting {
             return Err(Reason::QueueFull);
         }
-        if of_entry > self.max_waiting {
-            self.make_room(state, team.share)?;
+        if entry_waiting > self.max_waiting {
+            self.shed_one(state, team.share)?;
         }
-        Ok(seat)
+        Ok(permit)
     }
 
-    fn make_room(&self, newcomer: &Arc<TeamState>, share: u32) -> Result<(), Reason> {
-        let rows = self.rows.load();
+    fn shed_one(&self, new_team: &Arc<TeamState>, share: u32) -> Result<(), Reason> {
+        let table = self.table.load();
         let load = |waiting: u32, share: u32| f64::from(waiting) / f64::from(share.max(1));
-        let most = rows
+        let most_loaded = table
             .rows
             .values()
             .max_by(|a, b| {
                 load(a.state.waiting(), a.share).total_cmp(&load(b.state.waiting(), b.share))
             })
             .ok_or(Reason::Shed)?;
-        let is_self = Arc::ptr_eq(&most.state, newcomer);
-        if is_self || load(most.state.waiting(), most.share) <= load(newcomer.waiting(), share) {
+        let is_self = Arc::ptr_eq(&most_loaded.state, new_team);
+        if is_self
+            || load(most_loaded.state.waiting(), most_loaded.share)
+                <= load(new_team.waiting(), share)
+        {
             return Err(Reason::Shed);
         }
-        most.state.shed.notify_last();
+        most_loaded.state.shed.notify_last();
         Ok(())
     }
 }
 
-/// Holds a request's place among the waiting ones; dropping it gives the place and the bytes back.
+/// A request's place in the queue; dropping it releases the place and the counted bytes.
 #[derive(Debug)]
-pub struct Seat {
+pub struct QueuePermit {
     teams: Arc<Teams>,
     state: Arc<TeamState>,
-    held_bytes: u64,
+    buffered_bytes: u64,
     is_waiting: bool,
 }
 
-impl Seat {
-    /// Counts bytes of the body that are held from now on.
+impl QueuePermit {
+    /// Counts further bytes of the body as buffered.
     ///
     /// # Errors
     ///
-    /// Returns the reason when the entry holds too many bytes.
-    pub fn hold(&mut self, bytes: u64) -> Result<(), Reason> {
-        self.held_bytes += bytes;
-        let held = self.teams.held_bytes.fetch_add(bytes, Ordering::Relaxed) + bytes;
-        if held > self.teams.max_held_bytes {
+    /// Returns the reason when the entry has too many buffered bytes.
+    pub fn reserve_bytes(&mut self, bytes: u64) -> Result<(), Reason> {
+        self.buffered_bytes += bytes;
+        let buffered = self
+            .teams
+            .buffered_bytes
+            .fetch_add(bytes, Ordering::Relaxed)
+            + bytes;
+        if buffered > self.teams.max_buffered_bytes {
             return Err(Reason::Shed);
         }
         Ok(())
     }
 
-    /// Gives up the place, as the request has a slot; its bytes stay counted.
-    pub fn leave(&mut self) {
+    /// Leaves the queue, as the request has a slot; its bytes stay counted.
+    pub fn leave_queue(&mut self) {
         if std::mem::take(&mut self.is_waiting) {
             self.state.waiting.fetch_sub(1, Ordering::Relaxed);
             self.teams.waiting.fetch_sub(1, Ordering::Relaxed);
@@ -208,16 +222,16 @@
     }
 
     /// Waits until this request is chosen to be shed.
-    pub async fn shed(&self) {
-        self.state.shed().await;
+    pub async fn wait_for_shed(&self) {
+        self.state.wait_for_shed().await;
     }
 }
 
-impl Drop for Seat {
+impl Drop for QueuePermit {
     fn drop(&mut self) {
-        self.leave();
+        self.leave_queue();
         self.teams
-            .held_bytes
-            .fetch_sub(self.held_bytes, Ordering::Relaxed);
+            .buffered_bytes
+            .fetch_sub(self.buffered_bytes, Ordering::Relaxed);
     }
 }
--- a/crates/entry/src/wire.rs
+++ b/crates/entry/src/wire.rs
@@ -1,4 +1,4 @@
-//! Turns the reasons and verdicts of messages into those of the outcome machines.
+//! Converts reasons and verdicts from messages into those of the outcome state machine.
 
 use std::time::Duration;
 
@@ -7,14 +7,14 @@
     Failed, FailureKind, NotRunReason, Verdict as WireVerdict, VerdictReply,
 };
 
-/// Returns the reason of a message.
+/// Converts the reason of a message.
 #[must_use]
 pub fn reason(wire: NotRunReason) -> Reason {
     match wire {
         NotRunReason::QueueFull => Reason::QueueFull,
         NotRunReason::Shed => Reason::Shed,
         NotRunReason::Deadline => Reason::Deadline,
-        // A sidecar without a configuration and one with another version ask for the same: try elsewhere, or again.
+        // Without a configuration or with another version of it, the remedy is the same: try another sidecar, or try again.
         NotRunReason::StaleConfig | NotRunReason::NotReady => Reason::StaleConfig,
         NotRunReason::Leaving => Reason::Leaving,
         NotRunReason::NoEndpoint => Reason::NoEndpoint,
@@ -34,7 +34,7 @@
     }
 }
 
-/// Returns the event of a sidecar's answer to [`hinge_schema::messages::AskVerdict`].
+/// Converts a sidecar's reply to [`hinge_schema::messages::AskVerdict`] into an event.
 #[must_use]
 pub fn verdict(reply: &VerdictReply) -> Event {
     let verdict = match reply.verdict {
@@ -43,7 +43,7 @@
             retry_after: Duration::ZERO,
         },
         WireVerdict::Running => Verdict::Running { answer_bytes: 0 },
-        // The reply holds no length. One that no answer has makes the machine resume, and the resume brings the end.
+        // The reply has no length. The largest one makes the state machine resume, and the resumed exchange delivers the end.
         WireVerdict::Completed => Verdict::Completed {
             answer_bytes: u64::MAX,
         },
@@ -58,7 +58,7 @@
     }
 }
 
-/// Returns the verdict of a failure that came on the exchange itself.
+/// Converts a failure received on the exchange into a verdict.
 #[must_use]
 pub fn failure(failed: &Failed) -> Verdict {
     let reason = reason(failed.reason);
--- a/crates/entry/tests/entry/main.rs
+++ b/crates/entry/tests/entry/main.rs
@@ -1,4 +1,4 @@
-//! Checks an entry among fake sidecars on loopback; every wait is for a condition.
+//! Tests an entry against fake sidecars on loopback. Tests wait for conditions, never for a fixed time.
 
 mod answers;
 mod callers;
--- a/crates/entry/tests/entry/support.rs
+++ b/crates/entry/tests/entry/support.rs
@@ -1,4 +1,4 @@
-//! Holds a fake sidecar that the cases script by hand, a fleet around one entry, and a plain caller.
+//! A fake sidecar scripted by the tests, a fleet around one entry, and a plain HTTP caller.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -39,8 +39,8 @@
     ClusterKey::derive(b"test cluster")
 }
 
-/// One offer at a fake sidecar.
-pub struct Session {
+/// An offer received by a fake sidecar, with its exchange.
+pub struct OfferSession {
     pub offer: Offer,
     pub reader: FrameReader<Body>,
     pub sender: FrameSender,
@@ -79,13 +79,16 @@
     })
 }
 
-impl Session {
+impl OfferSession {
     pub fn id(&self) -> u64 {
         self.offer.request_id
     }
 
     pub async fn send(&self, frame: FromSidecar) {
-        self.sender.send(&frame).await.expect("the entry is there");
+        self.sender
+            .send(&frame)
+            .await
+            .expect("the entry keeps the exchange open");
     }
 
     pub async fn grant(&self) {
@@ -122,12 +125,13 @@
     }
 
     pub async fn next(&mut self) -> Option<ToSidecar> {
-        let next = tokio::time::timeout(LONG, self.reader.next()).await;
-        next.expect("the entry says something").unwrap_or(None)
+        let next = tokio::time::timeout(TIMEOUT, self.reader.next()).await;
+        next.expect("the entry sends a frame in time")
+            .unwrap_or(None)
     }
 
-    /// Grants, and returns the bind and the whole body.
-    pub async fn take(&mut self) -> (Bind, Vec<u8>) {
+    /// Grants the offer, and returns the bind and the whole body.
+    pub async fn grant_and_read_body(&mut self) -> (Bind, Vec<u8>) {
         self.grant().await;
         let Some(ToSidecar::Bind(bind)) = self.next().await else {
             panic!("the bind follows the grant");
@@ -148,9 +152,9 @@
         }
     }
 
-    /// Grants and answers with a text.
+    /// Grants the offer and sends a complete answer.
     pub async fn answer(&mut self, text: &str) {
-        self.take().await;
+        self.grant_and_read_body().await;
         self.send(head_frame(self.id(), "text/plain")).await;
         self.send(chunk_frame(self.id(), 0, text)).await;
         self.send(end_frame(self.id(), text.len() as u64)).await;
@@ -170,65 +174,73 @@
     }
 }
 
-pub type Resumed = (Resume, FrameSender, FrameReader<Body>);
+pub type ResumeSession = (Resume, FrameSender, FrameReader<Body>);
 
-/// A sidecar without decisions of its own.
+/// A sidecar that does nothing on its own; a test decides on each offer.
 pub struct FakeSidecar {
     pub name: Box<str>,
     pub server: ServerHandle,
-    pub sessions: UnboundedReceiver<Session>,
-    pub resumes: UnboundedReceiver<Resumed>,
+    pub sessions: UnboundedReceiver<OfferSession>,
+    pub resumes: UnboundedReceiver<ResumeSession>,
     pub cancels: UnboundedReceiver<CancelRun>,
     pub verdict: Arc<Mutex<VerdictReply>>,
 }
 
-type Told<T> = (UnboundedSender<T>, UnboundedReceiver<T>);
+type Channel<T> = (UnboundedSender<T>, UnboundedReceiver<T>);
 
 impl FakeSidecar {
     pub async fn bind(name: &str, config: Option<ConfigDelta>) -> Self {
-        let (offered, sessions): Told<Session> = unbounded_channel();
-        let (resume_told, resumes): Told<Resumed> = unbounded_channel();
-        let (cancelled, cancels): Told<CancelRun> = unbounded_channel();
+        let (session_sender, sessions): Channel<OfferSession> = unbounded_channel();
+        let (resume_sender, resumes): Channel<ResumeSession> = unbounded_channel();
+        let (cancel_sender, cancels): Channel<CancelRun> = unbounded_channel();
         let verdict = Arc::new(Mutex::new(VerdictReply {
             incarnation: INCARNATION,
             verdict: Verdict::Unknown,
         }));
-        let (asked, told) = (Arc::clone(&verdict), Arc::clone(&verdict));
-        let read = |reply: &Mutex<VerdictReply>| reply.lock().expect("no case panicked").clone();
+        let (verdict_reply, cancel_reply) = (Arc::clone(&verdict), Arc::clone(&verdict));
+        let read = |reply: &Mutex<VerdictReply>| {
+            reply
+                .lock()
+                .expect("no test panicked while holding the lock")
+                .clone()
+        };
         let router =
             Router::new()
                 .post("/v1/offer", move |request: viz::Request| {
-                    let offered = offered.clone();
+                    let session_sender = session_sender.clone();
                     async move {
                         exchange(&cluster_key(), request, |reader, sender| {
-                            take_offer(reader, sender, offered)
+                            accept_offer(reader, sender, session_sender)
                         })
                     }
                 })
                 .post("/v1/resume", move |request: viz::Request| {
-                    let told = resume_told.clone();
+                    let resume_sender = resume_sender.clone();
                     async move {
                         exchange(&cluster_key(), request, |mut reader, sender| async move {
                             if let Ok(Some(resume)) = reader.next::<Resume>().await {
-                                told.send((resume, sender, reader))
-                                    .expect("the case waits for it");
+                                resume_sender
+                                    .send((resume, sender, reader))
+                                    .expect("the test waits for it");
                             }
                         })
                     }
                 })
                 .post("/v1/verdict", move |request: viz::Request| {
-                    let reply = read(&asked);
+                    let reply = read(&verdict_reply);
                     async move {
                         unary(&cluster_key(), request, |_: AskVerdict| async { Ok(reply) }).await
                     }
                 })
                 .post("/v1/cancel", move |request: viz::Request| {
-                    let (reply, cancelled) = (read(&told), cancelled.clone());
-                    let note = |cancel: CancelRun| async move {
-                        cancelled.send(cancel).map_err(|_gone| StatusCode::GONE)?;
+                    let (reply, cancel_sender) = (read(&cancel_reply), cancel_sender.clone());
+                    let record = |cancel: CancelRun| async move {
+                        cancel_sender
+                            .send(cancel)
+                            .map_err(|_gone| StatusCode::GONE)?;
                         Ok(reply)
                     };
-                    async move { unary(&cluster_key(), request, note).await }
+                    async move { unary(&cluster_key(), request, record).await }
                 })
                 .post("/v1/config/fetch", move |request: viz::Request| {
                     let reply = FetchedConfig {
@@ -255,13 +267,16 @@
     }
 
     pub fn set_verdict(&self, incarnation: u64, verdict: Verdict) {
-        *self.verdict.lock().expect("no case panicked") = VerdictReply {
+        *self
+            .verdict
+            .lock()
+            .expect("no test panicked while holding the lock") = VerdictReply {
             incarnation,
             verdict,
         };
     }
 
-    pub async fn session(&mut self) -> Session {
+    pub async fn session(&mut self) -> OfferSession {
         self.sessions.recv().await.expect("the server runs")
     }
 
@@ -284,14 +299,14 @@
     }
 }
 
-async fn take_offer(
+async fn accept_offer(
     mut reader: FrameReader<Body>,
     sender: FrameSender,
-    offered: UnboundedSender<Session>,
+    session_sender: UnboundedSender<OfferSession>,
 ) {
     if let Ok(Some(ToSidecar::Offer(offer))) = reader.next().await {
-        // The channel is closed at the end of a case only.
-        let _closed = offered.send(Session {
+        // The channel is closed only at the end of a test.
+        let _closed = session_sender.send(OfferSession {
             offer,
             reader,
             sender,
@@ -328,7 +343,7 @@
     }
 }
 
-/// One entry among fake sidecars; every second one of two pools.
+/// An entry with its configuration, member list and metrics, and an HTTP client that calls it.
 pub struct Fleet {
     pub entry: Entry,
     pub member: Member,
@@ -396,7 +411,7 @@
         }
     }
 
-    /// Begins a call; its answer is awaited by the case.
+    /// Starts a call in a task that returns the response.
     pub fn send(
         &self,
         method: Method,
@@ -425,7 +440,7 @@
         headers: &[(&str, &str)],
         body: &str,
     ) -> tokio::task::JoinHandle<http::Response<Incoming>> {
-        self.send(Method::POST, path, headers, whole(body))
+        self.send(Method::POST, path, headers, full_body(body))
     }
 
     pub fn chat(
@@ -436,24 +451,24 @@
     }
 }
 
-/// Calls an entry from a connection of its own.
+/// Sends a chat call on a new connection.
 pub async fn chat_at(address: std::net::SocketAddr) -> http::Response<Incoming> {
     let http = HttpClient::builder(TokioExecutor::new()).build_http();
     let request = Request::post(format!("http://{address}/v1/chat/completions"))
         .header("authorization", "Bearer surf-key")
-        .body(whole(CHAT))
+        .body(full_body(CHAT))
         .expect("the request is valid");
     http.request(request).await.expect("the entry answers")
 }
 
-pub fn whole(body: &str) -> BoxBody<Bytes, std::io::Error> {
+pub fn full_body(body: &str) -> BoxBody<Bytes, std::io::Error> {
     Full::new(Bytes::from(body.to_owned()))
         .map_err(|never| match never {})
         .boxed()
 }
 
-/// Returns the status and the text of an answer, or the error that cut it off with the text before.
-pub async fn text(response: http::Response<Incoming>) -> (StatusCode, Result<String, String>) {
+/// Returns the status and text of an answer; `Err` with the text so far if the answer was aborted.
+pub async fn read_text(response: http::Response<Incoming>) -> (StatusCode, Result<String, String>) {
     let status = response.status();
     let mut body = response.into_body();
     let mut text = String::new();
@@ -461,7 +476,7 @@
         match frame {
             Ok(frame) => {
                 let data = frame.into_data().expect("no trailers are sent");
-                text.push_str(std::str::from_utf8(&data).expect("the cases send text"));
+                text.push_str(std::str::from_utf8(&data).expect("the tests send UTF-8"));
             }
             Err(_cut) => return (status, Err(text)),
         }
@@ -469,15 +484,15 @@
     (status, Ok(text))
 }
 
-/// Asserts a refusal, and returns its JSON text.
-pub async fn refused(
+/// Asserts the status, outcome and reason of a refusal, and returns its JSON body.
+pub async fn assert_refused(
     response: http::Response<Incoming>,
     status: u16,
     outcome: &str,
     reason: &str,
 ) -> Value {
     let retry_after = response.headers().get("retry-after").cloned();
-    let (got, body) = text(response).await;
+    let (got, body) = read_text(response).await;
     let json: Value = serde_json::from_str(&body.expect("a refusal is whole")).expect("JSON");
     assert_eq!(
         (got.as_u16(), &json["outcome"], &json["reason"]),
@@ -488,9 +503,9 @@
     assert_eq!(
         retry_after,
         seconds.map(http::HeaderValue::from),
-        "the header says what the text says"
+        "the Retry-After header agrees with the body"
     );
     json
 }
 
-pub const LONG: Duration = Duration::from_secs(30);
+pub const TIMEOUT: Duration = Duration::from_secs(30);
