--- a/crates/entry/src/bound.rs
+++ b/crates/entry/src/bound.rs
@@ -271,7 +271,7 @@
                     // next offer.
                     self.shared
                         .estimates
-                        .learn(&self.cost_features, end.service_units);
+                        .record_cost(&self.cost_features, end.service_units);
                     self.guard.disarm();
                 }
                 Some(AnswerPart::Settled(self.settle(event)))
--- a/crates/entry/src/estimates.rs
+++ b/crates/entry/src/estimates.rs
@@ -80,7 +80,7 @@
     }
 
     /// Records the actual cost of a request, in service units of its pool.
-    pub fn learn(&self, request: &CostFeatures, service_units: u64) {
+    pub fn record_cost(&self, request: &CostFeatures, service_units: u64) {
         let mut pools = self.lock();
         if let Some(pool_estimator) = pools.get_mut(&request.pool) {
             let weights = pool_estimator.unit_weights();
--- a/crates/entry/src/offers.rs
+++ b/crates/entry/src/offers.rs
@@ -371,22 +371,22 @@
     };
     // Another request may already be fetching this version, so wait for the version, but not for long.
     let _in_time = timeout(CATCH_UP_TIMEOUT, caught_up).await;
-    let held = shared.member.config_version();
-    let is_newer = held > offer.config_version;
-    offer.config_version = held;
+    let local_version = shared.member.config_version();
+    let is_newer = local_version > offer.config_version;
+    offer.config_version = local_version;
     is_newer && refused.reason == NotRunReason::StaleConfig
 }
 
 /// Updates the side with the older configuration, in a task that outlives the request.
 fn sync_config(shared: &Arc<Shared>, address: &str, seen_version: u64) {
-    let held = shared.member.config_version();
-    if seen_version == held {
+    let local_version = shared.member.config_version();
+    if seen_version == local_version {
         return;
     }
     let member = shared.member.clone();
     let address = Box::<str>::from(address);
     tokio::spawn(async move {
-        if seen_version > held {
+        if seen_version > local_version {
             member.learn_from(&address, seen_version).await;
         } else {
             member.push_to(&address, seen_version).await;
