--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -13,7 +13,7 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::admit::Place;
-use crate::dialect::{Dialect, Forward, Word};
+use crate::dialect::{Dialect, Disposition, ForwardFacts};
 use crate::endpoint::{Endpoint, Use};
 use crate::headers;
 use crate::pool::{self, Sender};
@@ -156,7 +156,7 @@
     *request.method_mut() = outgoing.method.clone();
     *request.uri_mut() = outgoing.uri.clone();
     *request.headers_mut() = outgoing.headers.clone();
-    let forward = Forward {
+    let forward = ForwardFacts {
         endpoint: &endpoint.described.id,
         team: outgoing.team.as_deref(),
         remaining: outgoing.ends_at.saturating_duration_since(Instant::now()),
@@ -206,20 +206,20 @@
         in_use.failed("the answer belongs to another request");
         return Attempt::Unknown("the answer belongs to another request");
     }
-    if facts.word == Word::IsAnother {
+    if facts.disposition == Disposition::WrongEndpoint {
         in_use.is_gone();
         return Attempt::NotRun(status);
     }
     if let Some(load) = facts.load {
         in_use.saw_load(load);
     }
-    if let Some(rest) = facts.rest {
+    if let Some(rest) = facts.backoff {
         in_use.asks_for_rest(rest);
     }
     if facts.is_leaving {
         in_use.says_that_it_leaves();
     }
-    if facts.word == Word::NotRun {
+    if facts.disposition == Disposition::NotRun {
         in_use.answered();
         return Attempt::NotRun(status);
     }
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -9,7 +9,7 @@
 
 /// Holds what a request's headers say.
 #[derive(Debug, Clone, Default)]
-pub struct Facts {
+pub struct RequestFacts {
     /// Number of this attempt of the caller.
     pub request_id: Option<Box<str>>,
     /// How long the caller waits, from the arrival of the request on.
@@ -24,7 +24,7 @@
 
 /// Holds what the gateway tells the endpoint.
 #[derive(Debug, Clone, Copy)]
-pub struct Forward<'a> {
+pub struct ForwardFacts<'a> {
     /// Number of the endpoint's start; another one must not run the request.
     pub endpoint: &'a str,
     /// Team that the key proved.
@@ -39,7 +39,7 @@
 
 /// Holds an endpoint's load as it told it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Load {
+pub struct EndpointLoad {
     /// Requests that run.
     pub running: u32,
     /// Requests that wait.
@@ -50,13 +50,13 @@
 
 /// Says what an endpoint made of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Word {
+pub enum Disposition {
     /// It answers; the request may have run, whatever the status.
     Answer,
     /// It did not run the request.
     NotRun,
     /// It is another endpoint than the one that was named, and did not run the request.
-    IsAnother,
+    WrongEndpoint,
 }
 
 /// Holds what the headers of an endpoint's answer say.
@@ -67,11 +67,11 @@
     /// Whether the endpoint signed it; bytes without a signature are nobody's answer.
     pub is_signed: bool,
     /// What the endpoint says of the request.
-    pub word: Word,
+    pub disposition: Disposition,
     /// Its load.
-    pub load: Option<Load>,
+    pub load: Option<EndpointLoad>,
     /// For how long it wants no request from this instance.
-    pub rest: Option<Duration>,
+    pub backoff: Option<Duration>,
     /// Whether it says that it leaves.
     pub is_leaving: bool,
 }
@@ -79,10 +79,10 @@
 /// Reads and writes headers; the gateway's edge towards the wire.
 pub trait Dialect: Debug + Send + Sync + 'static {
     /// Reads a request's headers.
-    fn read_request(&self, headers: &HeaderMap) -> Facts;
+    fn read_request(&self, headers: &HeaderMap) -> RequestFacts;
 
     /// Writes the headers for the endpoint, from those of the caller without the ones of its connection.
-    fn write_request(&self, headers: &mut HeaderMap, forward: &Forward<'_>);
+    fn write_request(&self, headers: &mut HeaderMap, forward: &ForwardFacts<'_>);
 
     /// Writes how long the caller still waits, for another gateway that takes the request with all its other headers.
     fn write_remaining(&self, headers: &mut HeaderMap, remaining: Duration);
--- a/crates/gateway/src/endpoint.rs
+++ b/crates/gateway/src/endpoint.rs
@@ -18,7 +18,7 @@
 
 use crate::admit::{Admitter, Place};
 use crate::attempt::Outgoing;
-use crate::dialect::Load;
+use crate::dialect::EndpointLoad;
 use crate::pool::{self, MAX_IDLE, Pool};
 use crate::said::Said;
 use crate::suspects::{BrokenRequest, Evidence, Suspects};
@@ -37,10 +37,10 @@
     own_running: u32,
     /// Prompt tokens of requests that have not begun to answer.
     unread_tokens: u32,
-    load: Option<(Load, Instant)>,
+    load: Option<(EndpointLoad, Instant)>,
     /// Requests sent less requests ended since the load was told.
     since_load: i32,
-    /// Load that the admission beside the endpoint told.
+    /// EndpointLoad that the admission beside the endpoint told.
     engine: Option<(EngineLoad, Instant)>,
     /// What the teams have used there lately.
     team_use: HashMap<Box<str>, u64>,
@@ -357,7 +357,7 @@
     }
 
     /// Notes the load that the endpoint told.
-    pub(crate) fn saw_load(&self, load: Load) {
+    pub(crate) fn saw_load(&self, load: EndpointLoad) {
         let mut known = self.endpoint.lock();
         known.load = Some((load, Instant::now()));
         known.since_load = 0;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,6 +1,6 @@
 //! Runs the gateway role: it takes requests by host and path, and passes them to endpoints that have no sidecar.
 //!
-//! The gateway knows no names on the wire. A [`Dialect`] decodes a request's headers into [`Facts`] once, and writes
+//! The gateway knows no names on the wire. A [`Dialect`] decodes a request's headers into [`RequestFacts`] once, and writes
 //! those that go to the endpoint. Routes, teams and endpoints come from control, and are held by version: a gateway
 //! never steps back to an older one.
 
@@ -37,6 +37,6 @@
 mod teams;
 mod tell;
 
-pub use dialect::{AnswerFacts, Dialect, Facts, Forward, Load, Word};
+pub use dialect::{AnswerFacts, Dialect, Disposition, EndpointLoad, ForwardFacts, RequestFacts};
 pub use events::EventSplitter;
 pub use gateway::{Gateway, GatewaySettings};
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -18,7 +18,7 @@
 use crate::answer::{NotWhole, is_read_whole, read_whole};
 use crate::attempt::{Answer, Outgoing};
 use crate::body::AnswerBody;
-use crate::dialect::Facts;
+use crate::dialect::RequestFacts;
 use crate::fleet::Fleet;
 use crate::gateway::Shared;
 use crate::handoff::{Decline, TABLE, hand_off};
@@ -196,7 +196,7 @@
 }
 
 /// Finds the route, the service and the team of a request.
-fn find(fleet: &Fleet, parts: &Parts, facts: &Facts) -> Result<Found, Refusal> {
+fn find(fleet: &Fleet, parts: &Parts, facts: &RequestFacts) -> Result<Found, Refusal> {
     let lookup = fleet.lookup.as_ref().ok_or(Refusal::NoTable)?;
     let host = host_of(parts).ok_or(Refusal::NoRoute)?;
     let route = lookup
@@ -245,7 +245,7 @@
 fn outgoing(
     parts: Parts,
     body: Bytes,
-    facts: &Facts,
+    facts: &RequestFacts,
     team: Option<Box<str>>,
     ends_at: Instant,
 ) -> Outgoing {
@@ -279,7 +279,7 @@
 fn refuse_early(
     gateway: &Shared,
     fleet: &Fleet,
-    facts: &Facts,
+    facts: &RequestFacts,
     parts: &Parts,
     refusal: Refusal,
 ) -> Response<AnswerBody> {
@@ -303,7 +303,7 @@
 fn refuse_overloaded(
     gateway: &Shared,
     team: Option<&str>,
-    facts: &Facts,
+    facts: &RequestFacts,
     overloaded: Overloaded,
 ) -> Response<AnswerBody> {
     let refusal = Refusal::Overloaded(overloaded);
