--- a/crates/gateway/src/admit.rs
+++ b/crates/gateway/src/admit.rs
@@ -1,4 +1,4 @@
-//! Asks the admission beside a model engine for a place, and follows its load.
+//! Requests slots from the admission beside a model engine, and follows the engine's load.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, OnceLock, PoisonError, Weak};
@@ -17,33 +17,33 @@
 use crate::endpoint::Endpoint;
 use crate::line::{Asked, Line};
 
-/// Longest wait for the admission's first word of an ask, the verdict or that it is queued; it is milliseconds away, and a
-/// request must not wait for a dead one.
+/// Longest wait for the admission's first reply to an ask (a verdict, or that it is queued). The admission is milliseconds
+/// away, and a request must not wait for a dead one.
 const FIRST_WORD_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// How much longer than the budget a verdict may take before the admission counts as silent.
+/// Time beyond the ask's budget after which an admission without a verdict counts as unresponsive.
 const VERDICT_MARGIN: Duration = Duration::from_millis(50);
 
-/// Time for which an admission that did not answer is not asked; requests go to its engine unasked.
+/// Time for which an unresponsive admission is bypassed: requests go to its engine without a grant.
 const SKIP: Duration = Duration::from_secs(1);
 
-/// Longest time without word of the load; it is told twice a second at least.
+/// Longest gap between load reports; they come at least twice a second.
 const LOAD_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// Wait before the load is asked for again.
+/// Delay before load reports are requested again.
 const LOAD_RETRY: Duration = Duration::from_millis(500);
 
-/// Says how the admissions are reached.
+/// How to reach the admissions.
 #[derive(Debug, Clone)]
 pub(crate) struct Ways {
-    /// Their port, at the addresses of their engines.
+    /// Port of the admissions, at the addresses of their engines.
     pub(crate) port: u16,
     pub(crate) client: Client,
-    /// Each of two waits for the rest of an answer that an engine no longer works on.
+    /// Length of each of the two waits for the rest of an answer that an engine no longer works on.
     pub(crate) lost_grace: Duration,
 }
 
-/// Reaches the admission beside one endpoint.
+/// A client of the admission beside one endpoint.
 #[derive(Debug)]
 pub(crate) struct Admitter {
     address: Box<str>,
@@ -53,23 +53,23 @@
     feed: OnceLock<JoinHandle<()>>,
 }
 
-/// Says what the admission said.
+/// The outcome of an ask.
 #[derive(Debug)]
 pub(crate) enum Admitted {
-    /// The request may be sent; the place is held until the value is dropped.
+    /// The request may be sent; dropping the grant frees the slot.
     Granted(Place),
-    /// The admission did not answer; the request may be sent all the same.
+    /// The admission was not asked or did not reply; the request may be sent all the same.
     Unasked,
-    /// The request can't be on time.
+    /// The request can't start within its budget.
     Refused { retry_after: Duration },
-    /// The engine is gone, so that nothing is granted there.
+    /// The engine has ended, so nothing is granted there.
     EngineGone,
 }
 
-/// Holds a granted place.
+/// A granted slot, which dropping it frees.
 #[derive(Debug)]
 pub(crate) struct Place {
-    /// Its end gives the place back.
+    /// Dropping it releases the slot.
     asked: Asked,
     /// Whether the admission has said that the engine does not run the request any more.
     is_lost: bool,
@@ -79,10 +79,11 @@
 }
 
 impl Place {
-    /// Waits until the admission says that the engine does not run the request any more, and a while longer.
+    /// Waits until the admission reports that the engine no longer runs the request, then for a grace period.
     ///
-    /// The end of an answer may be here already: a gateway that is short of processor time reads it late, and an answer that
-    /// is ready is passed on. Its bytes come into view with the first of two waits, however late that ends.
+    /// The end of the answer may already be in the socket buffer: a gateway short of CPU time reads it late, and an answer that
+    /// is ready is passed on. The wait is split in two so that the runtime polls the socket after the first one, however late
+    /// that one ends.
     pub(crate) async fn lost(&mut self) {
         if !self.is_lost {
             self.asked.lost().await;
@@ -92,7 +93,7 @@
         sleep(self.lost_grace).await;
     }
 
-    /// Tells the admission that the prompt is read.
+    /// Tells the admission that the prompt has been prefilled.
     pub(crate) fn began(&self) {
         self.asked.began();
     }
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Asks for a place at the endpoint, and waits for the verdict.
+    /// Requests a slot at the endpoint, and waits for the verdict.
     pub(crate) async fn ask(&self, endpoint: &Endpoint, ask: AdmitAsk) -> Admitted {
         let request_id = ask.request_id.clone();
         let Some(line) = self.line(&request_id).await else {
@@ -138,9 +139,9 @@
         })
     }
 
-    /// Returns the open line, or opens one; none while the admission is skipped.
+    /// Returns the open stream, or opens one; `None` while the admission is bypassed.
     async fn line(&self, request_id: &str) -> Option<Arc<Line>> {
-        // Those who come while it is opened wait for the same one, and skip the admission with the first if it fails.
+        // The lock is held while the stream opens: concurrent callers share it, or bypass the admission together if it fails.
         let mut line = self.line.lock().await;
         if self.is_skipped() {
             return None;
@@ -170,14 +171,16 @@
         *skipped.unwrap_or_else(PoisonError::into_inner) = Some(Instant::now() + SKIP);
         warn!(
             Part::Gateway,
-            "An admission does not answer; its engine gets requests unasked.",
+            "An admission does not reply; requests go to its engine without a grant.",
             address = self.address,
             id = request_id,
             skip_ms = SKIP.as_millis()
         );
     }
 
-    /// Follows the load for as long as the endpoint is known, one of some engines; the first call starts it.
+    /// Starts to follow the engine's load, on the first call; stops when the endpoint is dropped.
+    ///
+    /// The interval of the reports depends on the number of engines and on the data centre.
     pub(crate) fn follow(&self, endpoint: &Arc<Endpoint>, engines: usize, data_center: &str) {
         self.feed.get_or_init(|| {
             let feed = Feed {
@@ -191,7 +194,7 @@
     }
 }
 
-/// Waits for the verdict, or for a while without any word.
+/// Waits for the verdict; an ask that is not reported as queued in time gets none.
 async fn verdict_of(asked: &mut Asked, wait: Duration) -> Option<AdmitVerdict> {
     match timeout(FIRST_WORD_TIMEOUT, asked.verdict()).await {
         Ok(verdict) => verdict,
@@ -208,7 +211,7 @@
     }
 }
 
-/// Follows the load of one engine.
+/// A subscription to the load of one engine.
 struct Feed {
     client: Client,
     address: Box<str>,
@@ -224,7 +227,7 @@
             if is_followed {
                 warn!(
                     Part::Gateway,
-                    "Lost the load of an admission.",
+                    "Lost the load reports of an admission.",
                     address = self.address
                 );
             }
@@ -236,7 +239,7 @@
         }
     }
 
-    /// Follows the load until the exchange ends or falls silent.
+    /// Follows the load until the exchange ends or no report comes in time.
     async fn follow_once(&self, is_followed: &mut bool) {
         let ask = AskLoad {
             instance: Box::default(),
@@ -257,7 +260,7 @@
             if !*is_followed {
                 info!(
                     Part::Gateway,
-                    "Following the load of an admission.",
+                    "Following the load reports of an admission.",
                     address = self.address,
                     endpoint = endpoint.described.id,
                     interval_ms = self.interval.as_millis()
--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -1,21 +1,21 @@
-//! Reads a whole answer, for those that are short.
+//! Buffers short answers whole before they are passed on.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 use tokio::time::{Instant, timeout_at};
 
-/// Longest answer that is read whole before it is passed on, in bytes; a longer one is passed on as it comes.
+/// Largest answer that is buffered whole, in bytes; longer ones are streamed.
 pub(crate) const MAX_WHOLE_BYTES: u64 = 64 * 1024;
 
-/// Returns whether an answer is read whole before it is passed on: one that breaks off can then be asked for again.
+/// Returns whether an answer is buffered whole before it is passed on, so that the request can be retried if it breaks off.
 pub(crate) fn is_read_whole(body: &Incoming) -> bool {
     body.size_hint()
         .exact()
         .is_some_and(|bytes| bytes <= MAX_WHOLE_BYTES)
 }
 
-/// Says why an answer is not whole.
+/// Why an answer could not be read whole.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum NotWhole {
     Broken,
--- a/crates/gateway/src/apart.rs
+++ b/crates/gateway/src/apart.rs
@@ -1,25 +1,25 @@
 //! Runs a task on a thread of its own.
 //!
-//! The load pattern: a hot caller floods a small gateway, and every task waits for hundreds of others. An answer of control takes several
-//! turns until a new table is in force, so that the gateway would go on by the old one for a second or more.
+//! When one caller floods a small gateway, every task in the shared runtime waits for hundreds of others. Applying a new route
+//! table takes several polls, so there the gateway would keep using the old table for a second or more.
 
 use std::io;
 
 use tokio::runtime::Builder;
 use tokio::sync::oneshot;
 
-/// Holds a running thread; it ends when this is dropped.
+/// A running thread, which ends when this handle is dropped.
 #[derive(Debug)]
 pub(crate) struct Apart {
     _ends: oneshot::Sender<()>,
 }
 
 impl Apart {
-    /// Runs a task on a new thread until it ends or this is dropped.
+    /// Runs a task on a new thread until the task ends or the handle is dropped.
     ///
     /// # Errors
     ///
-    /// Returns the system's error when it gives no thread.
+    /// Returns the system's error when the thread or its runtime can't be created.
     pub(crate) fn spawn(
         name: &str,
         task: impl Future<Output = ()> + Send + 'static,
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -18,28 +18,28 @@
 use crate::headers;
 use crate::pool::{self, Sender};
 
-/// Holds a caller's request as it is sent to endpoints.
+/// A caller's request as it is sent to endpoints.
 #[derive(Debug)]
 pub(crate) struct Outgoing {
     pub(crate) method: Method,
     pub(crate) uri: Uri,
-    /// Headers of the caller, without those of its connection.
+    /// Headers of the caller, without hop-by-hop headers.
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
     pub(crate) request_id: Option<Box<str>>,
     pub(crate) team: Option<Box<str>>,
-    /// Prompt tokens that an endpoint has to read.
+    /// Prompt tokens that an endpoint has to prefill.
     pub(crate) prompt_tokens: u32,
-    /// Whether the request may run again where its answer is lost.
+    /// Whether the request may run again when its answer is lost.
     pub(crate) may_go_on: bool,
-    /// When the caller no longer waits, or the route's timeout is over.
+    /// The earlier of the caller's deadline and the route's timeout.
     pub(crate) ends_at: Instant,
-    /// Made when it is asked for first.
+    /// Computed on first use.
     pub(crate) key: OnceLock<RequestKey>,
 }
 
 impl Outgoing {
-    /// Returns what names the request at every gateway and over all attempts of its caller.
+    /// Returns the key that is the same at every gateway and for every attempt of the caller.
     pub(crate) fn key(&self) -> RequestKey {
         let path = self.uri.path_and_query().map_or("/", |path| path.as_str());
         let team = self.team.as_deref();
@@ -48,7 +48,7 @@
     }
 }
 
-/// Holds an endpoint's answer whose head has come.
+/// An endpoint's answer, of which the head has arrived.
 #[derive(Debug)]
 pub(crate) struct Answer {
     pub(crate) response: Response<Incoming>,
@@ -56,7 +56,7 @@
     pub(crate) in_use: Use,
 }
 
-/// Holds the connection of an answer until it is read whole.
+/// The connection of an answer that is still being read.
 #[derive(Debug)]
 pub(crate) struct Connection {
     endpoint: Arc<Endpoint>,
@@ -66,7 +66,7 @@
 }
 
 impl Connection {
-    /// Keeps the connection for another request, now that its answer is read whole.
+    /// Returns the connection to the pool once its answer is read whole.
     pub(crate) fn keep(self) {
         if !self.closes && !self.endpoint.is_draining() {
             self.endpoint.pool.keep(self.sender, self.keep_alive);
@@ -74,18 +74,18 @@
     }
 }
 
-/// Says what became of an attempt.
+/// The outcome of one attempt.
 #[derive(Debug)]
 pub(crate) enum Attempt {
     /// The endpoint answers.
     Answered(Box<Answer>),
     /// No byte of the request was sent.
     NotSent,
-    /// The endpoint says that it did not run the request.
+    /// The endpoint reports that it did not run the request.
     NotRun(StatusCode),
     /// The request may have run, and there is no answer.
     Unknown(&'static str),
-    /// The time is over; the request may have run.
+    /// The deadline has passed; the request may have run.
     TimedOut,
 }
 
@@ -130,7 +130,7 @@
         }
         Ok(Exchanged::Answered(sender, response)) => (sender, response),
         Ok(Exchanged::NotSent) => {
-            // A kept connection that the endpoint closed says nothing about the endpoint.
+            // An endpoint closes idle connections as a matter of course, so a pooled one that fails is no fault of it.
             if !is_kept {
                 in_use.failed("the connection closed before the request was sent");
             }
@@ -167,7 +167,7 @@
     request
 }
 
-/// Says what became of a request on one connection.
+/// The outcome of a request on one connection.
 pub(crate) enum Exchanged {
     Answered(Sender, Response<Incoming>),
     /// No byte of it was sent.
@@ -201,7 +201,7 @@
     let status = response.status();
     let headers = response.headers();
     let facts = dialect.read_answer(outgoing.request_id.as_deref(), status, headers);
-    // Bytes that answer another request, or that nobody signed, say nothing of this one; the connection is dropped.
+    // The answer to another request says nothing about this one; the connection is dropped.
     if !facts.is_ours {
         in_use.failed("the answer belongs to another request");
         return Attempt::Unknown("the answer belongs to another request");
--- a/crates/gateway/src/batch.rs
+++ b/crates/gateway/src/batch.rs
@@ -1,4 +1,4 @@
-//! Gathers the pieces of a stream for another gateway, so that it passes on fewer of them.
+//! Coalesces the chunks of a stream for another gateway, so that it forwards fewer of them.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Holds pieces back until a time after the last ones were sent.
+/// Chunks that are held back until an interval has passed since the last send.
 #[derive(Debug)]
 pub(crate) struct Batch {
     every: Duration,
@@ -17,7 +17,7 @@
 }
 
 impl Batch {
-    /// Starts empty; the first piece is never held back, and with no time nothing is.
+    /// Creates an empty batch; the first chunk is never held back, and with a zero interval none is.
     pub(crate) fn new(every: Duration) -> Self {
         Self {
             every,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Takes a piece, and returns what is to be sent now.
+    /// Adds a chunk, and returns the bytes to send now, if any.
     pub(crate) fn push(&mut self, piece: Bytes) -> Option<Bytes> {
         let is_due = self.due_at.is_none_or(|due_at| due_at <= Instant::now());
         if is_due && self.held.is_empty() {
@@ -37,7 +37,7 @@
         if is_due { self.take() } else { None }
     }
 
-    /// Waits until the held pieces are to be sent; without any it waits forever.
+    /// Waits until the held bytes are due; without any it waits forever.
     pub(crate) async fn due(&self) {
         match self.due_at.filter(|_| !self.held.is_empty()) {
             Some(due_at) => sleep_until(due_at).await,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Takes the held pieces.
+    /// Takes the held bytes.
     pub(crate) fn take(&mut self) -> Option<Bytes> {
         if self.held.is_empty() {
             return None;
--- a/crates/gateway/src/batch/tests.rs
+++ b/crates/gateway/src/batch/tests.rs
@@ -1,4 +1,4 @@
-//! Checks which pieces of a stream are held back, and for how long.
+//! Checks which chunks of a stream are held back, and for how long.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 }
 
 async_cases! {
-    the_first_piece_is_sent_at_once_and_later_ones_together => {
+    the_first_chunk_is_sent_at_once_and_later_ones_together => {
         let mut batch = Batch::new(EVERY);
         assert_eq!(batch.push(piece("a")), Some(piece("a")));
         assert_eq!(batch.push(piece("b")), None);
@@ -26,7 +26,7 @@
         assert_eq!(batch.take(), Some(piece("bc")));
         assert_eq!(batch.take(), None);
     }
-    a_piece_that_comes_late_waits_for_none => {
+    a_chunk_after_the_interval_is_sent_at_once => {
         let mut batch = Batch::new(EVERY);
         assert_eq!(batch.push(piece("a")), Some(piece("a")));
         advance(EVERY).await;
@@ -34,7 +34,7 @@
         assert_eq!(batch.push(piece("c")), None);
         assert_eq!(batch.take(), Some(piece("c")), "the end of a stream waits for nothing");
     }
-    without_a_time_nothing_is_held_back => {
+    a_zero_interval_holds_nothing_back => {
         let mut batch = Batch::new(Duration::ZERO);
         for text in ["a", "b", "c"] {
             assert_eq!(batch.push(piece(text)), Some(piece(text)));
--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -1,4 +1,4 @@
-//! Holds the body of an answer to a caller.
+//! The body of an answer to a caller.
 
 use std::fmt;
 use std::pin::Pin;
@@ -13,10 +13,10 @@
 #[cfg(test)]
 mod tests;
 
-/// Pieces that wait for a slow caller; beyond them its endpoint is not read.
+/// Chunks buffered for a slow caller; when the buffer is full, the endpoint's connection is not read.
 const WAITING_PIECES: usize = 8;
 
-/// Says that an answer breaks off; the caller's connection is closed without the end of the answer.
+/// The error of an answer that breaks off: the caller's connection is closed before the end of the answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct BrokenOff;
 
@@ -28,7 +28,7 @@
 
 impl std::error::Error for BrokenOff {}
 
-/// Holds what a sender of pieces says.
+/// A message from the sender of chunks to the body.
 #[derive(Debug)]
 enum Word {
     Piece(Bytes),
@@ -36,23 +36,23 @@
     Broken(BrokenOff),
 }
 
-/// Says that the caller has left.
+/// The error of sending to a caller that has disconnected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct CallerLeft;
 
-/// Sends the pieces of an answer. One that is dropped before [`PieceSender::end`] breaks the answer off, whatever made it so.
+/// Sends the chunks of an answer; dropping it before [`PieceSender::end`] breaks the answer off, whatever the cause.
 #[derive(Debug)]
 pub(crate) struct PieceSender {
     words: mpsc::Sender<Word>,
 }
 
 impl PieceSender {
-    /// Sends a piece, and waits while the caller is slow.
+    /// Sends a chunk, and waits while the caller's buffer is full.
     pub(crate) async fn send(&self, piece: Bytes) -> Result<(), CallerLeft> {
         self.say(Word::Piece(piece)).await
     }
 
-    /// Ends the answer, which is complete.
+    /// Ends a complete answer.
     pub(crate) async fn end(self) -> Result<(), CallerLeft> {
         self.say(Word::End).await
     }
@@ -62,7 +62,7 @@
         self.say(Word::Broken(BrokenOff)).await
     }
 
-    /// Waits until the caller has left.
+    /// Waits until the caller has disconnected.
     pub(crate) async fn closed(&self) {
         self.words.closed().await;
     }
@@ -73,7 +73,7 @@
     }
 }
 
-/// Holds a whole answer, or receives its pieces from a task here or from another gateway.
+/// An answer's body: whole, or received in chunks from a local task or from another gateway.
 #[derive(Debug)]
 pub(crate) enum AnswerBody {
     Whole(Bytes),
@@ -81,20 +81,20 @@
     HandedOff(HandedOff),
 }
 
-/// Receives the pieces of an answer.
+/// Receives the chunks of an answer.
 #[derive(Debug)]
 pub(crate) struct Pieces {
     words: mpsc::Receiver<Word>,
-    /// The break that was received, and is told at the next poll.
+    /// An error that was received and is returned at the next poll.
     broken: Option<BrokenOff>,
     has_ended: bool,
 }
 
 impl Pieces {
-    /// Returns the next piece; a break only after what came before it could be written.
+    /// Returns the next chunk, or an error once the chunks before it could be written.
     ///
-    /// The server drops what it has not written yet when a body breaks, and writes it when a body has nothing more for
-    /// now. Pieces and a break may come at once, and the pieces are good.
+    /// The HTTP server discards unwritten data when a body fails, and flushes it when a body is pending. Chunks and an error may
+    /// arrive together, and the chunks are valid, so the body is pending once before it returns the error.
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BrokenOff>>> {
         if let Some(broken) = self.broken.take() {
             return Poll::Ready(Some(Err(broken)));
@@ -120,7 +120,7 @@
 }
 
 impl AnswerBody {
-    /// Returns a body with the sender of its pieces.
+    /// Returns a chunked body with its sender.
     pub(crate) fn pieces() -> (PieceSender, Self) {
         let (sender, words) = mpsc::channel(WAITING_PIECES);
         let pieces = Pieces {
--- a/crates/gateway/src/body/tests.rs
+++ b/crates/gateway/src/body/tests.rs
@@ -1,4 +1,4 @@
-//! Checks how an answer that is passed on in pieces ends.
+//! Checks how a chunked answer ends.
 
 use bytes::Bytes;
 use hinge_cases::async_cases;
@@ -6,7 +6,7 @@
 
 use super::{AnswerBody, BrokenOff};
 
-/// Reads a body to its end, and returns what came and whether it broke off.
+/// Reads a body to its end, and returns its chunks and whether it broke off.
 async fn read(mut body: AnswerBody) -> (Vec<Bytes>, Result<(), BrokenOff>) {
     let mut pieces = Vec::new();
     while let Some(frame) = body.frame().await {
@@ -19,19 +19,19 @@
 }
 
 async_cases! { real
-    an_answer_is_complete_once_its_end_was_sent => {
+    an_answer_is_complete_once_its_end_is_sent => {
         let (sender, body) = AnswerBody::pieces();
         sender.send(Bytes::from_static(b"a")).await.expect("the body is there");
         sender.end().await.expect("the body is there");
         assert_eq!(read(body).await, (vec![Bytes::from_static(b"a")], Ok(())));
     }
-    an_answer_whose_sender_is_gone_before_its_end_breaks_off => {
+    an_answer_whose_sender_is_dropped_before_its_end_breaks_off => {
         let (sender, body) = AnswerBody::pieces();
         sender.send(Bytes::from_static(b"a")).await.expect("the body is there");
         drop(sender);
         assert_eq!(read(body).await, (vec![Bytes::from_static(b"a")], Err(BrokenOff)));
     }
-    an_answer_that_is_broken_off_passes_on_what_came_before => {
+    an_answer_that_is_broken_off_keeps_its_earlier_chunks => {
         let (sender, body) = AnswerBody::pieces();
         sender.send(Bytes::from_static(b"a")).await.expect("the body is there");
         sender.break_off().await.expect("the body is there");
--- a/crates/gateway/src/connections.rs
+++ b/crates/gateway/src/connections.rs
@@ -1,11 +1,11 @@
-//! Bounds the connections of callers.
+//! Limits the number of connections from callers.
 //!
-//! The load pattern: a caller that waits opens another connection for its next request, and keeps it afterwards. One hot
-//! caller then holds thousands of idle connections at one gateway, which costs it its memory and its descriptors.
+//! A caller whose requests are waiting opens a further connection for the next one and keeps it afterwards. One busy caller
+//! then holds thousands of idle connections at one gateway and exhausts its memory and file descriptors.
 
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// Counts the connections of callers.
+/// A bounded count of callers' connections.
 #[derive(Debug)]
 pub(crate) struct Connections {
     open: AtomicU32,
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Counts a connection, unless there are as many as may be.
+    /// Counts a connection, and returns whether it is within the limit.
     pub(crate) fn try_open(&self) -> bool {
         let may = self.open.load(Ordering::Relaxed) < self.most;
         if may {
@@ -29,12 +29,12 @@
         may
     }
 
-    /// Notes that a counted connection has closed.
+    /// Records that a counted connection has closed.
     pub(crate) fn closed(&self) {
         self.open.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Returns whether callers are asked to close their connections after an answer.
+    /// Returns whether so many are open that callers are asked to close theirs after an answer.
     pub(crate) fn are_many(&self) -> bool {
         self.open.load(Ordering::Relaxed) >= self.most - self.most / 3
     }
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -1,4 +1,4 @@
-//! Defines what a gateway must know of the headers on the wire.
+//! The interface between the gateway and the headers on the wire.
 
 use std::fmt::Debug;
 use std::net::SocketAddr;
@@ -7,87 +7,87 @@
 use hinge_routing::Prompt;
 use http::{HeaderMap, StatusCode};
 
-/// Holds what a request's headers say.
+/// What a request's headers say.
 #[derive(Debug, Clone, Default)]
 pub struct RequestFacts {
-    /// Number of this attempt of the caller.
+    /// Id of this attempt of the caller.
     pub request_id: Option<Box<str>>,
-    /// How long the caller waits, from the arrival of the request on.
+    /// How long the caller waits, counted from the arrival of the request.
     pub deadline: Option<Duration>,
-    /// Key that proves the caller's team.
+    /// Key that authenticates the caller's team.
     pub key: Option<Box<str>>,
-    /// Prompt and answer of a request to a model engine.
+    /// Prompt and answer size of a request to a model engine.
     pub prompt: Option<Prompt>,
-    /// Last event that the caller has of a stream that it resumes.
+    /// Last event that the caller has received of a stream that it resumes.
     pub last_event: Option<u64>,
 }
 
-/// Holds what the gateway tells the endpoint.
+/// What the gateway tells the endpoint in a request's headers.
 #[derive(Debug, Clone, Copy)]
 pub struct ForwardFacts<'a> {
-    /// Number of the endpoint's start; another one must not run the request.
+    /// Id of the endpoint that is meant; any other must not run the request.
     pub endpoint: &'a str,
-    /// Team that the key proved.
+    /// Team that the key authenticated.
     pub team: Option<&'a str>,
-    /// Time that is left.
+    /// Time left until the deadline.
     pub remaining: Duration,
-    /// Last event that the caller has.
+    /// Last event that the caller has received.
     pub last_event: Option<u64>,
-    /// Engine from which it copies what that one keeps of the prompt, before it reads the rest.
+    /// Engine from which the endpoint fetches the cached part of the prompt before it prefills the rest.
     pub fetch_from: Option<SocketAddr>,
 }
 
-/// Holds an endpoint's load as it told it.
+/// An endpoint's load as it reported it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EndpointLoad {
     /// Requests that run.
     pub running: u32,
     /// Requests that wait.
     pub waiting: u32,
-    /// Requests that it runs at once.
+    /// Requests that it can run concurrently.
     pub slots: u32,
 }
 
-/// Says what an endpoint made of a request.
+/// What an endpoint did with a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Disposition {
-    /// It answers; the request may have run, whatever the status.
+    /// It answered; the request may have run, whatever the status.
     Answer,
     /// It did not run the request.
     NotRun,
-    /// It is another endpoint than the one that was named, and did not run the request.
+    /// It is not the endpoint that the request named, and did not run it.
     WrongEndpoint,
 }
 
-/// Holds what the headers of an endpoint's answer say.
+/// What the headers of an endpoint's answer say.
 #[derive(Debug, Clone, Copy)]
 pub struct AnswerFacts {
-    /// Whether it answers the request that was sent.
+    /// Whether the answer belongs to the request that was sent.
     pub is_ours: bool,
-    /// Whether the endpoint signed it; bytes without a signature are nobody's answer.
+    /// Whether the endpoint signed it; an unsigned success is not accepted as its answer.
     pub is_signed: bool,
-    /// What the endpoint says of the request.
+    /// What the endpoint did with the request.
     pub disposition: Disposition,
-    /// Its load.
+    /// Load of the endpoint.
     pub load: Option<EndpointLoad>,
-    /// For how long it wants no request from this instance.
+    /// For how long the endpoint wants no requests from this instance.
     pub backoff: Option<Duration>,
-    /// Whether it says that it leaves.
+    /// Whether the endpoint announces that it is shutting down.
     pub is_leaving: bool,
 }
 
-/// Reads and writes headers; the gateway's edge towards the wire.
+/// Reads and writes the headers on the wire.
 pub trait Dialect: Debug + Send + Sync + 'static {
     /// Reads a request's headers.
     fn read_request(&self, headers: &HeaderMap) -> RequestFacts;
 
-    /// Writes the headers for the endpoint, from those of the caller without the ones of its connection.
+    /// Turns the caller's headers, without the hop-by-hop ones, into those for the endpoint.
     fn write_request(&self, headers: &mut HeaderMap, forward: &ForwardFacts<'_>);
 
-    /// Writes how long the caller still waits, for another gateway that takes the request with all its other headers.
+    /// Writes the caller's remaining time, for another gateway that receives the request with all its other headers.
     fn write_remaining(&self, headers: &mut HeaderMap, remaining: Duration);
 
-    /// Reads the headers of an answer to a request with this number.
+    /// Reads the headers of an answer to the request with this id.
     fn read_answer(
         &self,
         request_id: Option<&str>,
--- a/crates/gateway/src/door.rs
+++ b/crates/gateway/src/door.rs
@@ -1,4 +1,4 @@
-//! Accepts the connections of callers, and refuses them for a while when the limits of the load say so.
+//! Accepts callers' connections, and refuses them while overload control says so.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,11 +11,11 @@
 #[cfg(test)]
 mod tests;
 
-/// Holds the listener for callers, or none while connections are refused.
+/// A listener for callers that is closed while connections are refused.
 #[derive(Debug)]
 pub(crate) struct Door {
     listener: Option<TcpListener>,
-    /// Address to listen on again; none when it could not be read, and then the door stays open.
+    /// Address to bind again; `None` if it could not be read, in which case the listener always stays open.
     address: Option<SocketAddr>,
     is_closed: watch::Receiver<bool>,
 }
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Waits for the next connection; it may be dropped while it waits.
+    /// Waits for the next connection; cancel-safe.
     ///
     /// # Errors
     ///
@@ -38,7 +38,7 @@
         loop {
             self.follow().await?;
             let Some(listener) = &self.listener else {
-                // A sender that is gone means that the gateway ends.
+                // The sender is dropped only when the gateway ends.
                 let _changed_or_gone = self.is_closed.changed().await;
                 continue;
             };
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Opens or closes the door as the limits of the load said last.
+    /// Binds or closes the listener as overload control said last.
     async fn follow(&mut self) -> io::Result<()> {
         let is_closed = *self.is_closed.borrow_and_update();
         let Some(address) = self.address else {
--- a/crates/gateway/src/door/tests.rs
+++ b/crates/gateway/src/door/tests.rs
@@ -1,4 +1,4 @@
-//! Checks that connections are refused while the door is closed, and taken again afterwards.
+//! Checks that connections are refused while the listener is closed, and accepted again afterwards.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 
 use super::Door;
 
-/// Opens a door and counts the connections that come through it.
+/// Starts a listener and counts the connections that it accepts.
 async fn open() -> (
     SocketAddr,
     watch::Sender<bool>,
@@ -33,7 +33,7 @@
     (address, closed, accepted, task)
 }
 
-/// Connects until an attempt ends as asked.
+/// Connects until an attempt has the wanted result.
 async fn connect_until(address: SocketAddr, wanted: impl Fn(&io::Result<TcpStream>) -> bool) {
     while !wanted(&TcpStream::connect(address).await) {
         tokio::task::yield_now().await;
@@ -41,10 +41,10 @@
 }
 
 async_cases! { real
-    a_closed_door_refuses_at_once_and_an_open_one_takes_again => {
+    connections_are_refused_while_closed_and_accepted_after_reopening => {
         let (address, closed, mut accepted, task) = open().await;
         connect_until(address, Result::is_ok).await;
-        accepted.wait_for(|count| *count >= 1).await.expect("the door is held");
+        accepted.wait_for(|count| *count >= 1).await.expect("the task holds the listener");
         closed.send_replace(true);
         let is_refused = |connected: &io::Result<TcpStream>| {
             let refused = connected.as_ref().err();
@@ -54,21 +54,21 @@
         let before = *accepted.borrow();
         closed.send_replace(false);
         connect_until(address, Result::is_ok).await;
-        accepted.wait_for(|count| *count > before).await.expect("the door is held");
+        accepted.wait_for(|count| *count > before).await.expect("the task holds the listener");
         task.abort();
     }
-    connections_that_wait_when_the_door_closes_are_taken_before_it => {
-        // The callers' requests are on their way already, and closing the listener would cut them without an answer.
+    connections_pending_at_close_are_accepted_first => {
+        // Closing a listener resets the connections in its accept queue, whose callers have already sent requests.
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
         let address = listener.local_addr().expect("it is bound");
         let (closed, is_closed) = watch::channel(false);
         let mut door = Door::new(listener, is_closed);
-        let mut waiting = TcpStream::connect(address).await.expect("somebody listens");
+        let mut waiting = TcpStream::connect(address).await.expect("the port is bound");
         closed.send_replace(true);
         let is_taken = tokio::select! {
             accepted = door.accept() => accepted.is_ok(),
             _cut = waiting.read_u8() => false,
         };
-        assert!(is_taken, "a connection that waited was cut");
+        assert!(is_taken, "a pending connection was reset");
     }
 }
--- a/crates/gateway/src/endpoint.rs
+++ b/crates/gateway/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Holds what a gateway knows of one endpoint.
+//! A gateway's state of one endpoint.
 
 use std::collections::HashMap;
 use std::io;
@@ -23,64 +23,64 @@
 use crate::said::Said;
 use crate::suspects::{BrokenRequest, Evidence, Suspects};
 
-/// Time that is left to an answer once it is known that its endpoint has started again: what the former start sent may wait to be
-/// read, and a gateway that is short of processor time reads it within a few tens of milliseconds.
+/// Time left to an answer once its endpoint is known to have restarted. What the endpoint sent before may still wait to be read,
+/// and a gateway short of CPU time reads it within a few tens of milliseconds.
 const LAST_BYTES: Duration = Duration::from_millis(200);
 
-/// Age from which on a load that an endpoint told is no longer used; requests last about a second.
+/// Age beyond which a reported load is no longer used; requests last about a second.
 const LOAD_AGE: Duration = Duration::from_millis(1500);
 
 #[derive(Debug, Default)]
 struct Known {
     standing: CircuitBreaker,
-    /// Requests that this gateway has there.
+    /// Requests from this gateway that the endpoint runs.
     own_running: u32,
-    /// Prompt tokens of requests that have not begun to answer.
+    /// Prompt tokens of this gateway's requests whose answers have not begun.
     unread_tokens: u32,
     load: Option<(EndpointLoad, Instant)>,
-    /// Requests sent less requests ended since the load was told.
+    /// Requests sent minus requests ended since the load was reported.
     since_load: i32,
-    /// EndpointLoad that the admission beside the endpoint told.
+    /// Load reported by the admission beside the endpoint.
     engine: Option<(EngineLoad, Instant)>,
-    /// What the teams have used there lately.
+    /// Tokens that each team has used there recently.
     team_use: HashMap<Box<str>, u64>,
-    /// Prompt tokens of requests that this gateway has asked a place for since then.
+    /// Prompt tokens of this gateway's asks since the admission's last report.
     since_engine: u32,
 }
 
 impl Known {
-    /// Returns the load that the admission told, and its age, unless it is too old to be used.
+    /// Returns the load reported by the admission and its age, unless it is too old to be used.
     fn fresh_engine(&self) -> Option<(&EngineLoad, Duration)> {
         let (load, told_at) = self.engine.as_ref()?;
         let age = told_at.elapsed();
         (age < LOAD_AGE).then_some((load, age))
     }
 
-    /// Returns whether the admission beside it said lately that its engine is gone.
+    /// Returns whether the admission recently reported that its engine is gone.
     fn engine_is_gone(&self) -> bool {
         let told = self.fresh_engine();
         told.is_some_and(|(load, _)| load.engine_is_gone == Some(true))
     }
 }
 
-/// Holds one endpoint.
+/// One endpoint, in one incarnation.
 #[derive(Debug)]
 pub(crate) struct Endpoint {
     pub(crate) described: Described,
-    /// Stands for its id, under which it may start again: the home of a part stays where it is.
+    /// Hash of its id, which survives a restart, so that the home of a prompt prefix stays where it is.
     pub(crate) hash: u64,
-    /// Stands for this start of it, which knows nothing of the one before.
+    /// Hash of this incarnation, whose cache is empty after a restart.
     pub(crate) incarnation: IncarnationHash,
     pub(crate) pool: Pool,
-    /// The admission beside it, where there is one.
+    /// Client of the admission beside it, if there is one.
     pub(crate) admitter: Option<Admitter>,
     is_draining: AtomicBool,
-    /// Whether it has ended and started again, so that nothing that was sent to it runs any more.
+    /// Whether it has restarted, so that no request that was sent to it runs any more.
     has_restarted: watch::Sender<bool>,
     began: Instant,
     known: Mutex<Known>,
     ends: Mutex<CrashTracker<BrokenRequest>>,
-    /// Whether a connection is being opened to learn whether it has ended.
+    /// Whether a probe connection is being opened to find out whether it has ended.
     is_probed: AtomicBool,
     suspects: Arc<Suspects>,
     said: Arc<Said>,
@@ -110,18 +110,18 @@
         }
     }
 
-    /// Returns for how much longer it wants no request from this instance.
+    /// Returns for how much longer it wants no requests from this instance.
     pub(crate) fn rest_left(&self) -> Option<Duration> {
         self.said.rest_left()
     }
 
-    /// Notes that it leaves as planned.
+    /// Records that it shuts down as planned.
     pub(crate) fn leaves(&self) {
         self.lock_ends().record_planned_stop();
         self.drain();
     }
 
-    /// Notes that the answer to a request broke off.
+    /// Records that the answer to a request broke off.
     pub(crate) fn broke(self: &Arc<Self>, request: BrokenRequest) {
         let now = self.began.elapsed();
         let taken = self.lock_ends().record_broken(now, request);
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Notes word that it has ended.
+    /// Records that it has ended.
     pub(crate) fn ended(&self, evidence: Evidence) {
         let now = self.began.elapsed();
         let taken = self.lock_ends().record_crash(now);
@@ -142,13 +142,13 @@
         }
     }
 
-    /// Notes that a request whose answer broke off here was answered elsewhere.
+    /// Forgets a request that broke off here, because another endpoint has completed it.
     pub(crate) fn forgive(&self, request: &RequestKey) {
         self.lock_ends()
             .forget_broken(|broken| broken.key == *request);
     }
 
-    /// Opens a connection to learn whether anything listens, where no admission tells it.
+    /// Opens a connection to find out whether anything listens, unless an admission reports that.
     fn probe(self: &Arc<Self>) {
         if self.is_watched() || self.is_probed.swap(true, Ordering::AcqRel) {
             return;
@@ -163,17 +163,17 @@
         });
     }
 
-    /// Notes that a connection could not be opened.
+    /// Records that a connection could not be opened.
     ///
-    /// A refused one proves that a plain endpoint has ended. Of a model engine the admission knows more: it is on the same machine,
-    /// so that a cut on the way can't mislead it.
+    /// A refused connection proves that a plain endpoint has ended. A model engine's admission knows better: it runs on the same
+    /// machine, so a network fault can't mislead it.
     pub(crate) fn not_connected(&self, cause: &io::Error) {
         if cause.kind() == io::ErrorKind::ConnectionRefused && !self.is_watched() {
             self.ended(Evidence::ConnectionRefused);
         }
     }
 
-    /// Returns whether an admission beside it has told of it.
+    /// Returns whether an admission beside it has reported on it.
     fn is_watched(&self) -> bool {
         self.lock().engine.is_some()
     }
@@ -182,27 +182,27 @@
         self.ends.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that the endpoint takes no new work.
+    /// Marks the endpoint as taking no new requests.
     pub(crate) fn drain(&self) {
         self.is_draining.store(true, Ordering::Release);
         self.pool.clear();
     }
 
-    /// Notes that the endpoint has started again: this start of it takes no new work, and ends what it has.
+    /// Records that the endpoint has restarted: this incarnation takes no new requests, and its open ones end.
     pub(crate) fn started_again(&self) {
         self.ended(Evidence::Replaced);
         self.drain();
         self.has_restarted.send_replace(true);
         info!(
             Part::Gateway,
-            "An endpoint has started again; what was sent to its former start has no known end.",
+            "An endpoint has restarted; the outcome of requests sent to its previous incarnation is unknown.",
             endpoint = self.described.id,
             born_unix_ms = self.described.born_unix_ms.unwrap_or_default(),
             running = self.lock().own_running
         );
     }
 
-    /// Waits until the endpoint has started again, and a while longer for what its former start has sent.
+    /// Waits until the endpoint has restarted, then for answers that its previous incarnation has already sent.
     async fn restarted(&self) {
         let mut restarted = self.has_restarted.subscribe();
         let told = restarted.wait_for(|restarted| *restarted).await.is_ok();
@@ -210,7 +210,7 @@
         sleep(LAST_BYTES).await;
     }
 
-    /// Returns whether a description is of this start of the endpoint.
+    /// Returns whether a description is of this incarnation of the endpoint.
     pub(crate) fn is_same_start(&self, described: &Described) -> bool {
         self.described.address == described.address
             && self.described.born_unix_ms == described.born_unix_ms
@@ -220,7 +220,7 @@
         self.is_draining.load(Ordering::Acquire) || self.said.is_leaving()
     }
 
-    /// Returns whether it may be sent a request now.
+    /// Returns whether it may be sent a request now, given its circuit breaker and its reports.
     pub(crate) fn is_open(&self) -> bool {
         let known = self.lock();
         !self.is_draining()
@@ -232,7 +232,7 @@
         *self.described.data_center == *data_center
     }
 
-    /// Describes it for the choice, with the age of its load in milliseconds.
+    /// Returns its description for choosing an endpoint, with the age of its load in milliseconds.
     pub(crate) fn candidate(
         &self,
         data_center: &str,
@@ -278,7 +278,7 @@
         (candidate, age)
     }
 
-    /// Notes that a request is sent; the use ends when the handle is dropped.
+    /// Records that a request is sent; dropping the handle records that it has ended.
     pub(crate) fn begin(self: &Arc<Self>, tokens: u32, place: Option<Place>) -> Use {
         let mut known = self.lock();
         known.standing.record_sent();
@@ -294,7 +294,7 @@
         }
     }
 
-    /// Notes the load that the admission told.
+    /// Records a load report of the admission.
     pub(crate) fn saw_engine_load(&self, load: &EngineLoad) {
         let mut known = self.lock();
         if !load.teams.is_empty() {
@@ -309,12 +309,12 @@
         }
     }
 
-    /// Returns whether the admission beside it has told its load lately, so that it is there and can be reached.
+    /// Returns whether the admission has reported recently, which shows that the endpoint's machine is up and reachable.
     pub(crate) fn has_fresh_load(&self) -> bool {
         self.lock().fresh_engine().is_some()
     }
 
-    /// Returns what a team has used there lately, in tokens, as far as it was told.
+    /// Returns a team's recent usage there in tokens, as last reported.
     pub(crate) fn used_by(&self, team: &str) -> u64 {
         let known = self.lock();
         let is_fresh = known.fresh_engine().is_some();
@@ -322,7 +322,7 @@
         used.copied().unwrap_or_default()
     }
 
-    /// Goes through what the teams have used there lately, in tokens, as far as it was told.
+    /// Calls `visit` with each team's recent usage there in tokens, as last reported.
     pub(crate) fn each_use(&self, mut visit: impl FnMut(&str, u64)) {
         let known = self.lock();
         if known.fresh_engine().is_some() {
@@ -332,7 +332,7 @@
         }
     }
 
-    /// Notes that a place is asked for.
+    /// Records the prompt tokens of an ask.
     pub(crate) fn asks(&self, tokens: u32) {
         self.lock().since_engine += tokens;
     }
@@ -342,7 +342,7 @@
     }
 }
 
-/// Holds one request's use of an endpoint.
+/// A request in progress at an endpoint; dropping it records the end.
 #[derive(Debug)]
 pub(crate) struct Use {
     endpoint: Arc<Endpoint>,
@@ -356,14 +356,14 @@
         &self.endpoint
     }
 
-    /// Notes the load that the endpoint told.
+    /// Records the load that the endpoint reported.
     pub(crate) fn saw_load(&self, load: EndpointLoad) {
         let mut known = self.endpoint.lock();
         known.load = Some((load, Instant::now()));
         known.since_load = 0;
     }
 
-    /// Notes that the endpoint wants no request from this instance for some time.
+    /// Records that the endpoint wants no requests from this instance for some time.
     pub(crate) fn asks_for_rest(&self, rest: Duration) {
         if self.endpoint.said.asks_for_rest(rest) {
             info!(
@@ -375,7 +375,7 @@
         }
     }
 
-    /// Notes that the endpoint says in an answer that it leaves.
+    /// Records that the endpoint announced its shutdown in an answer.
     pub(crate) fn says_that_it_leaves(&self) {
         if self.endpoint.said.leaves() {
             info!(
@@ -387,7 +387,7 @@
         self.endpoint.leaves();
     }
 
-    /// Notes that the endpoint has begun to answer.
+    /// Records that the endpoint has begun to answer.
     pub(crate) fn answered(&mut self) {
         self.is_judged = true;
         let mut known = self.endpoint.lock();
@@ -396,10 +396,10 @@
         self.tokens = 0;
     }
 
-    /// Waits until it is certain that the endpoint does not run the request any more, and returns why.
+    /// Waits until it is certain that the endpoint no longer runs the request, and returns why. Cancel-safe.
     ///
-    /// By the word of the admission alone only a request that may go on elsewhere gains from giving up, since the answer of
-    /// another one may still come; after a new start of the endpoint nothing comes. It may be dropped while it waits.
+    /// On the admission's report alone, only a request that may be resumed elsewhere gains from giving up, because its answer may
+    /// still arrive. After a restart of the endpoint no answer arrives.
     pub(crate) async fn lost(&mut self, may_go_on: bool) -> &'static str {
         let Self {
             endpoint, place, ..
@@ -416,13 +416,13 @@
         }
     }
 
-    /// Notes that another endpoint listens at the address: this one has ended, whatever the list says yet.
+    /// Records that another endpoint listens at the address: this one has ended, even if it is still listed.
     pub(crate) fn is_gone(&mut self) {
         self.is_judged = true;
         if !self.endpoint.is_draining() {
             warn!(
                 Part::Gateway,
-                "An endpoint is gone; another one listens at its address.",
+                "Another endpoint listens at an endpoint's address; the former one has ended.",
                 endpoint = self.endpoint.described.id,
                 address = self.endpoint.described.address
             );
@@ -431,7 +431,7 @@
         self.endpoint.drain();
     }
 
-    /// Notes that the answer to the request broke off, or can't come any more.
+    /// Records that the answer to the request broke off or can no longer arrive.
     pub(crate) fn broke(&self, outgoing: &Outgoing) {
         self.endpoint.broke(BrokenRequest {
             key: outgoing.key(),
@@ -439,14 +439,14 @@
         });
     }
 
-    /// Notes that the first piece of the answer has come, or all of one that is not passed on in pieces.
+    /// Records that the first chunk of the answer, or the whole of a buffered answer, has arrived.
     pub(crate) fn began(&self) {
         if let Some(place) = &self.place {
             place.began();
         }
     }
 
-    /// Notes that the endpoint, or the way to it, failed.
+    /// Records a failure of the endpoint or of the network path to it.
     pub(crate) fn failed(&mut self, cause: &str) {
         self.is_judged = true;
         let endpoint = &self.endpoint;
@@ -481,13 +481,13 @@
     }
 }
 
-/// Returns a number that stands for one start of an endpoint.
+/// Returns the hash of one incarnation of an endpoint.
 fn incarnation(described: &Described) -> IncarnationHash {
     let born = described.born_unix_ms.unwrap_or_default();
     hash(&described.id).wrapping_add(born)
 }
 
-/// Returns a number that stands for an id, the same in every process (FNV-1a).
+/// Returns the FNV-1a hash of an id, which is the same in every process.
 fn hash(id: &str) -> u64 {
     id.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -1,15 +1,15 @@
-//! Cuts a stream of server-sent events into whole events.
+//! Splits a stream of server-sent events into whole events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event that is held until its end, in bytes; the events of engines have some hundred.
+/// Largest event that is buffered until its end, in bytes; the events of engines have a few hundred.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Says that an event is too long to be held.
+/// The error of an event that is too long to be buffered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EventTooLong;
 
-/// Holds the bytes of an event that has not ended, and the number of the last one that has.
+/// A splitter that buffers the unfinished event and tracks the id of the last whole one.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     rest: BytesMut,
@@ -17,7 +17,7 @@
 }
 
 impl EventSplitter {
-    /// Starts after an event that the caller already has, if any.
+    /// Creates a splitter for a stream that continues after an event the caller has received, if any.
     #[must_use]
     pub fn after(last_id: Option<u64>) -> Self {
         Self {
@@ -26,28 +26,28 @@
         }
     }
 
-    /// Returns the number of the last whole event.
+    /// Returns the id of the last whole event.
     #[must_use]
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Returns whether an event has begun and not ended.
+    /// Returns whether an unfinished event is buffered.
     #[must_use]
     pub fn is_inside(&self) -> bool {
         !self.rest.is_empty()
     }
 
-    /// Forgets an event that will not end, because its stream broke.
+    /// Discards the unfinished event of a stream that broke off.
     pub fn drop_rest(&mut self) {
         self.rest.clear();
     }
 
-    /// Takes in bytes, and returns the events that are whole now, as they came.
+    /// Adds bytes, and returns the bytes of the events that are now whole, unchanged.
     ///
     /// # Errors
     ///
-    /// Returns an error when an event does not end within a megabyte.
+    /// Returns an error when an event does not end within 1 MiB.
     pub fn push(&mut self, bytes: &Bytes) -> Result<Bytes, EventTooLong> {
         if self.rest.is_empty() && bytes.ends_with(b"\n\n") {
             self.note_ids(bytes);
@@ -75,7 +75,7 @@
     }
 }
 
-/// Returns the place after the last empty line.
+/// Returns the index after the last empty line.
 fn end_of_events(bytes: &[u8]) -> Option<usize> {
     let place = bytes.windows(2).rposition(|pair| pair == b"\n\n")?;
     Some(place + 2)
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Holds the routes and endpoints that a gateway knows.
+//! The routes and endpoints that a gateway has received from control.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -18,28 +18,28 @@
 use crate::said::Words;
 use crate::suspects::{Evidence, Suspects};
 
-/// Holds one moment's routes and endpoints.
+/// An immutable snapshot of the routes and endpoints.
 #[derive(Debug, Default)]
 pub(crate) struct Fleet {
     pub(crate) lookup: Option<Arc<RouteIndex>>,
-    /// List that control told last, if it told one.
+    /// Latest list of endpoints from control, if any.
     list: Option<Arc<EndpointList>>,
     by_id: HashMap<Box<str>, Arc<Endpoint>>,
     by_service: HashMap<Box<str>, Vec<Arc<Endpoint>>>,
 }
 
 impl Fleet {
-    /// Returns the endpoints of a service that take work.
+    /// Returns the endpoints of a service that take requests.
     pub(crate) fn of_service(&self, service: &str) -> &[Arc<Endpoint>] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns the version of the list of endpoints; 0 without one.
+    /// Returns the version of the endpoint list; 0 without a list.
     pub(crate) fn endpoints_version(&self) -> u64 {
         self.list.as_ref().map_or(0, |list| list.version)
     }
 
-    /// Returns the number of the table in force; 0 without one.
+    /// Returns the number of the route table in force; 0 without a table.
     pub(crate) fn table_number(&self) -> u64 {
         self.lookup
             .as_ref()
@@ -47,26 +47,26 @@
     }
 }
 
-/// Holds the newest routes and endpoints; nothing here steps back.
+/// The newest routes and endpoints; an update with an older version is ignored.
 #[derive(Debug)]
 pub(crate) struct Held {
     current: ArcSwap<Fleet>,
     writer: Mutex<()>,
-    /// How to reach the admissions beside the endpoints; none where there are none.
+    /// How to reach the admissions beside the endpoints; `None` without admissions.
     admissions: Option<Ways>,
     pub(crate) suspects: Arc<Suspects>,
     words: Words,
-    /// Control instances to tell of what is seen here, the one that is followed or some others.
+    /// Control instances that receive this gateway's reports: the followed one, or several while none is followed.
     pub(crate) control: ArcSwap<Vec<Address>>,
-    /// All control instances that are known.
+    /// All known control instances.
     pub(crate) known_control: ArcSwap<Vec<Address>>,
     began: Instant,
-    /// When control last said that this is the newest that it knows, in milliseconds since `began`.
+    /// When control last confirmed that this state is current, in milliseconds since `began`.
     confirmed_ms: AtomicU64,
 }
 
 impl Held {
-    /// Creates an empty one.
+    /// Creates a state without routes and endpoints.
     pub(crate) fn new(admissions: Option<Ways>, suspects: Suspects) -> Self {
         Self {
             current: ArcSwap::default(),
@@ -81,24 +81,24 @@
         }
     }
 
-    /// Notes that control has just told what is newer than what is held, or that nothing is.
+    /// Records that control has just sent everything newer, or confirmed that nothing is.
     pub(crate) fn confirm(&self) {
         let now_ms = u64::try_from(self.began.elapsed().as_millis()).unwrap_or(u64::MAX);
         self.confirmed_ms.store(now_ms, Ordering::Relaxed);
     }
 
-    /// Returns the time since control last confirmed what is held; since the start where it never has.
+    /// Returns the time since control last confirmed the state, or since the start if it never has.
     pub(crate) fn age(&self) -> Duration {
         let confirmed = Duration::from_millis(self.confirmed_ms.load(Ordering::Relaxed));
         self.began.elapsed().saturating_sub(confirmed)
     }
 
-    /// Returns what is held, without a lock.
+    /// Returns the current snapshot, without a lock.
     pub(crate) fn current(&self) -> Arc<Fleet> {
         self.current.load_full()
     }
 
-    /// Puts a newer table in force; an older one changes nothing.
+    /// Puts a newer route table in force; an older one is ignored.
     pub(crate) fn put_table(&self, table: RouteTable) {
         let _writer = self.writer.lock().unwrap_or_else(PoisonError::into_inner);
         let held = self.current();
@@ -121,7 +121,7 @@
         }));
     }
 
-    /// Takes in what is newer of an update, and returns whether there is a table now.
+    /// Applies the newer parts of an update, and returns whether there is a route table now.
     pub(crate) fn take_in(&self, update: RoutesUpdate) -> bool {
         if let Some(table) = update.table {
             self.put_table(table);
@@ -135,7 +135,7 @@
         self.current().table_number() > 0
     }
 
-    /// Returns what is held and newer than what an asker has.
+    /// Returns everything that is newer than the versions in a query.
     pub(crate) fn newer_than(&self, question: &WatchRoutes) -> RoutesUpdate {
         let held = self.current();
         let lookup = held.lookup.as_ref();
@@ -160,7 +160,7 @@
         Endpoint::new(described, admitter, Arc::clone(&self.suspects), said)
     }
 
-    /// Takes in a newer list of endpoints; an older one changes nothing.
+    /// Applies a newer list of endpoints; an older one is ignored.
     pub(crate) fn put_endpoints(&self, list: EndpointList) {
         let _writer = self.writer.lock().unwrap_or_else(PoisonError::into_inner);
         let held = self.current();
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -1,4 +1,4 @@
-//! Follows control for routes and endpoints.
+//! Receives routes and endpoints from control by long polling.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,20 +20,20 @@
 use crate::fleet::Held;
 use crate::neighbours::Neighbours;
 
-/// Longest wait of one watch. An answer without changes shows that the instance still knows a leader, so the wait bounds
-/// how long a gateway follows one that has lost touch.
+/// Longest wait of one long poll. An answer without changes shows that the control instance still knows a leader, so this bounds
+/// how long a gateway follows an instance that has lost contact with the leader.
 const WATCH: Duration = Duration::from_millis(600);
 
-/// What a call may take beyond the wait of its watch.
+/// Time that a call may take beyond the wait of its long poll.
 const MARGIN: Duration = Duration::from_millis(300);
 
-/// Wait after a failure at every instance that was asked; an election takes a second or two.
+/// Delay after every queried instance has failed; an election takes a second or two.
 const RETRY: Duration = Duration::from_millis(100);
 
-/// Least time between two lines about control, while no instance answers.
+/// Minimum interval between log lines while no control instance answers.
 const TELL_EVERY: Duration = Duration::from_secs(1);
 
-/// Follows control until the task is aborted.
+/// Long-polls control until the task is aborted.
 pub(crate) async fn run(
     client: Client,
     instance: Box<str>,
@@ -101,7 +101,7 @@
     }
 }
 
-/// Returns the question for what is newer than what is held.
+/// Returns the query for everything newer than the current state.
 fn question(instance: &str, peer_address: &SocketAddr, held: &Held) -> WatchRoutes {
     let fleet = held.current();
     WatchRoutes {
@@ -114,7 +114,7 @@
     }
 }
 
-/// Asks some instances at once, and returns the first answer with its address, or why the last one failed.
+/// Queries several instances concurrently, and returns the first answer with its address, or the last failure.
 async fn ask_any(
     client: &Client,
     question: &WatchRoutes,
@@ -125,7 +125,7 @@
         (address.clone(), answered.await)
     });
     let mut asked: FuturesUnordered<_> = asked.collect();
-    let mut last = "no instance is known".to_owned();
+    let mut last = "no control instance is known".to_owned();
     while let Some((address, answered)) = asked.next().await {
         match answered {
             Ok(update) => return Ok((address, update)),
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -49,17 +49,17 @@
 use crate::teams::Teams;
 use crate::tell;
 
-/// Time after which an idle connection of a caller is closed when no table says so.
+/// Idle timeout of callers' connections while there is no route table to set it.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Longest headers of a request, in bytes; the tables of today ask for 16 KiB. A connection's buffer grows up to it and
-/// stays, so it bounds the memory of an idle connection as well.
+/// Maximum size of a request's headers, in bytes; route tables ask for 16 KiB. A connection's read buffer grows up to this size
+/// and never shrinks, so it bounds the memory of an idle connection as well.
 pub(crate) const MAX_HEADER_BYTES: usize = 24 * 1024;
 
-/// Wait after a failed accept; it concerns one connection, or a passing lack of descriptors.
+/// Delay after a failed accept, which concerns one connection or a temporary lack of file descriptors.
 pub(crate) const ACCEPT_RETRY: Duration = Duration::from_millis(10);
 
-/// Sets up a gateway.
+/// The settings of a gateway.
 #[derive(Debug, Clone)]
 pub struct GatewaySettings {
     /// Name of the instance.
@@ -68,29 +68,29 @@
     pub data_center: Box<str>,
     /// Address for callers.
     pub listen: SocketAddr,
-    /// Address on which the balancer asks for readiness.
+    /// Address on which the load balancer checks readiness.
     pub ready_listen: SocketAddr,
     /// Addresses of control instances.
     pub control: Vec<Box<str>>,
-    /// Ports of which a free one is taken for requests that other gateways hand off; without any none are handed off.
+    /// Port range for requests from other gateways, of which the first free port is bound; `None` turns handing off off.
     pub handoff_ports: Option<RangeInclusive<u16>>,
-    /// Port of the admissions beside the model engines; none where there are none.
+    /// Port of the admission sidecars beside the model engines; `None` without admissions.
     pub admission_port: Option<u16>,
-    /// Budget of second sends to a service.
+    /// Budget of retries for each service.
     pub budget: RetryBudgetRules,
-    /// Weights of the choice.
+    /// Weights for choosing an endpoint.
     pub choice: ChoiceRules,
-    /// Prompt tokens that an engine may have before it to take a request that another one refused.
+    /// Largest backlog, in prompt tokens, at which an engine still takes a request that another one refused.
     pub max_spill_tokens: u32,
-    /// Connections of callers that are kept at once.
+    /// Maximum number of open connections from callers.
     pub max_connections: u32,
-    /// Each of two waits for the rest of an answer that an engine no longer works on.
+    /// Length of each of the two waits for the rest of an answer that an engine no longer works on.
     pub lost_grace: Duration,
-    /// When requests are turned away for want of room.
+    /// Limits beyond which requests are rejected for overload.
     pub overload: OverloadRules,
 }
 
-/// Holds what the requests of a gateway share.
+/// The state that all requests of a gateway share.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) dialect: Arc<dyn Dialect>,
@@ -100,9 +100,9 @@
     pub(crate) choice: ChoiceRules,
     pub(crate) max_spill_tokens: u32,
     pub(crate) connections: Connections,
-    /// Whether new connections are refused, as the limits of the load say.
+    /// Whether overload control refuses new connections.
     pub(crate) is_closed: watch::Sender<bool>,
-    /// When a planned stop cuts what still runs, once one has begun.
+    /// When a planned stop cuts off requests that still run; set once the stop begins.
     pub(crate) stops_at: OnceLock<Instant>,
     overload: Mutex<OverloadControl>,
     budget_rules: RetryBudgetRules,
@@ -115,12 +115,12 @@
 }
 
 impl Shared {
-    /// Returns the limits of this gateway's own load.
+    /// Locks and returns the overload control of this gateway.
     pub(crate) fn overload(&self) -> MutexGuard<'_, OverloadControl> {
         self.overload.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Closes or opens the door for new connections as the limits of the load say.
+    /// Pauses or resumes accepting connections as overload control says.
     pub(crate) fn follow_overload(&self) {
         let is_closed = self.overload().refuses_connections();
         self.is_closed.send_if_modified(|known| {
@@ -130,7 +130,7 @@
         });
     }
 
-    /// Returns what the teams have used at the endpoints of a service, as it was told lately.
+    /// Returns the recently reported usage of each team at the endpoints of a service.
     pub(crate) fn teams(&self, service: &str, endpoints: &[Arc<Endpoint>]) -> Arc<Teams> {
         let mut teams = self.teams.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(fresh) = teams.get(service).filter(|teams| teams.is_fresh()) {
@@ -146,17 +146,17 @@
         self.with_budget(service, RetryBudget::record_request);
     }
 
-    /// Returns whether a request to a service may be sent once more, and counts it if so.
+    /// Returns whether the service's retry budget allows one more attempt, and counts it if so.
     pub(crate) fn try_repeat(&self, service: &str) -> bool {
         self.with_budget(service, RetryBudget::try_retry)
     }
 
-    /// Returns the endpoints that should keep the shared parts that a number stands for, the one used last first.
+    /// Returns the endpoints that probably cache the shared prompt prefix with this key, the most recent first.
     pub(crate) fn holders(&self, key: u64) -> Holders {
         self.kept_parts().holders(self.began.elapsed(), key)
     }
 
-    /// Notes that an endpoint has the shared parts that a number stands for.
+    /// Records that an endpoint caches the shared prompt prefix with this key.
     pub(crate) fn note_kept(&self, key: u64, endpoint: IncarnationHash) {
         self.kept_parts()
             .record(self.began.elapsed(), key, endpoint);
@@ -180,12 +180,12 @@
         }
         let budget = budgets
             .get_mut(service)
-            .expect("the budget was just put there");
+            .expect("the budget was just inserted");
         act(budget, now)
     }
 }
 
-/// Holds a running gateway.
+/// A running gateway.
 #[derive(Debug)]
 pub struct Gateway {
     address: SocketAddr,
@@ -194,7 +194,7 @@
     shared: Arc<Shared>,
     stop: watch::Sender<bool>,
     seeds: watch::Sender<Vec<Box<str>>>,
-    /// Tasks that take connections; each ends with the answers on them.
+    /// Tasks that accept connections; each ends when the answers on its connections have ended.
     serving: JoinSet<()>,
     handoff_address: Option<SocketAddr>,
     lag: JoinHandle<()>,
@@ -263,7 +263,7 @@
         let lag = load::watch_lag(Arc::clone(&shared), Arc::clone(&readiness));
         let lag = tokio::spawn(lag);
         let following = follow_control(
-            // Its connections are served on the thread that follows.
+            // A client of its own, because its connections are served on the dedicated thread.
             Client::new(key),
             settings.instance,
             ready_address,
@@ -299,28 +299,28 @@
         self.address
     }
 
-    /// Returns where changed addresses of control instances are put.
+    /// Returns the sender for changed addresses of control instances.
     #[must_use]
     pub fn control_seeds(&self) -> watch::Sender<Vec<Box<str>>> {
         self.seeds.clone()
     }
 
-    /// Returns the address of the readiness question.
+    /// Returns the address of the readiness check.
     #[must_use]
     pub fn ready_address(&self) -> SocketAddr {
         self.ready.local_address()
     }
 
-    /// Returns the address on which other gateways hand requests off, if there is one.
+    /// Returns the address on which other gateways hand requests off, if one is bound.
     #[must_use]
     pub fn handoff_address(&self) -> Option<SocketAddr> {
         self.handoff_address
     }
 
-    /// Stops as planned, and returns whether every request ended before the deadline.
+    /// Drains the gateway, and returns whether every request ended before the deadline.
     ///
-    /// Callers may come for `rotation` more, since the balancer notices late; then open connections end with the answer
-    /// that is under way.
+    /// New connections are accepted for `rotation` longer, because the load balancer notices a lost readiness late; then open
+    /// connections close after the answer in progress.
     pub async fn drain(mut self, rotation: Duration, deadline: Duration) -> bool {
         self.readiness.set(Reason::Leaving);
         let ends_at = Instant::now() + deadline;
@@ -338,7 +338,7 @@
     }
 }
 
-/// Binds what takes requests of other gateways, and returns it with what they are told.
+/// Binds the listener for handed-off requests, and returns it with the message that announces it to other gateways.
 async fn bind_takeover(
     ip: IpAddr,
     settings: &GatewaySettings,
@@ -355,7 +355,7 @@
     Ok(Some((listener, question)))
 }
 
-/// Follows control, and tells it of what is seen here, until it is dropped.
+/// Follows control and reports to it until the future is dropped.
 async fn follow_control(
     client: Client,
     instance: Box<str>,
@@ -404,7 +404,7 @@
         shared.metrics.connections.inc();
         shared.overload().record_connection();
         shared.follow_overload();
-        // A caller whose connection closes before its request is read tries another gateway at once.
+        // A caller whose connection closes before its request was read retries at another gateway at once.
         if shared.connections.try_open() {
             serve_caller(stream, &shared, &graceful);
         } else {
@@ -416,7 +416,7 @@
 }
 
 fn serve_caller(stream: TcpStream, shared: &Arc<Shared>, graceful: &GracefulShutdown) {
-    // Without it pieces are only held back a little, so a failure to set it is no reason to refuse the caller.
+    // Without TCP_NODELAY chunks are only delayed a little, so a failure to set it is no reason to refuse the caller.
     let _is_set = stream.set_nodelay(true);
     let for_requests = Arc::clone(shared);
     let service = service_fn(move |request: Request<Incoming>| {
@@ -442,7 +442,7 @@
     let watched = graceful.watch(connection);
     let shared = Arc::clone(shared);
     tokio::spawn(async move {
-        // A caller that leaves is noted where its request is served.
+        // A caller that disconnects is recorded where its request is served.
         let _ended_or_broken = watched.await;
         shared.connections.closed();
     });
--- a/crates/gateway/src/handoff.rs
+++ b/crates/gateway/src/handoff.rs
@@ -1,7 +1,7 @@
-//! Hands requests for which there is no room off to other gateways of the data centre.
+//! Hands requests that exceed this gateway's limits off to other gateways of the data centre.
 //!
-//! The other gateway takes a request as if its caller had come there, does all the work before the endpoint, and its answer is passed on as
-//! it comes. It says whether it takes the request before it does anything for it; a request goes one step, and never on from there.
+//! The other gateway serves the request as if its caller had connected there, and its answer is streamed back through this one. It
+//! accepts or declines before it does any work. A request is handed off once at most and never forwarded further.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -31,39 +31,39 @@
 use crate::pool::{self, Pool, Sender};
 use crate::refusal::Refusal;
 
-/// Number of the route table by which the request was read; another gateway takes it only if it has the same one.
+/// Header with the number of the sender's route table; a gateway accepts a request only if it has the same table.
 pub(crate) const TABLE: HeaderName = HeaderName::from_static("hinge-table");
 
-/// Says why a gateway does not take a request that was handed off; it has done nothing for it.
+/// Header with the reason why a gateway declined a request, for which it has done no work.
 pub(crate) const DECLINED: HeaderName = HeaderName::from_static("hinge-declined");
 
-/// Requests that are handed off and under way at most: memory for two connections each.
+/// Maximum number of handed-off requests in progress; each takes memory for two connections.
 const MOST_UNDER_WAY: u32 = 400;
 
-/// Gateways that are asked to take one request.
+/// Maximum number of gateways that one request is offered to.
 const MOST_ASKED: usize = 2;
 
-/// Idle connections to one gateway that are kept; requests go to many.
+/// Idle connections kept to each gateway; few, because requests are spread over many gateways.
 const MAX_IDLE: usize = 8;
 
-/// Longest wait for a connection inside a data centre.
+/// Timeout for connecting within a data centre.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Time for which a gateway is left out that has another table, that has no room, that can't take requests now, or that can't be reached.
+/// How long a gateway is not chosen after it has declined for another table or for overload, can't accept, or is unreachable.
 const OTHER_TABLE_REST: Duration = Duration::from_millis(100);
 const NO_ROOM_REST: Duration = Duration::from_millis(200);
 const UNABLE_REST: Duration = Duration::from_secs(1);
 const UNREACHABLE_REST: Duration = Duration::from_secs(2);
 
-/// Says why a gateway does not take a request.
+/// The reason why a gateway declines a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Decline {
     NoRoom,
     /// It has another route table.
     OtherTable,
-    /// It has not heard from control for a while.
+    /// It has lost contact with control for too long.
     WithoutControl,
-    /// It stops.
+    /// It is shutting down.
     Leaving,
 }
 
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Reads it from the head of an answer.
+    /// Parses the reason from the head of an answer; `None` if the answer declines nothing.
     fn read(status: StatusCode, headers: &HeaderMap) -> Option<Self> {
         let name = headers.get(DECLINED)?;
         let known = Self::ALL.into_iter();
@@ -100,7 +100,7 @@
         known.find(|decline| name.as_bytes() == decline.name().as_bytes())
     }
 
-    /// Returns the answer that says it.
+    /// Returns the answer that declines a request for this reason.
     pub(crate) fn response(self) -> Response<AnswerBody> {
         let mut response = Response::new(AnswerBody::Whole(Bytes::new()));
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
@@ -110,7 +110,7 @@
     }
 }
 
-/// Holds the other gateways of the data centre, and the connections to them.
+/// The other gateways of the data centre, with pooled connections to them.
 #[derive(Debug)]
 pub(crate) struct Handoffs {
     key: ClusterKey,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Takes in the addresses of other gateways.
+    /// Replaces the addresses of the other gateways.
     pub(crate) fn named(&self, addresses: &[SocketAddr]) {
         let mut nearby = self.nearby();
         nearby.record_listed(self.began.elapsed(), addresses);
@@ -158,7 +158,7 @@
         self.pools.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns a connection to a gateway, on which the key is proved.
+    /// Returns a connection to a gateway, authenticated with the cluster key.
     async fn connect(&self, address: SocketAddr, pool: &Pool) -> Option<Sender> {
         if let Some(kept) = pool.take() {
             return Some(kept);
@@ -173,7 +173,7 @@
     }
 }
 
-/// Holds a request's use of another gateway, until it is dropped.
+/// A request in progress at another gateway; dropping it records the end.
 #[derive(Debug)]
 struct Use {
     shared: Arc<Shared>,
@@ -186,11 +186,11 @@
     }
 }
 
-/// Holds an answer that another gateway passes on.
+/// The body of an answer that is streamed through another gateway.
 #[derive(Debug)]
 pub(crate) struct HandedOff {
     body: Incoming,
-    /// Connection to keep once the answer has ended.
+    /// Connection to return to its pool once the answer has ended.
     connection: Option<(Arc<Pool>, Sender)>,
     _in_use: Use,
 }
@@ -224,30 +224,30 @@
 
 impl Drop for HandedOff {
     fn drop(&mut self) {
-        // A server asks no further for a body of which it has everything.
+        // The server does not poll a body again once it is at its end.
         if self.body.is_end_stream() {
             self.keep();
         }
     }
 }
 
-/// Says what became of a request at another gateway.
+/// The outcome of offering a request to another gateway.
 enum Handed {
     Answered(Response<AnswerBody>),
     Declined(Decline),
     Unreachable,
-    /// It may have run, and there is no answer.
+    /// The request may have run, and there is no answer.
     Failed(Refusal),
 }
 
-/// Hands a request off, and returns its answer, or none where no gateway takes it.
+/// Hands a request off, and returns its answer, or `None` if no gateway accepts it.
 pub(crate) async fn hand_off(
     shared: &Arc<Shared>,
     table: u64,
     outgoing: &Outgoing,
     overloaded: &Overloaded,
 ) -> Option<Response<AnswerBody>> {
-    // What is handed off now may outlast this gateway.
+    // During a planned stop a handed-off request might outlast this gateway, which passes its answer on.
     if shared.stops_at.get().is_some() {
         return None;
     }
--- a/crates/gateway/src/headers.rs
+++ b/crates/gateway/src/headers.rs
@@ -1,4 +1,4 @@
-//! Takes out the headers that concern one connection only.
+//! Reads and removes hop-by-hop headers.
 
 use std::time::Duration;
 
@@ -11,13 +11,13 @@
 #[cfg(test)]
 mod tests;
 
-/// Header in which a peer says for how long it keeps an idle connection.
+/// Header with the time for which a peer keeps an idle connection.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// Header of old clients for the same as `Connection`.
+/// Non-standard synonym of `Connection`, sent by old clients.
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// Removes the headers that concern one connection, those that `Connection` names among them.
+/// Removes the hop-by-hop headers, including those that `Connection` lists.
 pub(crate) fn strip_connection(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -53,7 +53,7 @@
     words.any(|word| word.trim().eq_ignore_ascii_case("close"))
 }
 
-/// Returns for how long a peer keeps an idle connection, if it says so.
+/// Returns the time for which a peer keeps an idle connection, if it states one.
 pub(crate) fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     let mut parts = value.split(',');
@@ -61,7 +61,7 @@
     seconds.parse().ok().map(Duration::from_secs)
 }
 
-/// Returns whether an answer's end shows by itself, and not only by that of its connection.
+/// Returns whether an answer is delimited by its length or by chunks, rather than by the close of its connection.
 pub(crate) fn has_own_end(headers: &HeaderMap) -> bool {
     headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
 }
--- a/crates/gateway/src/headers/tests.rs
+++ b/crates/gateway/src/headers/tests.rs
@@ -1,4 +1,4 @@
-//! Checks what an answer's headers say of its end.
+//! Checks which headers delimit an answer.
 
 use hinge_cases::cases;
 use http::HeaderMap;
@@ -13,7 +13,7 @@
 }
 
 cases! { shows_its_end:
-    a_length_shows_the_end => (CONTENT_LENGTH, "3", true),
-    the_last_chunk_shows_the_end => (TRANSFER_ENCODING, "chunked", true),
-    the_end_of_the_connection_proves_nothing => (CONNECTION, "close", false),
+    a_length_delimits_the_answer => (CONTENT_LENGTH, "3", true),
+    chunked_encoding_delimits_the_answer => (TRANSFER_ENCODING, "chunked", true),
+    the_close_of_the_connection_does_not => (CONNECTION, "close", false),
 }
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -1,4 +1,4 @@
-//! Makes the attempts at one request: chooses an endpoint, asks for a place, sends, and judges what became of it.
+//! Attempts one request: chooses an endpoint, requests a slot, sends, and evaluates the outcome.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,35 +24,35 @@
 use crate::story::Story;
 use crate::teams::Teams;
 
-/// Time that an attempt needs to be of use.
+/// Minimum time left to the deadline for an attempt to be worth making.
 const SHORTEST_ATTEMPT: Duration = Duration::from_millis(10);
 
-/// Connections that are tried for one request without a byte being sent; they cost nothing but time.
+/// Maximum number of attempts for one request in which no byte is sent; they cost nothing but time.
 const MAX_NOT_SENT: u32 = 4;
 
-/// Admissions that may say for one request that their engine is gone; each costs a round trip.
+/// Maximum number of admissions that may report a gone engine for one request; each costs a round trip.
 const MAX_GONE: usize = 4;
 
-/// When a caller may come back if no endpoint takes work: a restart takes seconds, and a failed connection is tried
-/// again after half a second.
+/// Retry delay when no endpoint accepts requests: a restart takes seconds, and a failed connection is tried again after half
+/// a second.
 const NO_ENDPOINT_RETRY: Duration = Duration::from_millis(500);
 
-/// Rank of a stream that goes on; those of the table come after it.
+/// Rank of a resumed stream; the priorities of the route table rank after it.
 const FIRST_RANK: u32 = 0;
 
-/// Longest pause after which a stream is worth going on: callers give one up after two seconds or more.
+/// Longest pause after which a stream is worth resuming: callers give up after two seconds or more.
 const RESUME_BUDGET: Duration = Duration::from_secs(2);
 
-/// Time in which an engine makes a token under load: a step beside prompts that are read.
+/// Time per generated token of an engine under load: one decoding step alongside prefills.
 const TOKEN_TIME: Duration = Duration::from_millis(20);
 
-/// Bytes of the heads of a request and its answer.
+/// Estimated bytes of the heads of a request and its answer.
 const HEAD_BYTES: u64 = 800;
 
-/// Bytes of a stream for each token: an event of some hundred bytes holds a few.
+/// Estimated bytes of a stream per token: an event of a few hundred bytes carries several tokens.
 const TOKEN_BYTES: u64 = 30;
 
-/// Holds what stays the same over the attempts at a request.
+/// A request in progress: what stays the same over all of its attempts.
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) gateway: Arc<Shared>,
@@ -62,23 +62,23 @@
     pub(crate) outgoing: Outgoing,
     pub(crate) prompt: Option<Prompt>,
     pub(crate) last_event: Option<u64>,
-    /// What is known of the service's model engines, if its endpoints are some.
+    /// Description of the service's model engines, if its endpoints are engines.
     pub(crate) engine: Option<Engine>,
     pub(crate) rank: u32,
-    /// Its place among the requests that this gateway has under way; plain requests need none.
     pub(crate) origin: Origin,
+    /// Counts the request against the overload limits; `None` for plain requests.
     pub(crate) _running: Option<Running>,
     pub(crate) arrived: Instant,
 }
 
-/// Says how the attempts at a request ended.
+/// The outcome of all attempts at a request.
 pub(crate) enum Tried {
     Answered(Box<Answer>),
     Refused(Refusal),
 }
 
 impl Job {
-    /// Returns whether a planned stop of this instance would cut the answer: another one takes the request at once.
+    /// Returns whether a planned stop of this instance would cut the answer off, so that the caller had better retry elsewhere.
     pub(crate) fn outlasts_stop(&self) -> bool {
         let (Some(stops_at), Some(prompt)) = (self.gateway.stops_at.get(), &self.prompt) else {
             return false;
@@ -91,7 +91,7 @@
         self.outgoing.may_go_on
     }
 
-    /// Returns whether one more endpoint may be sent the request, and counts it if so.
+    /// Returns whether the request may be sent to one more endpoint, and counts the retry if so.
     pub(crate) fn may_repeat(&self, story: &Story) -> bool {
         let has_attempts = story.attempts < self.route.max_attempts.max(1);
         let has_time = Instant::now() + SHORTEST_ATTEMPT < self.outgoing.ends_at;
@@ -141,7 +141,7 @@
                     return Tried::Refused(story.refusal(retry_after));
                 }
             };
-            // It may have been held while it waited for its turn, and the endpoint may have begun to rest or to leave.
+            // While the request was queued it may have become held, and the endpoint may have asked for a pause or begun to drain.
             if self.is_held() {
                 return Tried::Refused(story.held(self));
             }
@@ -195,12 +195,12 @@
         }
     }
 
-    /// Returns whether endpoints ended under the request one after the other.
+    /// Returns whether the request is held because several endpoints ended while they ran it.
     fn is_held(&self) -> bool {
         self.gateway.held.suspects.is_held(&self.outgoing)
     }
 
-    /// Notes that an endpoint has answered to the end, so that those that ended before had another cause.
+    /// Records that an endpoint has completed the request, so the ends of earlier endpoints had another cause.
     pub(crate) fn completed(&self, story: &Story) {
         if story.tried.len() > 1 {
             let key = self.outgoing.key();
@@ -211,7 +211,7 @@
         self.gateway.held.suspects.completed(&self.outgoing);
     }
 
-    /// Returns what the request's team has used lately at the other endpoints of the service.
+    /// Returns the recent usage of the request's team at the other endpoints of the service.
     fn used_elsewhere(&self, endpoint: &Endpoint) -> u64 {
         let Some(team) = &self.outgoing.team else {
             return 0;
@@ -220,7 +220,7 @@
         everywhere.saturating_sub(endpoint.used_by(team))
     }
 
-    /// Returns how far the use of the request's team lags behind that of the team with the most.
+    /// Returns how far the usage of the request's team lags behind that of the team with the most.
     fn lag(&self) -> UsageLag {
         let team = self.outgoing.team.as_deref();
         team.map_or(UsageLag::Even, |team| self.teams().lag_of(team))
@@ -231,7 +231,7 @@
         self.gateway.teams(&self.service, listed)
     }
 
-    /// Asks the admission beside a model engine for a place.
+    /// Requests a slot from the admission beside a model engine.
     async fn admit(&self, endpoint: &Arc<Endpoint>, story: &Story) -> Admitted {
         let (Some(admitter), Some(prompt)) = (&endpoint.admitter, &self.prompt) else {
             return Admitted::Unasked;
@@ -245,7 +245,7 @@
         let (shared_key, shared_tokens) = prompt.shared_key().unwrap_or_default();
         let (rank, budget) = self.urgency(story);
         let ask = AdmitAsk {
-            // The line to the admission gives the number.
+            // Assigned when the ask is sent.
             number: 0,
             request_id: self.outgoing.request_id.clone().unwrap_or_default(),
             team: self.outgoing.team.clone().unwrap_or_default(),
@@ -260,11 +260,11 @@
         admitter.ask(endpoint, ask).await
     }
 
-    /// Returns the rank of an ask, and the time in which the answer must begin.
+    /// Returns the rank of an ask, and the time within which the answer must begin.
     ///
-    /// The load pattern: an endpoint ends under load, and all its streams look for another one at once, where the queues are
-    /// full already. One that is refused is lost with all that was done for it, so it goes before what has not begun, and it may
-    /// wait for as long as its caller does. A request that was only refused elsewhere has used up some of its time.
+    /// When an endpoint ends under load, all of its streams look for other endpoints at once, where the queues are already full. A
+    /// refused stream loses all work that was done for it, so a resumed stream ranks before requests that have not begun, and may
+    /// wait for as long as its caller does. A request that was only refused elsewhere has used up part of its time.
     fn urgency(&self, story: &Story) -> (u32, Duration) {
         if story.first_piece.is_some() {
             let left = self
@@ -278,7 +278,7 @@
         (rank, target.saturating_sub(self.arrived.elapsed()))
     }
 
-    /// Sends a stream that broke off to another endpoint, after the last event that the caller has.
+    /// Resumes a broken stream at another endpoint, after the last event that the caller has received.
     pub(crate) async fn resume(
         &self,
         story: &mut Story,
@@ -296,7 +296,7 @@
         }
     }
 
-    /// Returns up to which backlog an engine is of use, where another one refused.
+    /// Returns the backlog up to which an engine is worth trying after another one refused.
     fn room(&self) -> BacklogLimits {
         let target = Duration::from_millis(self.route.target_latency_ms);
         let left = target.saturating_sub(self.arrived.elapsed());
@@ -306,7 +306,7 @@
         }
     }
 
-    /// Returns about how many bytes of the request and its answer would leave the data centre.
+    /// Estimates the bytes of the request and its answer that would leave the data centre.
     fn far_bytes(&self) -> u64 {
         let answer_tokens = self
             .prompt
@@ -315,14 +315,14 @@
         self.outgoing.body.len() as u64 + HEAD_BYTES + u64::from(answer_tokens) * TOKEN_BYTES
     }
 
-    /// Returns the endpoints that should keep the shared parts of the prompt, the one used last first.
+    /// Returns the endpoints that probably cache the prompt's shared prefix, the most recent first.
     fn holders(&self) -> Holders {
         let prompt = self.prompt.as_ref().filter(|_| self.route.prompts);
         let shared = prompt.and_then(Prompt::shared_key);
         shared.map_or_else(Holders::new, |(key, _)| self.gateway.holders(key))
     }
 
-    /// Notes that an endpoint has the shared parts of the prompt, now that its answer begins.
+    /// Records that an endpoint caches the prompt's shared prefix, now that its answer has begun.
     pub(crate) fn note_kept(&self, endpoint: &Endpoint) {
         let shared = self.prompt.as_ref().and_then(Prompt::shared_key);
         if let Some((key, _)) = shared.filter(|_| self.route.prompts) {
@@ -330,7 +330,7 @@
         }
     }
 
-    /// Returns the engine from which an endpoint copies the shared parts of the prompt; none where it should keep them itself.
+    /// Returns the engine from which an endpoint fetches the prompt's shared prefix; `None` if it should have the prefix itself.
     fn fetch_source(&self, endpoint: &Endpoint) -> Option<SocketAddr> {
         let engine = self.engine.as_ref()?;
         let prompt = self.prompt.as_ref().filter(|_| self.route.prompts)?;
@@ -356,13 +356,13 @@
         (source != endpoint.described.address).then_some(source)
     }
 
-    /// Chooses an endpoint: one that was not tried and is not held out, if there is one.
+    /// Chooses an endpoint, preferably one that was not tried and is not ejected by its circuit breaker.
     fn pick(&self, story: &mut Story) -> Option<Arc<Endpoint>> {
-        // An endpoint that has left since the request came takes no more of it, and one that has started since then may.
+        // The current list, not that of the request's arrival: endpoints may have left or started since then.
         let fleet = self.gateway.held.current();
         let listed = fleet.of_service(&self.service);
         let listed = listed.iter().filter(|endpoint| !endpoint.is_draining());
-        // A rest that is asked for is no preference: no request goes there, whatever else there is.
+        // A requested pause is binding: no request goes to such an endpoint, even if no other is left.
         let mut shortest_rest: Option<Duration> = None;
         let listed: SmallVec<[&Arc<Endpoint>; 16]> = listed
             .filter(|endpoint| {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,8 +1,8 @@
-//! Runs the gateway role: it takes requests by host and path, and passes them to endpoints that have no sidecar.
+//! The gateway role: routes requests by host and path to endpoints that have no sidecar.
 //!
-//! The gateway knows no names on the wire. A [`Dialect`] decodes a request's headers into [`RequestFacts`] once, and writes
-//! those that go to the endpoint. Routes, teams and endpoints come from control, and are held by version: a gateway
-//! never steps back to an older one.
+//! The gateway knows no header names. A [`Dialect`] decodes a request's headers into [`RequestFacts`] once, and writes the
+//! headers for the endpoint. Routes, teams and endpoints come from control and are versioned: a gateway never goes back to
+//! an older version.
 
 mod admit;
 mod answer;
--- a/crates/gateway/src/line.rs
+++ b/crates/gateway/src/line.rs
@@ -1,7 +1,7 @@
-//! Carries the asks of this gateway to one admission, all of them over one exchange.
+//! Multiplexes all asks of this gateway to one admission over a single exchange.
 //!
-//! An exchange for each ask would cost a small gateway more than the rest of a short request: a stream of its own, with
-//! heads both ways, a reset at its end, and a wake-up for each of them.
+//! An exchange per ask would cost a small gateway more than the rest of a short request: an HTTP/2 stream of its own, with headers
+//! in both directions, a reset at its end, and a wake-up for each of these.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -12,7 +12,7 @@
 use hinge_schema::routing::{AdmitAsk, AdmitVerdict, AskNumber, FromAdmission, ToAdmission};
 use tokio::sync::{mpsc, oneshot};
 
-/// Holds who waits for word of an ask.
+/// The channels through which one ask receives its replies.
 #[derive(Debug)]
 struct Waiter {
     verdict: Option<oneshot::Sender<AdmitVerdict>>,
@@ -27,10 +27,10 @@
     is_closed: bool,
 }
 
-/// Holds the open exchange with one admission; it ends with the last ask when its owner has dropped it.
+/// An open exchange with one admission, which ends once its owner and all of its asks are dropped.
 #[derive(Debug)]
 pub(crate) struct Line {
-    /// As many words wait here as three for each request under way, which the gateway bounds.
+    /// Unbounded, because each request sends at most three messages and the gateway bounds the requests in progress.
     words: mpsc::UnboundedSender<ToAdmission>,
     asks: Arc<Mutex<Asks>>,
 }
@@ -40,7 +40,7 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`CallError`] when the admission does not accept it in time.
+    /// Returns a [`CallError`] when the admission does not accept the exchange in time.
     pub(crate) async fn open(
         client: &Client,
         address: &str,
@@ -58,7 +58,7 @@
         lock(&self.asks).is_closed
     }
 
-    /// Sends an ask; where the exchange has ended, no verdict comes.
+    /// Sends an ask; if the exchange has ended, its verdict is `None`.
     pub(crate) fn ask(self: &Arc<Self>, mut ask: AdmitAsk) -> Asked {
         let (verdict, told) = oneshot::channel();
         let (lost, is_lost) = oneshot::channel();
@@ -88,51 +88,51 @@
     }
 
     fn say(&self, word: ToAdmission) {
-        // The end of the exchange ends all of its asks.
+        // A send fails only after the exchange has ended, which ends all of its asks as well.
         let _exchange_has_ended = self.words.send(word);
     }
 }
 
-/// Holds an ask; its end tells the admission that the request has ended, or that its caller no longer waits.
+/// A sent ask; dropping it tells the admission that the request has ended or that its caller no longer waits.
 #[derive(Debug)]
 pub(crate) struct Asked {
     line: Arc<Line>,
     number: u64,
     verdict: oneshot::Receiver<AdmitVerdict>,
     is_lost: oneshot::Receiver<()>,
-    /// Whether the exchange has ended, after which no word of a loss comes.
+    /// Whether the exchange has ended, after which no loss can be reported.
     is_cut_off: bool,
     is_refused: bool,
 }
 
 impl Asked {
-    /// Waits for the verdict; none when the exchange has ended. It may be dropped while it waits.
+    /// Waits for the verdict; `None` when the exchange has ended. Cancel-safe.
     pub(crate) async fn verdict(&mut self) -> Option<AdmitVerdict> {
         let verdict = (&mut self.verdict).await.ok()?;
         self.is_refused = !verdict.granted;
         Some(verdict)
     }
 
-    /// Returns whether the admission has said that the ask waits for its turn.
+    /// Returns whether the admission has reported that the ask is queued.
     pub(crate) fn is_queued(&self) -> bool {
         let asks = lock(&self.line.asks);
         let waiter = asks.waiters.get(&self.number);
         waiter.is_some_and(|waiter| waiter.is_queued)
     }
 
-    /// Waits until the admission says that the engine does not run the request any more.
+    /// Waits until the admission reports that the engine no longer runs the request.
     ///
-    /// It may be dropped while it waits, and called again until it has returned.
+    /// Cancel-safe; must not be called again once it has returned.
     pub(crate) async fn lost(&mut self) {
         if !self.is_cut_off && (&mut self.is_lost).await.is_ok() {
             return;
         }
-        // An admission that is gone says nothing about the request.
+        // The loss of the admission says nothing about the request at the engine.
         self.is_cut_off = true;
         std::future::pending::<()>().await;
     }
 
-    /// Tells the admission that the prompt is read.
+    /// Tells the admission that the prompt has been prefilled.
     pub(crate) fn began(&self) {
         let number = self.number;
         self.line.say(ToAdmission::Began(AskNumber { number }));
@@ -149,7 +149,7 @@
     }
 }
 
-/// Carries the words of both sides until the exchange ends, or nobody holds the line any more.
+/// Transfers messages in both directions until the exchange ends or all of its handles are dropped.
 async fn carry(
     exchange: Exchange,
     to_send: mpsc::UnboundedReceiver<ToAdmission>,
@@ -161,7 +161,7 @@
             heard(&mut lock(&asks), word);
         }
     };
-    // Both go on at once, so that neither side waits for the other to read.
+    // Sending and receiving run concurrently, so that neither side blocks on the other.
     tokio::select! {
         () = send_all(to_send, sender) => {}
         () = hear => {}
@@ -179,7 +179,7 @@
     }
 }
 
-/// Passes a word on to the one that waits for it; one that is gone has told its end.
+/// Delivers a message to its ask; a dropped ask has already reported its end.
 fn heard(asks: &mut Asks, word: FromAdmission) {
     match word {
         FromAdmission::Queued(AskNumber { number }) => {
--- a/crates/gateway/src/load.rs
+++ b/crates/gateway/src/load.rs
@@ -1,4 +1,4 @@
-//! Measures how far behind a gateway is, and holds the places of the requests that it has under way.
+//! Measures a gateway's scheduling lag, and counts its requests in progress against the overload limits.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,16 +11,16 @@
 
 use crate::gateway::Shared;
 
-/// Time between two ticks; five of them are in a window, and each costs a small gateway some 40 µs.
+/// Interval of the timer that measures lag; a window has five ticks, and each costs a small gateway some 40 µs.
 const TICK: Duration = Duration::from_millis(40);
 
-/// Least time between two lines about the load, while it is too much.
+/// Minimum interval between log lines about the lag during an overload.
 const TELL_EVERY: Duration = Duration::from_secs(1);
 
-/// Time over which what is taken and turned away is counted.
+/// Interval at which accepted and rejected requests are counted and logged.
 const COUNT_EVERY: Duration = Duration::from_secs(1);
 
-/// Notes how late ticks come, until the task is aborted.
+/// Measures how late timer ticks fire, until the task is aborted.
 pub(crate) async fn watch_lag(shared: Arc<Shared>, readiness: Arc<Readiness>) {
     let began = Instant::now();
     let (mut was_short, mut was_full, mut was_guarded) = (false, false, false);
@@ -42,7 +42,7 @@
             was_guarded = is_guarded;
             info!(
                 Part::Gateway,
-                "Connections are refused for which there is no room, or not any more.",
+                "Overload control has started or stopped limiting connections.",
                 refused = is_guarded,
                 limit = limit,
                 lag_ms = lag.as_millis()
@@ -52,7 +52,7 @@
             was_full = is_full;
             info!(
                 Part::Gateway,
-                "New connections are asked to go elsewhere, or not any more.",
+                "This instance has started or stopped reporting itself full to the load balancer.",
                 full = is_full,
                 limit = limit,
                 lag_ms = lag.as_millis()
@@ -91,7 +91,7 @@
     }
 }
 
-/// Writes what was taken and turned away, and why.
+/// Logs how many requests were accepted and rejected, and why.
 fn tell(tally: &OverloadCounts, limit: u32, lag: Duration) {
     info!(
         Part::Gateway,
@@ -111,7 +111,7 @@
     );
 }
 
-/// Holds the place of a request under way.
+/// A request in progress, counted against the overload limits until it is dropped.
 #[derive(Debug)]
 pub(crate) struct Running {
     shared: Arc<Shared>,
@@ -119,11 +119,11 @@
 }
 
 impl Running {
-    /// Lets a request begin, unless this gateway has too much to do.
+    /// Admits a caller's request, unless this gateway is overloaded.
     ///
     /// # Errors
     ///
-    /// Returns what there was no room for.
+    /// Returns the limit that the request exceeds.
     pub(crate) fn begin(shared: &Arc<Shared>, team: Option<&str>) -> Result<Self, Overloaded> {
         let team = team.unwrap_or_default();
         shared.overload().try_begin(team)?;
@@ -135,7 +135,7 @@
 }
 
 impl Running {
-    /// Lets a request begin that another gateway hands off, if there is room for it.
+    /// Admits a request that another gateway hands off, if the limits allow it.
     pub(crate) fn take_over(shared: &Arc<Shared>, team: Option<&str>) -> Option<Self> {
         let team = team.unwrap_or_default();
         let may = shared.overload().try_take_over(team);
--- a/crates/gateway/src/meet.rs
+++ b/crates/gateway/src/meet.rs
@@ -1,6 +1,7 @@
-//! Learns of the other gateways of the data centre, and tells them of this one.
+//! Discovers the other gateways of the data centre, and announces this one to them.
 //!
-//! Each gateway asks one control instance after the other, so that any two meet at some of them without any state in the log.
+//! Each gateway registers with one control instance after the other, so that any two find each other through some of them without
+//! any state in the replicated log.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,14 +16,14 @@
 
 use crate::gateway::Shared;
 
-/// Time between two questions until every control instance was asked once, and afterwards.
+/// Interval between queries until each control instance has been queried once, and afterwards.
 const FIRST_EVERY: Duration = Duration::from_secs(1);
 const LATER_EVERY: Duration = Duration::from_secs(5);
 
-/// Longest wait for an answer; the next instance is asked then.
+/// Timeout of a query, after which the next instance is queried.
 const WAIT: Duration = Duration::from_millis(500);
 
-/// Asks control instances until the task is aborted.
+/// Queries control instances in turn until the task is aborted.
 pub(crate) async fn run(client: Client, question: MeetGateways, shared: Arc<Shared>) {
     let from = rand::random::<u32>() as usize;
     let mut asked = 0;
@@ -51,7 +52,7 @@
             }
             Err(cause) => debug!(
                 Part::Gateway,
-                "A control instance names no gateways of this data centre.",
+                "A control instance did not return the gateways of this data centre.",
                 address = address,
                 cause = cause
             ),
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counts a gateway's work.
+//! The metrics of a gateway.
 
 use hinge_routing::{LimitKind, OverloadCounts};
 use hinge_telemetry::metrics::{HistogramFamily, LATENCY_SECONDS, Registry, TeamLabels};
@@ -12,7 +12,7 @@
 type BoundLabels = [(&'static str, &'static str); 1];
 type RouteLabels = [(&'static str, Box<str>); 1];
 
-/// Holds a gateway's counters and histograms.
+/// A gateway's counters, gauges and histograms.
 #[derive(Debug)]
 pub(crate) struct Metrics {
     requests: Family<OutcomeLabels, Counter>,
@@ -102,13 +102,13 @@
         self.teams.get_or_create(&labels).inc();
     }
 
-    /// Counts a request that was refused before it had a route.
+    /// Counts a request that was refused before a job was made for it.
     pub(crate) fn refused(&self, outcome: &str) {
         let labels = [("route", "none".into()), ("outcome", outcome.into())];
         self.requests.get_or_create(&labels).inc();
     }
 
-    /// Adds what the limits of the load have counted.
+    /// Adds the counts of overload control.
     pub(crate) fn count(&self, tally: &OverloadCounts) {
         for bound in LimitKind::ALL {
             let labels = [("bound", bound.name())];
@@ -122,7 +122,7 @@
         self.shut_ms.inc_by(shut_ms);
     }
 
-    /// Notes the time to the first piece of an answer.
+    /// Records the time to the first chunk of an answer.
     pub(crate) fn first_piece(&self, job: &Job, seconds: f64) {
         let route = self.route_labels.label(&job.route.name);
         let labels = [("route", route.as_ref().into())];
--- a/crates/gateway/src/neighbours.rs
+++ b/crates/gateway/src/neighbours.rs
@@ -1,8 +1,8 @@
-//! Learns of changes from other gateways while no control instance answers, and tells them.
+//! Fetches updates from other gateways while no control instance answers, and serves them to others.
 //!
-//! The load pattern: control is cut in two, and a gateway reaches only instances without a leader, or none at all. Most other
-//! gateways reach both sides and have every newer table within a second. What they have was accepted, and nothing here steps
-//! back, so it can be taken from any of them.
+//! When a network partition splits control, a gateway may reach only instances without a leader, or none at all. Most other gateways
+//! reach both sides and have every newer table within a second. Their state was committed, and an older version is never applied,
+//! so an update can be accepted from any of them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,20 +22,20 @@
 #[cfg(test)]
 mod tests;
 
-/// Path on which a gateway tells what it has.
+/// Path on which a gateway serves its newer state.
 const NEWER_PATH: &str = "/v1/gateways/newer";
 
-/// Time without control after which other gateways are asked. An election takes about a second, in which nothing is accepted
-/// that they could tell.
+/// Time without control after which other gateways are queried. An election takes about a second, during which nothing is committed
+/// that they could know.
 const ASK_AFTER: Duration = Duration::from_secs(1);
 
-/// Time between two questions, a part of the seconds in which a change is to be in force.
+/// Minimum interval between queries, a fraction of the seconds within which a change must take effect.
 const ASK_EVERY: Duration = Duration::from_millis(300);
 
-/// Longest wait for an answer, which is a round trip and a table.
+/// Timeout of a query, which takes a round trip and the transfer of a table.
 const WAIT: Duration = Duration::from_millis(300);
 
-/// Holds which other gateways may be asked.
+/// The other gateways that can be queried for updates.
 #[derive(Debug)]
 pub(crate) struct Neighbours {
     addresses: Vec<Box<str>>,
@@ -43,7 +43,7 @@
 }
 
 impl Neighbours {
-    /// Starts without any.
+    /// Creates an empty set.
     pub(crate) fn new() -> Self {
         Self {
             addresses: Vec::new(),
@@ -51,17 +51,17 @@
         }
     }
 
-    /// Takes in the addresses that control named last.
+    /// Replaces the addresses with those that control listed last; an empty list changes nothing.
     ///
-    /// An instance that has just started, or that nobody else follows, names none. Those that were named before may be reached
-    /// all the same, and a gateway without them would learn of nothing once it loses that instance as well.
+    /// A control instance that has just started, or that no other gateway follows, lists none. The earlier addresses may still be
+    /// reachable, and without them a gateway that loses that instance as well would receive no updates.
     pub(crate) fn named(&mut self, addresses: Vec<Box<str>>) {
         if !addresses.is_empty() {
             self.addresses = addresses;
         }
     }
 
-    /// Asks the other gateways for what is newer, if control has been silent for long enough, and takes it in.
+    /// Queries the other gateways and applies their updates, if control has been unreachable for long enough.
     pub(crate) async fn learn(&mut self, client: &Client, held: &Held, question: &WatchRoutes) {
         let is_due = held.age() >= ASK_AFTER && self.asked_at.elapsed() >= ASK_EVERY;
         if !is_due {
@@ -70,7 +70,7 @@
         self.asked_at = Instant::now();
         let asked = self.addresses.iter().map(|address| async move {
             let asked = client.call(address, NEWER_PATH, question, WAIT);
-            // One that does not answer is asked again with the next question.
+            // A gateway that does not answer is queried again in the next round.
             let update: Option<RoutesUpdate> = asked.await.ok();
             (address, update)
         });
@@ -96,7 +96,7 @@
     update.table.is_some() || update.endpoints.is_some() || update.suspects.is_some()
 }
 
-/// Returns the routes on which a gateway tells whether new connections are welcome, and other gateways what it has.
+/// Returns the routes for the readiness check and for other gateways' queries.
 pub(crate) fn routes(readiness: Arc<Readiness>, key: ClusterKey, held: Arc<Held>) -> Router {
     let ready = move |_request: Request| {
         let is_ready = readiness.is_ready();
--- a/crates/gateway/src/neighbours/tests.rs
+++ b/crates/gateway/src/neighbours/tests.rs
@@ -1,4 +1,4 @@
-//! Checks which other gateways are asked.
+//! Checks which other gateways are queried for updates.
 
 use hinge_cases::cases;
 
@@ -13,10 +13,10 @@
 }
 
 cases! {
-    the_last_ones_that_were_named_are_asked => {
+    the_most_recently_listed_gateways_are_queried => {
         assert_eq!(after(&[&["a", "b"], &["c"]]), ["c".into()]);
     }
-    an_answer_that_names_nobody_leaves_the_earlier_ones => {
+    an_empty_list_keeps_the_earlier_gateways => {
         assert_eq!(after(&[&["a", "b"], &[]]), ["a".into(), "b".into()]);
     }
 }
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -1,4 +1,4 @@
-//! Keeps connections to one endpoint, or to another gateway.
+//! Connection pools for endpoints and for other gateways.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,23 +13,23 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout};
 
-/// Longest wait for a connection; endpoints are milliseconds away, and a first packet that is lost costs a second.
+/// Connect timeout. Endpoints are milliseconds away; a lost SYN would cost a second until it is sent again.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time after which data that the endpoint does not acknowledge breaks the connection.
+/// Time after which unacknowledged data closes the connection (`TCP_USER_TIMEOUT`).
 const USER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// For how long an idle connection is used again when the endpoint does not say how long it keeps it.
+/// Time for which an idle connection is reused when the endpoint states no keep-alive time.
 const KEEP_IDLE: Duration = Duration::from_secs(4);
 
-/// Part of the time that an endpoint names for which a connection is used again, in thousandths: a request that meets
-/// the close on its way may have run.
+/// Part of an endpoint's keep-alive time for which a connection is reused, in thousandths. The margin avoids sending a request
+/// while the endpoint closes the connection: such a request may have run.
 const KEEP_PERMILLE: u32 = 700;
 
-/// Idle connections to an endpoint that are kept; more than its slots are never needed at once.
+/// Idle connections kept to each endpoint; it never needs more at once than it has slots.
 pub(crate) const MAX_IDLE: usize = 64;
 
-/// Sends requests on one connection.
+/// The sending half of an HTTP/1 connection.
 pub(crate) type Sender = SendRequest<Full<Bytes>>;
 
 #[derive(Debug)]
@@ -38,7 +38,7 @@
     use_until: Instant,
 }
 
-/// Holds the idle connections to one endpoint; the one used last is used first.
+/// The idle connections to one endpoint, of which the most recently used is taken first.
 #[derive(Debug)]
 pub(crate) struct Pool {
     idle: Mutex<Vec<Idle>>,
@@ -46,7 +46,7 @@
 }
 
 impl Pool {
-    /// Creates one without connections that keeps so many.
+    /// Creates an empty pool that keeps at most `max_idle` connections.
     pub(crate) fn new(max_idle: usize) -> Self {
         Self {
             idle: Mutex::default(),
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Returns an idle connection that is still good, as far as is known.
+    /// Takes an idle connection that is still usable, as far as is known.
     pub(crate) fn take(&self) -> Option<Sender> {
         let now = Instant::now();
         let mut idle = self.lock();
@@ -63,7 +63,7 @@
         Some(idle.swap_remove(ready).sender)
     }
 
-    /// Keeps a connection whose answer has ended.
+    /// Returns a connection whose answer has ended to the pool.
     pub(crate) fn keep(&self, sender: Sender, keep_alive: Option<Duration>) {
         let keep_for = keep_alive.map_or(KEEP_IDLE, |time| time * KEEP_PERMILLE / 1000);
         let mut idle = self.lock();
@@ -96,7 +96,7 @@
     handshake(stream).await
 }
 
-/// Opens a connection that breaks when its data is not acknowledged.
+/// Opens a TCP connection that closes when its data is not acknowledged in time.
 ///
 /// # Errors
 ///
@@ -108,7 +108,7 @@
     Ok(stream)
 }
 
-/// Makes an open connection ready for requests.
+/// Makes a TCP connection ready for HTTP/1 requests.
 ///
 /// # Errors
 ///
@@ -118,7 +118,7 @@
         .await
         .map_err(io::Error::other)?;
     tokio::spawn(async move {
-        // How it ended shows at the request that used it.
+        // A connection error is reported to the request that uses the connection.
         let _ended_or_broken = connection.await;
     });
     Ok(sender)
--- a/crates/gateway/src/pump.rs
+++ b/crates/gateway/src/pump.rs
@@ -1,4 +1,4 @@
-//! Passes the pieces of an answer on as they come, and goes on elsewhere where a stream may.
+//! Streams the chunks of an answer to the caller, and resumes a broken stream at another endpoint if the route allows it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,11 +16,11 @@
 use crate::job::Job;
 use crate::story::Story;
 
-/// How long after the caller's time a stream is cut. The endpoint ends by itself at the time that it was told; this is for
-/// one that doesn't.
+/// Grace period after the deadline until a stream is cut off. An endpoint knows the deadline and ends by itself; this catches one
+/// that doesn't.
 const OVERTIME: Duration = Duration::from_millis(100);
 
-/// Says how a stream ended.
+/// How a stream ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Ended {
     Complete,
@@ -40,7 +40,7 @@
     }
 }
 
-/// Passes an answer on until its end, and writes its story.
+/// Streams an answer until its end, and logs the request.
 pub(crate) async fn run(
     job: Arc<Job>,
     mut story: Story,
@@ -70,7 +70,7 @@
         };
         splitter.drop_rest();
         story.note_cause("the endpoint broke the answer off");
-        // Every event that the caller has may stand for work that is done; without a number nothing can go on after it.
+        // Each event that the caller has may represent finished work, so a stream can only be resumed after a known event id.
         let resumed = job.resume(&mut story, splitter.last_id());
         let Some(next) = resumed.await else {
             break ended;
@@ -78,7 +78,7 @@
         answer = next;
     };
     if let Some(held) = batch.take() {
-        // A caller that has left shows with the end.
+        // A disconnected caller is noticed when the end is sent.
         let _sent_or_left = pieces.send(held).await;
     }
     let _told_or_left = match ended {
@@ -103,7 +103,7 @@
         connection,
         mut in_use,
     } = *answer;
-    // An answer that ends with its connection may as well end with its endpoint.
+    // If only the close of the connection marks the end, a crash of the endpoint looks the same.
     let proves_completion =
         response.status().is_success() && headers::has_own_end(response.headers());
     let mut body = response.into_body();
@@ -156,7 +156,7 @@
             return Ended::CallerLeft;
         }
     }
-    // An end in the middle of an event is none.
+    // A stream that ends in the middle of an event was truncated.
     if splitter.is_some_and(|splitter| splitter.is_inside()) {
         in_use.broke(&job.outgoing);
         return Ended::Broken;
@@ -174,7 +174,7 @@
     End,
     Broken,
     TimedOut,
-    /// What is held back is to be sent.
+    /// The held bytes of the batch are due.
     Due,
 }
 
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Writes the answers that a gateway gives by itself.
+//! The error answers that a gateway gives by itself.
 
 use std::time::Duration;
 
@@ -9,19 +9,19 @@
 
 use crate::body::AnswerBody;
 
-/// When a caller may come back for which neither this gateway nor others of its data centre have room: the limits follow the load
-/// from one window to the next, and some places have ended by then.
+/// Retry delay for a request that neither this gateway nor others of its data centre have room for: the limits adapt from one
+/// window to the next, and some requests in progress have ended by then.
 const NO_ROOM_RETRY: Duration = Duration::from_millis(200);
 
-/// When a caller may come back whose request is held: it stays so until an operator releases it.
+/// Retry delay for a held request, which stays held until an operator releases it.
 const HELD_RETRY: Duration = Duration::from_hours(1);
 
-/// Says why a gateway answers by itself.
+/// The reason why a gateway answers a request by itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Refusal {
-    /// No route has the request's host and path.
+    /// No route matches the request's host and path.
     NoRoute,
-    /// The request has no key, or one that no team holds.
+    /// The request has no key, or one that belongs to no team.
     NoTeam,
     /// The gateway has no route table yet.
     NoTable,
@@ -31,16 +31,16 @@
     BadBody,
     /// No endpoint could take it; it did not run.
     NotRun {
-        /// When room is expected.
+        /// Delay after which capacity is expected.
         retry_after: Duration,
     },
-    /// Endpoints ended under it one after the other, so that it is sent to none any more; this attempt did not run.
+    /// Several endpoints ended while they ran it, so it is no longer sent to any; this attempt did not run.
     Held,
-    /// This gateway has too much to do, and no other one takes it; it did not run.
+    /// This gateway is overloaded, and no other one accepts it; it did not run.
     Overloaded(Overloaded),
     /// An endpoint may have run it, and its answer is lost.
     Unknown,
-    /// The time ran out while an endpoint worked on it.
+    /// The deadline passed while an endpoint worked on it.
     TimedOut,
 }
 
--- a/crates/gateway/src/said.rs
+++ b/crates/gateway/src/said.rs
@@ -1,6 +1,7 @@
-//! Holds what endpoints say of themselves in their answers.
+//! Notices that endpoints send in their answers: that they want a pause, or are shutting down.
 //!
-//! It holds for one start of an endpoint, as long as that lasts: the list may drop and name it again, or call it ready.
+//! A notice is valid for one incarnation of an endpoint for as long as that lives, even if the endpoint list drops the endpoint,
+//! lists it again or calls it ready.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -14,10 +15,10 @@
 #[cfg(test)]
 mod tests;
 
-/// Starts of endpoints that are not listed and whose word is kept.
+/// Maximum number of unlisted incarnations whose notices are kept.
 const MOST_UNLISTED: usize = 1_024;
 
-/// Holds what one start of an endpoint has said to this instance.
+/// The notices that one incarnation of an endpoint has sent to this instance.
 #[derive(Debug, Default)]
 pub(crate) struct Said {
     rests_until: Mutex<Option<Instant>>,
@@ -25,7 +26,7 @@
 }
 
 impl Said {
-    /// Notes that it wants no request for some time, and returns whether that is longer than it said before.
+    /// Records that it wants no requests for some time, and returns whether that lasts longer than it asked for before.
     pub(crate) fn asks_for_rest(&self, rest: Duration) -> bool {
         let until = Instant::now() + rest;
         let mut rests_until = self.lock();
@@ -36,24 +37,24 @@
         is_longer
     }
 
-    /// Returns for how much longer it wants no request.
+    /// Returns for how much longer it wants no requests.
     pub(crate) fn rest_left(&self) -> Option<Duration> {
         let until = (*self.lock())?;
         let left = until.saturating_duration_since(Instant::now());
         (!left.is_zero()).then_some(left)
     }
 
-    /// Notes that it leaves, and returns whether it had not said so before.
+    /// Records that it is shutting down, and returns whether this is new.
     pub(crate) fn leaves(&self) -> bool {
         !self.is_leaving.swap(true, Ordering::AcqRel)
     }
 
-    /// Returns whether it has said that it leaves.
+    /// Returns whether it has announced that it is shutting down.
     pub(crate) fn is_leaving(&self) -> bool {
         self.is_leaving.load(Ordering::Acquire)
     }
 
-    /// Returns whether something is said that still holds.
+    /// Returns whether any notice is still valid.
     fn holds(&self) -> bool {
         self.is_leaving() || self.rest_left().is_some()
     }
@@ -65,7 +66,7 @@
     }
 }
 
-/// Names one start of an endpoint.
+/// The identity of one incarnation of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Start {
     id: Box<str>,
@@ -83,20 +84,20 @@
     }
 }
 
-/// Holds the words of the starts that are listed, and of those that may be listed again.
+/// The notices of the listed incarnations, and of those that may be listed again.
 #[derive(Debug, Default)]
 pub(crate) struct Words {
     of: Mutex<HashMap<Start, Arc<Said>>>,
 }
 
 impl Words {
-    /// Returns what a start has said, also before it was listed this time.
+    /// Returns the notices of an incarnation, including those from before it was last listed.
     pub(crate) fn of(&self, described: &Described) -> Arc<Said> {
         let mut words = self.lock();
         Arc::clone(words.entry(Start::of(described)).or_default())
     }
 
-    /// Forgets the starts that are not listed, but for some whose word still holds.
+    /// Forgets the incarnations that are not listed, except for a bounded number with valid notices.
     pub(crate) fn keep(&self, listed: &[Described]) {
         let listed: HashSet<Start> = listed.iter().map(Start::of).collect();
         let mut unlisted = 0;
--- a/crates/gateway/src/said/tests.rs
+++ b/crates/gateway/src/said/tests.rs
@@ -1,4 +1,4 @@
-//! Checks for how long the word of an endpoint holds, and for which start of it.
+//! Checks for how long an endpoint's notices are valid, and for which incarnation.
 
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
 }
 
 async_cases! {
-    a_rest_lasts_as_long_as_the_longest_that_was_asked_for => {
+    the_longest_requested_pause_counts => {
         let said = Words::default().of(&described("a", None));
         assert_eq!(said.rest_left(), None);
         assert!(said.asks_for_rest(seconds(3)));
@@ -38,7 +38,7 @@
         advance(seconds(1)).await;
         assert_eq!(said.rest_left(), None);
     }
-    a_rest_outlasts_a_list_without_the_endpoint => {
+    a_pause_outlasts_a_list_without_the_endpoint => {
         let words = Words::default();
         words.of(&described("a", None)).asks_for_rest(seconds(10));
         words.keep(&[]);
@@ -47,22 +47,22 @@
         words.keep(&[]);
         assert!(words.lock().is_empty());
     }
-    an_endpoint_that_leaves_does_so_until_it_starts_again => {
+    an_endpoint_that_announces_its_shutdown_is_leaving_until_it_restarts => {
         let words = Words::default();
         assert!(words.of(&described("a", Some(1))).leaves());
-        assert!(!words.of(&described("a", Some(1))).leaves(), "it said so before");
+        assert!(!words.of(&described("a", Some(1))).leaves(), "it has announced this before");
         advance(seconds(100_000)).await;
         words.keep(&[]);
         assert!(words.of(&described("a", Some(1))).is_leaving());
         assert!(!words.of(&described("a", Some(2))).is_leaving());
     }
-    another_start_of_an_endpoint_has_asked_for_nothing => {
+    another_incarnation_has_no_notices => {
         let words = Words::default();
         words.of(&described("a", Some(1))).asks_for_rest(seconds(10));
         assert_eq!(words.of(&described("a", Some(2))).rest_left(), None);
         assert_eq!(words.of(&described("b", Some(1))).rest_left(), None);
     }
-    words_of_starts_that_are_not_listed_are_bounded => {
+    notices_of_unlisted_incarnations_are_bounded => {
         let words = Words::default();
         for number in 0..2 * MOST_UNLISTED {
             words.of(&described(&number.to_string(), None)).asks_for_rest(seconds(10));
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -30,22 +30,24 @@
 use crate::story::{Story, tokens_of};
 use crate::takeover::HELD_AGE;
 
-/// Time between two pieces of a stream that goes to another gateway: a part of the pause that callers bear.
+/// Interval between two chunks of a stream to another gateway, a fraction of the pause that callers tolerate.
 const BATCH_EVERY: Duration = Duration::from_millis(60);
 
-/// Type of an answer of events.
+/// Content type of server-sent events.
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// Says who brings a request.
+/// Where a request comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Origin {
     Caller,
-    /// Another gateway of the data centre, which has no room for it.
+    /// Another gateway of the data centre, which is overloaded.
     Gateway,
 }
 
 impl Origin {
-    /// Returns how often pieces of a stream are passed on. Another gateway that has little processor time left passes on fewer larger ones.
+    /// Returns the minimum interval between chunks of a stream.
+    ///
+    /// Fewer, larger chunks save CPU time of an overloaded gateway that passes them on.
     pub(crate) fn batch_every(self) -> Duration {
         match self {
             Self::Caller => Duration::ZERO,
@@ -131,7 +133,9 @@
     answer(job).await
 }
 
-/// Takes a place for a request to a model engine; a plain one needs none, but must not be late.
+/// Admits a caller's request.
+///
+/// Only requests to model engines count against the limits; a plain one is only rejected when the gateway lags behind.
 fn take_place(
     gateway: &Arc<Shared>,
     has_engine: bool,
@@ -143,7 +147,7 @@
     gateway.overload().check_plain().map(|()| None)
 }
 
-/// Takes a place for a request that another gateway hands off.
+/// Admits a request that another gateway hands off.
 fn take_over(
     gateway: &Arc<Shared>,
     has_engine: bool,
@@ -157,10 +161,10 @@
     checked.map_or(Err(Decline::NoRoom), |()| Ok(None))
 }
 
-/// Returns why this gateway can't take requests of others, and takes the headers off that are between gateways.
+/// Returns why this gateway can't accept a handed-off request, if it can't, and removes the headers used between gateways.
 ///
-/// A caller must not be served by an older table than that of the gateway which it came to, nor by a newer one and by the older one
-/// again right after.
+/// Both gateways must have the same route table: a caller must not be served by an older table than that of the gateway it connected
+/// to, nor by a newer one and then by the older one again.
 fn declines(gateway: &Shared, fleet: &Fleet, headers: &mut HeaderMap) -> Option<Decline> {
     let table = headers.remove(TABLE);
     let table = table.and_then(|table| table.to_str().ok()?.parse::<u64>().ok());
@@ -184,18 +188,18 @@
     }
 }
 
-/// Holds what the route table says of a request.
+/// The result of looking a request up in the route table.
 struct Found {
     route: Route,
     service: Box<str>,
     team: Option<Box<str>>,
-    /// Rank of the team, or else of the route.
+    /// Priority of the team, or else of the route.
     rank: u32,
-    /// Engines of the service, if it has any.
+    /// Model engines of the service, if it has any.
     engine: Option<Engine>,
 }
 
-/// Finds the route, the service and the team of a request.
+/// Looks up the route, the service and the team of a request.
 fn find(fleet: &Fleet, parts: &Parts, facts: &RequestFacts) -> Result<Found, Refusal> {
     let lookup = fleet.lookup.as_ref().ok_or(Refusal::NoTable)?;
     let host = host_of(parts).ok_or(Refusal::NoRoute)?;
@@ -251,7 +255,7 @@
 ) -> Outgoing {
     let mut headers = parts.headers;
     strip_connection(&mut headers);
-    // The body is sent with its own length, however it came.
+    // The body was buffered and is sent with its exact length, however it was framed on arrival.
     headers.remove(http::header::CONTENT_LENGTH);
     headers.remove(http::header::EXPECT);
     Outgoing {
@@ -299,7 +303,7 @@
     refusal.response()
 }
 
-/// Refuses a request for which this gateway has no room.
+/// Refuses a request because this gateway is overloaded.
 fn refuse_overloaded(
     gateway: &Shared,
     team: Option<&str>,
@@ -334,7 +338,7 @@
     response
 }
 
-/// Refuses a request that is held, before it takes anything of its team's share.
+/// Refuses a held request before it uses any of its team's share.
 fn refuse_held(gateway: &Shared, route: &Route, outgoing: &Outgoing) -> Response<AnswerBody> {
     let refusal = Refusal::Held;
     gateway.metrics.refused(refusal.name());
--- a/crates/gateway/src/story.rs
+++ b/crates/gateway/src/story.rs
@@ -1,4 +1,4 @@
-//! Holds what has happened to a request, and writes the line of its end.
+//! The history of a request, which is logged when the request ends.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,29 +13,29 @@
 use crate::job::Job;
 use crate::refusal::Refusal;
 
-/// Holds what has happened to a request so far.
+/// What has happened to a request so far.
 #[derive(Debug, Default)]
 pub(crate) struct Story {
-    /// Endpoints that were sent the request; one that starts again under its id is another one.
+    /// Endpoints that were sent the request; a restarted endpoint counts as another one.
     pub(crate) tried: SmallVec<[Arc<Endpoint>; 2]>,
-    /// Endpoints whose admission has refused.
+    /// Endpoints whose admission refused the request.
     pub(crate) refused: SmallVec<[Arc<Endpoint>; 2]>,
-    /// Endpoints whose admission said that its engine is gone.
+    /// Endpoints whose admission reported that the engine is gone.
     pub(crate) gone: SmallVec<[Arc<Endpoint>; 2]>,
-    /// When the first admission that refused expects room.
+    /// Retry delay given by the last admission that refused, or by the endpoints' requested pauses.
     pub(crate) retry_after: Option<Duration>,
-    /// Engine from which the last one that was sent the request copies the shared parts.
+    /// Engine from which the last endpoint fetches the cached prompt prefix.
     pub(crate) fetched_from: Option<SocketAddr>,
     pub(crate) waited_ms: u64,
     pub(crate) ahead_tokens: u32,
     /// Attempts that reached an endpoint.
     pub(crate) attempts: u32,
-    /// Attempts of which no byte was sent, though a place was granted or none was needed.
+    /// Attempts of which no byte was sent, although a slot was granted or none was needed.
     pub(crate) not_sent: u32,
     pub(crate) running: u32,
     pub(crate) load_age_ms: u128,
     pub(crate) candidates: usize,
-    /// Whether an endpoint may have run the request, so that nobody may say that it did not.
+    /// Whether an endpoint may have run the request; then a refusal must not claim that it did not run.
     pub(crate) may_have_run: bool,
     pub(crate) first_piece: Option<Duration>,
     pub(crate) status: u16,
@@ -43,7 +43,7 @@
 }
 
 impl Story {
-    /// Notes a piece that is passed on.
+    /// Records a chunk that is passed on.
     pub(crate) fn note_piece(&mut self, job: &Job) {
         if self.first_piece.is_none() {
             let time = job.arrived.elapsed();
@@ -52,12 +52,12 @@
         }
     }
 
-    /// Notes why an answer did not come to its end.
+    /// Records why an answer is incomplete.
     pub(crate) fn note_cause(&mut self, cause: &'static str) {
         self.cause = cause;
     }
 
-    /// Notes that all endpoints rest, and for how long at least.
+    /// Records that all endpoints have asked for a pause, with the shortest time left.
     pub(crate) fn note_rest(&mut self, shortest: Option<Duration>) {
         if let Some(rest) = shortest {
             self.cause = "all endpoints rest";
@@ -65,13 +65,13 @@
         }
     }
 
-    /// Notes that an endpoint ran the request, and that its answer is not passed on.
+    /// Records that an endpoint may have run the request although its answer is not passed on.
     pub(crate) fn note_run(&mut self, cause: &'static str) {
         self.may_have_run = true;
         self.cause = cause;
     }
 
-    /// Returns the refusal of a request for which no endpoint is left.
+    /// Returns the refusal of a request for which no endpoint is available.
     pub(crate) fn refusal(&self, retry_after: Duration) -> Refusal {
         if self.may_have_run {
             Refusal::Unknown
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Returns the refusal of a request that is sent to no endpoint any more.
+    /// Returns the refusal of a held request.
     pub(crate) fn held(&mut self, job: &Job) -> Refusal {
         job.gateway.held.suspects.note_turned_away();
         self.cause = "the request is held";
@@ -91,10 +91,10 @@
         }
     }
 
-    /// Writes the line of the request's end.
+    /// Logs the request at its end.
     pub(crate) fn tell(&self, job: &Job, outcome: &str) {
         let (prompt_tokens, answer_tokens) = tokens_of(job.prompt.as_ref());
-        // Lines of failures are the last ones that are dropped when nobody takes them.
+        // When the log falls behind, lines of failures are dropped last.
         let level = match outcome {
             "unknown" | "broken_off" | "timed_out" => Level::Warn,
             _ => Level::Info,
@@ -133,14 +133,14 @@
     }
 }
 
-/// Returns the tokens of a request's prompt, and the most of its answer; none of a plain one.
+/// Returns the tokens of the prompt and the maximum of the answer; zeros for a plain request.
 pub(crate) fn tokens_of(prompt: Option<&Prompt>) -> (u32, u32) {
     prompt.map_or((0, 0), |prompt| {
         (prompt.prompt_tokens, prompt.max_answer_tokens)
     })
 }
 
-/// Returns the ids of some endpoints, for a log line.
+/// Returns the ids of endpoints, joined by commas.
 fn ids_of(endpoints: &[Arc<Endpoint>]) -> String {
     let ids: SmallVec<[&str; 2]> = endpoints
         .iter()
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -1,6 +1,6 @@
-//! Follows which requests endpoints end under, and turns those away that end one after the other.
+//! Tracks requests during which endpoints end, and rejects a request under which several endpoints have ended.
 //!
-//! Control keeps the list. What this gateway sees is told to control, and counts here at once.
+//! Control keeps the list. What this gateway observes is reported to control, and takes effect here at once.
 
 use std::fmt;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -18,22 +18,22 @@
 use crate::endpoint::Endpoint;
 use crate::tell::Untold;
 
-/// Names a request whose answer broke off.
+/// A request whose answer broke off.
 #[derive(Debug, Clone)]
 pub(crate) struct BrokenRequest {
     pub(crate) key: RequestKey,
-    /// Number of the caller's attempt.
+    /// Id of the caller's attempt.
     pub(crate) request_id: Box<str>,
 }
 
-/// Says how the end of an endpoint shows; a broken connection alone doesn't prove it.
+/// The evidence that an endpoint has ended; a broken connection alone proves nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Evidence {
-    /// The admission beside it says that nothing listens at its address.
+    /// The admission beside it reports that nothing listens at its address.
     AdmissionSays,
     /// A new connection is refused.
     ConnectionRefused,
-    /// Another endpoint, or another start of it, is at its address.
+    /// Another endpoint, or another incarnation of it, listens at its address.
     Replaced,
     /// Its end was known when the answer broke off.
     KnownBefore,
@@ -50,13 +50,13 @@
     }
 }
 
-/// Holds the requests that endpoints have ended under.
+/// The requests during which endpoints have ended.
 #[derive(Debug)]
 pub(crate) struct Suspects {
     known: Mutex<Known>,
-    /// Whether any request is suspected, so that an ordinary day pays for no key.
+    /// Whether any request is suspected; if none is, no request key has to be computed.
     are_some: AtomicBool,
-    /// What control is told of it.
+    /// Observations that control has not acknowledged yet.
     pub(crate) untold: Untold,
     ends: Counter,
     turned_away: Counter,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Notes that an endpoint ended while it worked on a request.
+    /// Records that an endpoint ended while it worked on a request.
     pub(crate) fn ended_under(
         &self,
         request: &BrokenRequest,
@@ -110,7 +110,7 @@
         );
     }
 
-    /// Notes that an endpoint has answered a request to its end.
+    /// Records that an endpoint has completed a request.
     pub(crate) fn completed(&self, outgoing: &Outgoing) {
         if !self.are_some.load(Ordering::Acquire) {
             return;
@@ -123,27 +123,27 @@
         self.untold.add_completed(request);
     }
 
-    /// Returns whether a request is to be turned away.
+    /// Returns whether a request is held, so that it must be rejected.
     pub(crate) fn is_held(&self, outgoing: &Outgoing) -> bool {
         self.are_some.load(Ordering::Acquire) && self.lock().is_held(&outgoing.key())
     }
 
-    /// Counts a request that is turned away.
+    /// Counts a request that is rejected because it is held.
     pub(crate) fn note_turned_away(&self) {
         self.turned_away.inc();
     }
 
-    /// Returns the version of control's list that is known.
+    /// Returns the version of control's list that was applied last.
     pub(crate) fn version(&self) -> u64 {
         self.lock().version()
     }
 
-    /// Returns what is known and newer than a version.
+    /// Returns the changes since a version, if there are any.
     pub(crate) fn newer_than(&self, version: u64) -> Option<SuspectList> {
         self.lock().changes_since(version)
     }
 
-    /// Takes in what control, or another gateway, tells.
+    /// Applies a list from control or from another gateway.
     pub(crate) fn take_in(&self, list: &SuspectList) {
         self.change(|known| known.apply(list));
     }
--- a/crates/gateway/src/takeover.rs
+++ b/crates/gateway/src/takeover.rs
@@ -1,4 +1,4 @@
-//! Takes requests that other gateways of the data centre hand off.
+//! Accepts requests that other gateways of the data centre hand off.
 
 use std::convert::Infallible;
 use std::io;
@@ -22,13 +22,13 @@
 use crate::gateway::{ACCEPT_RETRY, MAX_HEADER_BYTES, Shared};
 use crate::serve::{Origin, serve};
 
-/// Longest wait for the proof of the key on a new connection.
+/// Time within which a new connection must present the cluster key.
 const PROOF_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time after which an idle connection is closed: longer than other gateways use one again.
+/// Idle timeout of a connection, longer than the time for which other gateways reuse one.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Age from which on what this gateway holds is too old to serve others by: control is asked several times in it.
+/// Time without confirmation from control beyond which this gateway's state is too old to serve others; it spans several polls.
 pub(crate) const HELD_AGE: Duration = Duration::from_millis(1_500);
 
 /// Binds the first free port of a range.
@@ -47,7 +47,7 @@
     Err(last)
 }
 
-/// Takes requests until the gateway stops; then ends with the answers that are under way.
+/// Accepts connections until the gateway stops, then waits for the answers in progress.
 pub(crate) async fn run(
     listener: TcpListener,
     key: ClusterKey,
@@ -77,7 +77,7 @@
     shared: Arc<Shared>,
     watcher: Watcher,
 ) {
-    // Without it pieces are only held back a little, so a failure to set it is no reason to refuse the gateway.
+    // Without TCP_NODELAY chunks are only delayed a little, so a failure to set it is no reason to refuse the gateway.
     let _is_set = stream.set_nodelay(true);
     let proof = timeout(PROOF_TIMEOUT, is_proved(&mut stream, &key));
     if !matches!(proof.await, Ok(Ok(true))) {
@@ -92,11 +92,11 @@
         .header_read_timeout(IDLE_TIMEOUT)
         .max_buf_size(MAX_HEADER_BYTES)
         .serve_connection(TokioIo::new(stream), service);
-    // A gateway that leaves is noted where its request is served.
+    // A gateway that disconnects is recorded where its request is served.
     let _ended_or_broken = watcher.watch(connection).await;
 }
 
-/// Reads the first line of a connection, and returns whether it proves the key.
+/// Reads the first line of a connection, and returns whether it matches the cluster key.
 async fn is_proved(stream: &mut TcpStream, key: &ClusterKey) -> io::Result<bool> {
     let mut line = vec![0; key.header_value().len() + 1];
     stream.read_exact(&mut line).await?;
--- a/crates/gateway/src/teams.rs
+++ b/crates/gateway/src/teams.rs
@@ -1,4 +1,4 @@
-//! Adds up what the admissions of a service tell of its teams.
+//! Sums the team usage reported by the admissions of a service.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,10 +9,10 @@
 
 use crate::endpoint::Endpoint;
 
-/// Time for which the sums are used; admissions tell the use of the teams about once a second.
+/// Time for which the sums are cached; admissions report the usage of teams about once a second.
 const KEEP: Duration = Duration::from_millis(200);
 
-/// Holds what each team has used lately at all endpoints of a service, in tokens.
+/// The recent usage of each team at all endpoints of a service, in tokens.
 #[derive(Debug)]
 pub(crate) struct Teams {
     used: HashMap<Box<str>, u64>,
@@ -21,7 +21,7 @@
 }
 
 impl Teams {
-    /// Adds up what the endpoints' admissions have told.
+    /// Sums the usage reported by the endpoints' admissions.
     pub(crate) fn gather(endpoints: &[Arc<Endpoint>]) -> Self {
         let mut used: HashMap<Box<str>, u64> = HashMap::new();
         for endpoint in endpoints {
@@ -37,17 +37,17 @@
         }
     }
 
-    /// Returns whether the sums are new enough.
+    /// Returns whether the sums are recent enough to be used.
     pub(crate) fn is_fresh(&self) -> bool {
         self.gathered_at.elapsed() < KEEP
     }
 
-    /// Returns what a team has used.
+    /// Returns a team's usage.
     pub(crate) fn used_by(&self, team: &str) -> u64 {
         self.used.get(team).copied().unwrap_or_default()
     }
 
-    /// Returns how far a team's use lags behind that of the team with the most.
+    /// Returns how far a team's usage lags behind that of the team with the most.
     pub(crate) fn lag_of(&self, team: &str) -> UsageLag {
         UsageLag::compare(self.used_by(team), self.most)
     }
--- a/crates/gateway/src/tell.rs
+++ b/crates/gateway/src/tell.rs
@@ -1,4 +1,4 @@
-//! Tells control what this gateway sees of suspected requests.
+//! Reports what this gateway observes of suspected requests to control.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -14,16 +14,16 @@
 
 use crate::fleet::Held;
 
-/// Wait for what else breaks off with one end, so that it is told in one call.
+/// Delay that lets all requests broken off by one end be reported in one call.
 const GATHER: Duration = Duration::from_millis(50);
 
-/// Longest wait for control to take ends in.
+/// Timeout of a report to control.
 const TELL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Wait before control is told again that could not take them in; an election takes a second or two.
+/// Delay before a failed report is sent again; an election takes a second or two.
 const TELL_RETRY: Duration = Duration::from_millis(100);
 
-/// Ends and completions that wait to be told; the oldest give way.
+/// Maximum number of pending ends, and of pending completions; beyond it the oldest are dropped.
 const MOST_UNTOLD: usize = 4_096;
 
 #[derive(Debug, Default)]
@@ -32,7 +32,7 @@
     completed: Vec<RequestKey>,
 }
 
-/// Holds what control has not taken in yet.
+/// Observations that control has not acknowledged yet.
 #[derive(Debug, Default)]
 pub(crate) struct Untold {
     news: Mutex<News>,
@@ -40,7 +40,7 @@
 }
 
 impl Untold {
-    /// Adds an end under a request.
+    /// Adds an end of an endpoint during a request.
     pub(crate) fn add_end(&self, end: (RequestKey, IncarnationHash)) {
         self.add(|news| news.ends.push(end));
     }
@@ -61,7 +61,7 @@
         std::mem::take(&mut *self.lock())
     }
 
-    /// Puts back what control could not take in, before what has come since.
+    /// Puts a failed report back, before the observations that have been added since.
     fn put_back(&self, earlier: News) {
         let mut news = self.lock();
         let mut later = std::mem::replace(&mut *news, earlier);
@@ -100,7 +100,7 @@
     }
 }
 
-/// Tells control of ends and completions as they come, until the task is aborted.
+/// Reports ends and completions to control as they occur, until the task is aborted.
 pub(crate) async fn run(client: Client, instance: Box<str>, held: Arc<Held>) {
     let untold = &held.suspects.untold;
     loop {
@@ -121,9 +121,9 @@
     }
 }
 
-/// Tells the first control instance that answers, or returns why the last one did not.
+/// Reports to the first control instance that answers, or returns the last failure.
 async fn tell_any(client: &Client, held: &Held, message: &NoteSuspects) -> Result<(), String> {
-    let mut last = "no instance is known".to_owned();
+    let mut last = "no control instance is known".to_owned();
     for address in held.control.load().iter() {
         let told = client.call(address, NOTE_SUSPECTS_PATH, message, TELL_TIMEOUT);
         let told: Result<SuspectsNoted, _> = told.await;
--- a/crates/gateway/tests/events.rs
+++ b/crates/gateway/tests/events.rs
@@ -1,4 +1,4 @@
-//! Checks that streams are cut into whole events, however their bytes arrive.
+//! Checks that streams are split into whole events, however their bytes arrive.
 
 use bytes::Bytes;
 use hinge_cases::cases;
@@ -12,7 +12,7 @@
     all.concat()
 }
 
-/// Feeds a text in pieces of the given sizes, and returns what came out.
+/// Feeds a text in chunks of the given sizes, and returns the output of each push.
 fn feed(splitter: &mut EventSplitter, text: &str, sizes: &[usize]) -> Vec<Bytes> {
     let mut rest = text.as_bytes();
     let mut sizes = sizes.iter().copied().cycle();
@@ -31,14 +31,14 @@
 }
 
 cases! {
-    a_whole_event_passes_as_it_is => {
+    a_whole_event_is_returned_unchanged => {
         let mut splitter = EventSplitter::default();
         let event = Bytes::from(events(1));
         assert_eq!(splitter.push(&event).expect("it is short"), event);
         assert_eq!(splitter.last_id(), Some(1));
         assert!(!splitter.is_inside());
     }
-    an_event_that_has_not_ended_is_held_back => {
+    an_unfinished_event_is_held_back => {
         let mut splitter = EventSplitter::after(Some(4));
         let out = splitter.push(&Bytes::from("id: 5\ndata: a\n\nid: 6\nda")).expect("it is short");
         assert_eq!(out, Bytes::from_static(b"id: 5\ndata: a\n\n"));
@@ -47,7 +47,7 @@
         splitter.drop_rest();
         assert!(!splitter.is_inside());
     }
-    an_event_without_an_end_is_given_up => {
+    an_event_that_exceeds_the_limit_is_an_error => {
         let mut splitter = EventSplitter::default();
         let piece = Bytes::from(vec![b'a'; 600 << 10]);
         splitter.push(&piece).expect("it may still end");
@@ -56,7 +56,7 @@
 }
 
 quickcheck! {
-    fn pieces_of_any_size_give_the_same_bytes_and_only_whole_events(count: u8, sizes: Vec<u8>) -> bool {
+    fn chunks_of_any_size_give_the_same_bytes_in_whole_events(count: u8, sizes: Vec<u8>) -> bool {
         let text = events(u64::from(count % 20));
         let sizes: Vec<usize> = sizes.into_iter().map(usize::from).collect();
         let mut splitter = EventSplitter::default();
