--- a/crates/gateway/src/admit.rs
+++ b/crates/gateway/src/admission.rs
@@ -14,28 +14,28 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep, timeout};
 
+use crate::admission_stream::{AdmissionStream, SentAsk};
 use crate::endpoint::Endpoint;
-use crate::line::{Asked, Line};
 
 /// Longest wait for the admission's first reply to an ask (a verdict, or that it is queued). The admission is milliseconds
 /// away, and a request must not wait for a dead one.
-const FIRST_WORD_TIMEOUT: Duration = Duration::from_millis(150);
+const FIRST_REPLY_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Time beyond the ask's budget after which an admission without a verdict counts as unresponsive.
 const VERDICT_MARGIN: Duration = Duration::from_millis(50);
 
 /// Time for which an unresponsive admission is bypassed: requests go to its engine without a grant.
-const SKIP: Duration = Duration::from_secs(1);
+const BYPASS: Duration = Duration::from_secs(1);
 
 /// Longest gap between load reports; they come at least twice a second.
 const LOAD_TIMEOUT: Duration = Duration::from_millis(1200);
 
 /// Delay before load reports are requested again.
-const LOAD_RETRY: Duration = Duration::from_millis(500);
+const LOAD_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// How to reach the admissions.
 #[derive(Debug, Clone)]
-pub(crate) struct Ways {
+pub(crate) struct AdmissionAccess {
     /// Port of the admissions, at the addresses of their engines.
     pub(crate) port: u16,
     pub(crate) client: Client,
@@ -45,19 +45,19 @@
 
 /// A client of the admission beside one endpoint.
 #[derive(Debug)]
-pub(crate) struct Admitter {
+pub(crate) struct AdmissionClient {
     address: Box<str>,
-    ways: Ways,
-    line: AsyncMutex<Option<Arc<Line>>>,
-    skipped_until: Mutex<Option<Instant>>,
+    access: AdmissionAccess,
+    stream: AsyncMutex<Option<Arc<AdmissionStream>>>,
+    bypassed_until: Mutex<Option<Instant>>,
     feed: OnceLock<JoinHandle<()>>,
 }
 
 /// The outcome of an ask.
 #[derive(Debug)]
-pub(crate) enum Admitted {
+pub(crate) enum AskOutcome {
     /// The request may be sent; dropping the grant frees the slot.
-    Granted(Place),
+    Granted(Grant),
     /// The admission was not asked or did not reply; the request may be sent all the same.
     Unasked,
     /// The request can't start within its budget.
@@ -68,25 +68,25 @@
 
 /// A granted slot, which dropping it frees.
 #[derive(Debug)]
-pub(crate) struct Place {
+pub(crate) struct Grant {
     /// Dropping it releases the slot.
-    asked: Asked,
-    /// Whether the admission has said that the engine does not run the request any more.
+    sent_ask: SentAsk,
+    /// Whether the admission has reported that the engine no longer runs the request.
     is_lost: bool,
     lost_grace: Duration,
     pub(crate) waited_ms: u64,
     pub(crate) ahead_tokens: u32,
 }
 
-impl Place {
+impl Grant {
     /// Waits until the admission reports that the engine no longer runs the request, then for a grace period.
     ///
     /// The end of the answer may already be in the socket buffer: a gateway short of CPU time reads it late, and an answer that
     /// is ready is passed on. The wait is split in two so that the runtime polls the socket after the first one, however late
     /// that one ends.
-    pub(crate) async fn lost(&mut self) {
+    pub(crate) async fn wait_until_lost(&mut self) {
         if !self.is_lost {
-            self.asked.lost().await;
+            self.sent_ask.wait_until_lost().await;
             self.is_lost = true;
         }
         sleep(self.lost_grace).await;
@@ -94,87 +94,89 @@
     }
 
     /// Tells the admission that the prompt has been prefilled.
-    pub(crate) fn began(&self) {
-        self.asked.began();
+    pub(crate) fn report_prefilled(&self) {
+        self.sent_ask.report_prefilled();
     }
 }
 
-impl Admitter {
-    pub(crate) fn new(endpoint: SocketAddr, ways: Ways) -> Self {
+impl AdmissionClient {
+    pub(crate) fn new(endpoint: SocketAddr, access: AdmissionAccess) -> Self {
         Self {
-            address: SocketAddr::new(endpoint.ip(), ways.port).to_string().into(),
-            ways,
-            line: AsyncMutex::default(),
-            skipped_until: Mutex::default(),
+            address: SocketAddr::new(endpoint.ip(), access.port)
+                .to_string()
+                .into(),
+            access,
+            stream: AsyncMutex::default(),
+            bypassed_until: Mutex::default(),
             feed: OnceLock::new(),
         }
     }
 
     /// Requests a slot at the endpoint, and waits for the verdict.
-    pub(crate) async fn ask(&self, endpoint: &Endpoint, ask: AdmitAsk) -> Admitted {
+    pub(crate) async fn ask(&self, endpoint: &Endpoint, ask: AdmitAsk) -> AskOutcome {
         let request_id = ask.request_id.clone();
-        let Some(line) = self.line(&request_id).await else {
-            return Admitted::Unasked;
+        let Some(stream) = self.stream(&request_id).await else {
+            return AskOutcome::Unasked;
         };
         let wait = Duration::from_millis(ask.budget_ms) + VERDICT_MARGIN;
-        let mut asked = line.ask(ask);
-        let Some(verdict) = verdict_of(&mut asked, wait).await else {
-            self.skip(&request_id);
-            return Admitted::Unasked;
+        let mut sent_ask = stream.ask(ask);
+        let Some(verdict) = wait_for_verdict(&mut sent_ask, wait).await else {
+            self.bypass(&request_id);
+            return AskOutcome::Unasked;
         };
-        endpoint.saw_engine_load(&verdict.load);
+        endpoint.record_admission_load(&verdict.load);
         if !verdict.granted && verdict.load.engine_is_gone == Some(true) {
-            return Admitted::EngineGone;
+            return AskOutcome::EngineGone;
         }
         if !verdict.granted {
             let retry_after = Duration::from_millis(verdict.retry_after_ms);
-            return Admitted::Refused { retry_after };
+            return AskOutcome::Refused { retry_after };
         }
-        Admitted::Granted(Place {
-            asked,
+        AskOutcome::Granted(Grant {
+            sent_ask,
             is_lost: false,
-            lost_grace: self.ways.lost_grace,
+            lost_grace: self.access.lost_grace,
             waited_ms: verdict.wait_ms,
             ahead_tokens: verdict.ahead_tokens,
         })
     }
 
     /// Returns the open stream, or opens one; `None` while the admission is bypassed.
-    async fn line(&self, request_id: &str) -> Option<Arc<Line>> {
+    async fn stream(&self, request_id: &str) -> Option<Arc<AdmissionStream>> {
         // The lock is held while the stream opens: concurrent callers share it, or bypass the admission together if it fails.
-        let mut line = self.line.lock().await;
-        if self.is_skipped() {
+        let mut stream = self.stream.lock().await;
+        if self.is_bypassed() {
             return None;
         }
-        if let Some(open) = line.as_ref().filter(|line| !line.is_closed()) {
+        if let Some(open) = stream.as_ref().filter(|stream| !stream.is_closed()) {
             return Some(Arc::clone(open));
         }
-        let client = &self.ways.client;
-        let opened = Line::open(client, &self.address, FIRST_WORD_TIMEOUT).await;
+        let client = &self.access.client;
+        let opened = AdmissionStream::open(client, &self.address, FIRST_REPLY_TIMEOUT).await;
         let Ok(opened) = opened else {
-            self.skip(request_id);
+            self.bypass(request_id);
             return None;
         };
         let opened = Arc::new(opened);
-        *line = Some(Arc::clone(&opened));
+        *stream = Some(Arc::clone(&opened));
         Some(opened)
     }
 
-    fn is_skipped(&self) -> bool {
-        let skipped = self.skipped_until.lock();
-        let skipped = skipped.unwrap_or_else(PoisonError::into_inner);
-        skipped.is_some_and(|until| Instant::now() < until)
+    fn is_bypassed(&self) -> bool {
+        let bypassed = self.bypassed_until.lock();
+        let bypassed = bypassed.unwrap_or_else(PoisonError::into_inner);
+        bypassed.is_some_and(|until| Instant::now() < until)
     }
 
-    fn skip(&self, request_id: &str) {
-        let skipped = self.skipped_until.lock();
-        *skipped.unwrap_or_else(PoisonError::into_inner) = Some(Instant::now() + SKIP);
+    fn bypass(&self, request_id: &str) {
+        let bypassed = self.bypassed_until.lock();
+        *bypassed.unwrap_or_else(PoisonError::into_inner) = Some(Instant::now() + BYPASS);
         warn!(
             Part::Gateway,
             "An admission does not reply; requests go to its engine without a grant.",
             address = self.address,
             id = request_id,
-            skip_ms = SKIP.as_millis()
+            skip_ms = BYPASS.as_millis()
         );
     }
 
@@ -183,8 +185,8 @@
     /// The interval of the reports depends on the number of engines and on the data centre.
     pub(crate) fn follow(&self, endpoint: &Arc<Endpoint>, engines: usize, data_center: &str) {
         self.feed.get_or_init(|| {
-            let feed = Feed {
-                client: self.ways.client.clone(),
+            let feed = LoadFeed {
+                client: self.access.client.clone(),
                 address: self.address.clone(),
                 endpoint: Arc::downgrade(endpoint),
                 interval: load_interval(engines, endpoint.is_in(data_center)),
@@ -195,15 +197,15 @@
 }
 
 /// Waits for the verdict; an ask that is not reported as queued in time gets none.
-async fn verdict_of(asked: &mut Asked, wait: Duration) -> Option<AdmitVerdict> {
-    match timeout(FIRST_WORD_TIMEOUT, asked.verdict()).await {
+async fn wait_for_verdict(sent_ask: &mut SentAsk, wait: Duration) -> Option<AdmitVerdict> {
+    match timeout(FIRST_REPLY_TIMEOUT, sent_ask.verdict()).await {
         Ok(verdict) => verdict,
-        Err(_elapsed) if asked.is_queued() => timeout(wait, asked.verdict()).await.ok()?,
+        Err(_elapsed) if sent_ask.is_queued() => timeout(wait, sent_ask.verdict()).await.ok()?,
         Err(_elapsed) => None,
     }
 }
 
-impl Drop for Admitter {
+impl Drop for AdmissionClient {
     fn drop(&mut self) {
         if let Some(feed) = self.feed.get() {
             feed.abort();
@@ -212,14 +214,14 @@
 }
 
 /// A subscription to the load of one engine.
-struct Feed {
+struct LoadFeed {
     client: Client,
     address: Box<str>,
     endpoint: Weak<Endpoint>,
     interval: Duration,
 }
 
-impl Feed {
+impl LoadFeed {
     async fn run(self) {
         let mut is_followed = false;
         loop {
@@ -235,7 +237,7 @@
             if self.endpoint.strong_count() == 0 {
                 return;
             }
-            sleep(LOAD_RETRY).await;
+            sleep(LOAD_RETRY_DELAY).await;
         }
     }
 
@@ -262,12 +264,12 @@
                     Part::Gateway,
                     "Following the load reports of an admission.",
                     address = self.address,
-                    endpoint = endpoint.described.id,
+                    endpoint = endpoint.description.id,
                     interval_ms = self.interval.as_millis()
                 );
             }
             *is_followed = true;
-            endpoint.saw_engine_load(&load);
+            endpoint.record_admission_load(&load);
         }
     }
 }
--- a/crates/gateway/src/line.rs
+++ b/crates/gateway/src/admission_stream.rs
@@ -29,13 +29,13 @@
 
 /// An open exchange with one admission, which ends once its owner and all of its asks are dropped.
 #[derive(Debug)]
-pub(crate) struct Line {
+pub(crate) struct AdmissionStream {
     /// Unbounded, because each request sends at most three messages and the gateway bounds the requests in progress.
-    words: mpsc::UnboundedSender<ToAdmission>,
+    messages: mpsc::UnboundedSender<ToAdmission>,
     asks: Arc<Mutex<Asks>>,
 }
 
-impl Line {
+impl AdmissionStream {
     /// Opens the exchange.
     ///
     /// # Errors
@@ -47,10 +47,10 @@
         wait: Duration,
     ) -> Result<Self, CallError> {
         let exchange = client.open(address, ASKS_PATH, wait).await?;
-        let (words, to_send) = mpsc::unbounded_channel();
+        let (messages, to_send) = mpsc::unbounded_channel();
         let asks = Arc::new(Mutex::new(Asks::default()));
-        tokio::spawn(carry(exchange, to_send, Arc::clone(&asks)));
-        Ok(Self { words, asks })
+        tokio::spawn(transfer(exchange, to_send, Arc::clone(&asks)));
+        Ok(Self { messages, asks })
     }
 
     /// Returns whether the exchange has ended.
@@ -59,8 +59,8 @@
     }
 
     /// Sends an ask; if the exchange has ended, its verdict is `None`.
-    pub(crate) fn ask(self: &Arc<Self>, mut ask: AdmitAsk) -> Asked {
-        let (verdict, told) = oneshot::channel();
+    pub(crate) fn ask(self: &Arc<Self>, mut ask: AdmitAsk) -> SentAsk {
+        let (verdict, verdict_receiver) = oneshot::channel();
         let (lost, is_lost) = oneshot::channel();
         let waiter = Waiter {
             verdict: Some(verdict),
@@ -75,28 +75,28 @@
                 asks.waiters.insert(ask.number, waiter);
             }
         }
-        let asked = Asked {
-            line: Arc::clone(self),
+        let sent_ask = SentAsk {
+            stream: Arc::clone(self),
             number: ask.number,
-            verdict: told,
+            verdict: verdict_receiver,
             is_lost,
             is_cut_off: false,
             is_refused: false,
         };
-        self.say(ToAdmission::Ask(ask));
-        asked
+        self.send(ToAdmission::Ask(ask));
+        sent_ask
     }
 
-    fn say(&self, word: ToAdmission) {
+    fn send(&self, message: ToAdmission) {
         // A send fails only after the exchange has ended, which ends all of its asks as well.
-        let _exchange_has_ended = self.words.send(word);
+        let _exchange_has_ended = self.messages.send(message);
     }
 }
 
 /// A sent ask; dropping it tells the admission that the request has ended or that its caller no longer waits.
 #[derive(Debug)]
-pub(crate) struct Asked {
-    line: Arc<Line>,
+pub(crate) struct SentAsk {
+    stream: Arc<AdmissionStream>,
     number: u64,
     verdict: oneshot::Receiver<AdmitVerdict>,
     is_lost: oneshot::Receiver<()>,
@@ -105,7 +105,7 @@
     is_refused: bool,
 }
 
-impl Asked {
+impl SentAsk {
     /// Waits for the verdict; `None` when the exchange has ended. Cancel-safe.
     pub(crate) async fn verdict(&mut self) -> Option<AdmitVerdict> {
         let verdict = (&mut self.verdict).await.ok()?;
@@ -115,7 +115,7 @@
 
     /// Returns whether the admission has reported that the ask is queued.
     pub(crate) fn is_queued(&self) -> bool {
-        let asks = lock(&self.line.asks);
+        let asks = lock(&self.stream.asks);
         let waiter = asks.waiters.get(&self.number);
         waiter.is_some_and(|waiter| waiter.is_queued)
     }
@@ -123,7 +123,7 @@
     /// Waits until the admission reports that the engine no longer runs the request.
     ///
     /// Cancel-safe; must not be called again once it has returned.
-    pub(crate) async fn lost(&mut self) {
+    pub(crate) async fn wait_until_lost(&mut self) {
         if !self.is_cut_off && (&mut self.is_lost).await.is_ok() {
             return;
         }
@@ -133,38 +133,38 @@
     }
 
     /// Tells the admission that the prompt has been prefilled.
-    pub(crate) fn began(&self) {
+    pub(crate) fn report_prefilled(&self) {
         let number = self.number;
-        self.line.say(ToAdmission::Began(AskNumber { number }));
+        self.stream.send(ToAdmission::Began(AskNumber { number }));
     }
 }
 
-impl Drop for Asked {
+impl Drop for SentAsk {
     fn drop(&mut self) {
         let number = self.number;
-        lock(&self.line.asks).waiters.remove(&number);
+        lock(&self.stream.asks).waiters.remove(&number);
         if !self.is_refused {
-            self.line.say(ToAdmission::Ended(AskNumber { number }));
+            self.stream.send(ToAdmission::Ended(AskNumber { number }));
         }
     }
 }
 
 /// Transfers messages in both directions until the exchange ends or all of its handles are dropped.
-async fn carry(
+async fn transfer(
     exchange: Exchange,
     to_send: mpsc::UnboundedReceiver<ToAdmission>,
     asks: Arc<Mutex<Asks>>,
 ) {
     let Exchange { sender, mut reader } = exchange;
-    let hear = async {
-        while let Ok(Some(word)) = reader.next::<FromAdmission>().await {
-            heard(&mut lock(&asks), word);
+    let receive = async {
+        while let Ok(Some(message)) = reader.next::<FromAdmission>().await {
+            deliver(&mut lock(&asks), message);
         }
     };
     // Sending and receiving run concurrently, so that neither side blocks on the other.
     tokio::select! {
         () = send_all(to_send, sender) => {}
-        () = hear => {}
+        () = receive => {}
     }
     let mut asks = lock(&asks);
     asks.is_closed = true;
@@ -172,16 +172,16 @@
 }
 
 async fn send_all(mut to_send: mpsc::UnboundedReceiver<ToAdmission>, sender: FrameSender) {
-    while let Some(word) = to_send.recv().await {
-        if sender.send(&word).await.is_err() {
+    while let Some(message) = to_send.recv().await {
+        if sender.send(&message).await.is_err() {
             return;
         }
     }
 }
 
 /// Delivers a message to its ask; a dropped ask has already reported its end.
-fn heard(asks: &mut Asks, word: FromAdmission) {
-    match word {
+fn deliver(asks: &mut Asks, message: FromAdmission) {
+    match message {
         FromAdmission::Queued(AskNumber { number }) => {
             if let Some(waiter) = asks.waiters.get_mut(&number) {
                 waiter.is_queued = true;
@@ -189,13 +189,13 @@
         }
         FromAdmission::Verdict(verdict) => {
             let waiter = asks.waiters.get_mut(&verdict.number);
-            let teller = waiter.and_then(|waiter| waiter.verdict.take());
-            let _asker_is_gone = teller.map(|teller| teller.send(verdict));
+            let sender = waiter.and_then(|waiter| waiter.verdict.take());
+            let _asker_is_gone = sender.map(|sender| sender.send(verdict));
         }
         FromAdmission::Lost(lost) => {
             let waiter = asks.waiters.get_mut(&lost.number);
-            let teller = waiter.and_then(|waiter| waiter.lost.take());
-            let _asker_is_gone = teller.map(|teller| teller.send(()));
+            let sender = waiter.and_then(|waiter| waiter.lost.take());
+            let _asker_is_gone = sender.map(|sender| sender.send(()));
         }
     }
 }
--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -17,19 +17,19 @@
 
 /// Why an answer could not be read whole.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum NotWhole {
+pub(crate) enum ReadError {
     Broken,
     TimedOut,
 }
 
 /// Reads an answer to its end.
-pub(crate) async fn read_whole(mut body: Incoming, ends_at: Instant) -> Result<Bytes, NotWhole> {
+pub(crate) async fn read_whole(mut body: Incoming, ends_at: Instant) -> Result<Bytes, ReadError> {
     let mut whole = BytesMut::new();
     loop {
         match timeout_at(ends_at, body.frame()).await {
-            Err(_elapsed) => return Err(NotWhole::TimedOut),
+            Err(_elapsed) => return Err(ReadError::TimedOut),
             Ok(None) => return Ok(whole.freeze()),
-            Ok(Some(Err(_broken))) => return Err(NotWhole::Broken),
+            Ok(Some(Err(_broken))) => return Err(ReadError::Broken),
             Ok(Some(Ok(frame))) => {
                 if let Ok(data) = frame.into_data() {
                     whole.extend_from_slice(&data);
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -12,9 +12,9 @@
 use hyper::body::Incoming;
 use tokio::time::{Instant, timeout_at};
 
-use crate::admit::Place;
+use crate::admission::Grant;
 use crate::dialect::{Dialect, Disposition, ForwardFacts};
-use crate::endpoint::{Endpoint, Use};
+use crate::endpoint::{Endpoint, EndpointUse};
 use crate::headers;
 use crate::pool::{self, Sender};
 
@@ -31,7 +31,7 @@
     /// Prompt tokens that an endpoint has to prefill.
     pub(crate) prompt_tokens: u32,
     /// Whether the request may run again when its answer is lost.
-    pub(crate) may_go_on: bool,
+    pub(crate) may_rerun: bool,
     /// The earlier of the caller's deadline and the route's timeout.
     pub(crate) ends_at: Instant,
     /// Computed on first use.
@@ -53,7 +53,7 @@
 pub(crate) struct Answer {
     pub(crate) response: Response<Incoming>,
     pub(crate) connection: Connection,
-    pub(crate) in_use: Use,
+    pub(crate) in_use: EndpointUse,
 }
 
 /// The connection of an answer that is still being read.
@@ -76,7 +76,7 @@
 
 /// The outcome of one attempt.
 #[derive(Debug)]
-pub(crate) enum Attempt {
+pub(crate) enum AttemptOutcome {
     /// The endpoint answers.
     Answered(Box<Answer>),
     /// No byte of the request was sent.
@@ -96,50 +96,54 @@
     outgoing: &Outgoing,
     last_event: Option<u64>,
     fetch_from: Option<SocketAddr>,
-    place: Option<Place>,
-) -> Attempt {
-    let mut in_use = endpoint.begin(outgoing.prompt_tokens, place);
+    grant: Option<Grant>,
+) -> AttemptOutcome {
+    let mut in_use = endpoint.begin_request(outgoing.prompt_tokens, grant);
     let kept = endpoint.pool.take();
     let is_kept = kept.is_some();
     let sender = match kept {
         Some(sender) => sender,
-        None => match timeout_at(outgoing.ends_at, pool::connect(endpoint.described.address)).await
+        None => match timeout_at(
+            outgoing.ends_at,
+            pool::connect(endpoint.description.address),
+        )
+        .await
         {
             Ok(Ok(sender)) => sender,
             Ok(Err(cause)) => {
-                endpoint.not_connected(&cause);
-                in_use.failed(&cause.to_string());
-                return Attempt::NotSent;
+                endpoint.record_connect_failure(&cause);
+                in_use.record_failure(&cause.to_string());
+                return AttemptOutcome::NotSent;
             }
-            Err(_elapsed) => return Attempt::NotSent,
+            Err(_elapsed) => return AttemptOutcome::NotSent,
         },
     };
     let request = request(dialect, endpoint, outgoing, last_event, fetch_from);
     let sent = tokio::select! {
         biased;
         sent = timeout_at(outgoing.ends_at, exchange(sender, request)) => sent,
-        cause = in_use.lost(outgoing.may_go_on) => {
-            in_use.broke(outgoing);
-            in_use.failed(cause);
-            return Attempt::Unknown(cause);
+        cause = in_use.wait_until_lost(outgoing.may_rerun) => {
+            in_use.record_broken(outgoing);
+            in_use.record_failure(cause);
+            return AttemptOutcome::Unknown(cause);
         }
     };
     let (sender, response) = match sent {
         Err(_elapsed) => {
-            return Attempt::TimedOut;
+            return AttemptOutcome::TimedOut;
         }
-        Ok(Exchanged::Answered(sender, response)) => (sender, response),
-        Ok(Exchanged::NotSent) => {
+        Ok(ExchangeOutcome::Answered(sender, response)) => (sender, response),
+        Ok(ExchangeOutcome::NotSent) => {
             // An endpoint closes idle connections as a matter of course, so a pooled one that fails is no fault of it.
             if !is_kept {
-                in_use.failed("the connection closed before the request was sent");
+                in_use.record_failure("the connection closed before the request was sent");
             }
-            return Attempt::NotSent;
+            return AttemptOutcome::NotSent;
         }
-        Ok(Exchanged::Lost) => {
-            in_use.broke(outgoing);
-            in_use.failed("the connection broke");
-            return Attempt::Unknown("the connection broke");
+        Ok(ExchangeOutcome::Lost) => {
+            in_use.record_broken(outgoing);
+            in_use.record_failure("the connection broke");
+            return AttemptOutcome::Unknown("the connection broke");
         }
     };
     judge(dialect, endpoint, outgoing, sender, response, in_use)
@@ -157,7 +161,7 @@
     *request.uri_mut() = outgoing.uri.clone();
     *request.headers_mut() = outgoing.headers.clone();
     let forward = ForwardFacts {
-        endpoint: &endpoint.described.id,
+        endpoint: &endpoint.description.id,
         team: outgoing.team.as_deref(),
         remaining: outgoing.ends_at.saturating_duration_since(Instant::now()),
         last_event,
@@ -168,7 +172,7 @@
 }
 
 /// The outcome of a request on one connection.
-pub(crate) enum Exchanged {
+pub(crate) enum ExchangeOutcome {
     Answered(Sender, Response<Incoming>),
     /// No byte of it was sent.
     NotSent,
@@ -177,15 +181,15 @@
 }
 
 /// Sends a request on a connection, and waits for the head of its answer.
-pub(crate) async fn exchange(mut sender: Sender, request: Request<Full<Bytes>>) -> Exchanged {
+pub(crate) async fn exchange(mut sender: Sender, request: Request<Full<Bytes>>) -> ExchangeOutcome {
     if sender.ready().await.is_err() {
-        return Exchanged::NotSent;
+        return ExchangeOutcome::NotSent;
     }
     match sender.try_send_request(request).await {
-        Ok(response) => Exchanged::Answered(sender, response),
+        Ok(response) => ExchangeOutcome::Answered(sender, response),
         Err(mut error) => match error.take_message() {
-            Some(_unsent) => Exchanged::NotSent,
-            None => Exchanged::Lost,
+            Some(_unsent) => ExchangeOutcome::NotSent,
+            None => ExchangeOutcome::Lost,
         },
     }
 }
@@ -196,45 +200,45 @@
     outgoing: &Outgoing,
     sender: Sender,
     response: Response<Incoming>,
-    mut in_use: Use,
-) -> Attempt {
+    mut in_use: EndpointUse,
+) -> AttemptOutcome {
     let status = response.status();
     let headers = response.headers();
     let facts = dialect.read_answer(outgoing.request_id.as_deref(), status, headers);
     // The answer to another request says nothing about this one; the connection is dropped.
     if !facts.is_ours {
-        in_use.failed("the answer belongs to another request");
-        return Attempt::Unknown("the answer belongs to another request");
+        in_use.record_failure("the answer belongs to another request");
+        return AttemptOutcome::Unknown("the answer belongs to another request");
     }
     if facts.disposition == Disposition::WrongEndpoint {
-        in_use.is_gone();
-        return Attempt::NotRun(status);
+        in_use.record_replaced();
+        return AttemptOutcome::NotRun(status);
     }
     if let Some(load) = facts.load {
-        in_use.saw_load(load);
+        in_use.record_load(load);
     }
-    if let Some(rest) = facts.backoff {
-        in_use.asks_for_rest(rest);
+    if let Some(backoff) = facts.backoff {
+        in_use.record_backoff(backoff);
     }
     if facts.is_leaving {
-        in_use.says_that_it_leaves();
+        in_use.record_leaving();
     }
     if facts.disposition == Disposition::NotRun {
-        in_use.answered();
-        return Attempt::NotRun(status);
+        in_use.record_answer();
+        return AttemptOutcome::NotRun(status);
     }
     if status.is_success() && !facts.is_signed {
-        in_use.failed("the answer is not signed");
-        return Attempt::Unknown("the answer is not signed");
+        in_use.record_failure("the answer is not signed");
+        return AttemptOutcome::Unknown("the answer is not signed");
     }
     if headers.contains_key(CONTENT_ENCODING) {
-        in_use.failed("the answer has an encoding that nobody asked for");
-        return Attempt::Unknown("the answer has an encoding that nobody asked for");
+        in_use.record_failure("the answer has an encoding that nobody asked for");
+        return AttemptOutcome::Unknown("the answer has an encoding that nobody asked for");
     }
     if status.is_server_error() {
-        in_use.failed("the endpoint failed the request");
+        in_use.record_failure("the endpoint failed the request");
     } else {
-        in_use.answered();
+        in_use.record_answer();
     }
     let connection = Connection {
         endpoint: Arc::clone(endpoint),
@@ -242,7 +246,7 @@
         keep_alive: headers::keep_alive(headers),
         closes: headers::closes(headers),
     };
-    Attempt::Answered(Box::new(Answer {
+    AttemptOutcome::Answered(Box::new(Answer {
         response,
         connection,
         in_use,
--- a/crates/gateway/src/batch.rs
+++ b/crates/gateway/src/batch.rs
@@ -11,29 +11,29 @@
 /// Chunks that are held back until an interval has passed since the last send.
 #[derive(Debug)]
 pub(crate) struct Batch {
-    every: Duration,
+    interval: Duration,
     held: BytesMut,
     due_at: Option<Instant>,
 }
 
 impl Batch {
     /// Creates an empty batch; the first chunk is never held back, and with a zero interval none is.
-    pub(crate) fn new(every: Duration) -> Self {
+    pub(crate) fn new(interval: Duration) -> Self {
         Self {
-            every,
+            interval,
             held: BytesMut::new(),
             due_at: None,
         }
     }
 
     /// Adds a chunk, and returns the bytes to send now, if any.
-    pub(crate) fn push(&mut self, piece: Bytes) -> Option<Bytes> {
+    pub(crate) fn push(&mut self, chunk: Bytes) -> Option<Bytes> {
         let is_due = self.due_at.is_none_or(|due_at| due_at <= Instant::now());
         if is_due && self.held.is_empty() {
-            self.note_sent();
-            return Some(piece);
+            self.record_sent();
+            return Some(chunk);
         }
-        self.held.extend_from_slice(&piece);
+        self.held.extend_from_slice(&chunk);
         if is_due { self.take() } else { None }
     }
 
@@ -50,13 +50,13 @@
         if self.held.is_empty() {
             return None;
         }
-        self.note_sent();
+        self.record_sent();
         Some(self.held.split().freeze())
     }
 
-    fn note_sent(&mut self) {
-        if !self.every.is_zero() {
-            self.due_at = Some(Instant::now() + self.every);
+    fn record_sent(&mut self) {
+        if !self.interval.is_zero() {
+            self.due_at = Some(Instant::now() + self.interval);
         }
     }
 }
--- a/crates/gateway/src/batch/tests.rs
+++ b/crates/gateway/src/batch/tests.rs
@@ -8,36 +8,36 @@
 
 use super::Batch;
 
-const EVERY: Duration = Duration::from_millis(60);
+const INTERVAL: Duration = Duration::from_millis(60);
 
-fn piece(text: &'static str) -> Bytes {
+fn chunk(text: &'static str) -> Bytes {
     Bytes::from_static(text.as_bytes())
 }
 
 async_cases! {
     the_first_chunk_is_sent_at_once_and_later_ones_together => {
-        let mut batch = Batch::new(EVERY);
-        assert_eq!(batch.push(piece("a")), Some(piece("a")));
-        assert_eq!(batch.push(piece("b")), None);
-        assert_eq!(batch.push(piece("c")), None);
+        let mut batch = Batch::new(INTERVAL);
+        assert_eq!(batch.push(chunk("a")), Some(chunk("a")));
+        assert_eq!(batch.push(chunk("b")), None);
+        assert_eq!(batch.push(chunk("c")), None);
         let began = Instant::now();
         batch.due().await;
-        assert_eq!(began.elapsed(), EVERY);
-        assert_eq!(batch.take(), Some(piece("bc")));
+        assert_eq!(began.elapsed(), INTERVAL);
+        assert_eq!(batch.take(), Some(chunk("bc")));
         assert_eq!(batch.take(), None);
     }
     a_chunk_after_the_interval_is_sent_at_once => {
-        let mut batch = Batch::new(EVERY);
-        assert_eq!(batch.push(piece("a")), Some(piece("a")));
-        advance(EVERY).await;
-        assert_eq!(batch.push(piece("b")), Some(piece("b")));
-        assert_eq!(batch.push(piece("c")), None);
-        assert_eq!(batch.take(), Some(piece("c")), "the end of a stream waits for nothing");
+        let mut batch = Batch::new(INTERVAL);
+        assert_eq!(batch.push(chunk("a")), Some(chunk("a")));
+        advance(INTERVAL).await;
+        assert_eq!(batch.push(chunk("b")), Some(chunk("b")));
+        assert_eq!(batch.push(chunk("c")), None);
+        assert_eq!(batch.take(), Some(chunk("c")), "the end of a stream waits for nothing");
     }
     a_zero_interval_holds_nothing_back => {
         let mut batch = Batch::new(Duration::ZERO);
         for text in ["a", "b", "c"] {
-            assert_eq!(batch.push(piece(text)), Some(piece(text)));
+            assert_eq!(batch.push(chunk(text)), Some(chunk(text)));
         }
     }
 }
--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -14,7 +14,7 @@
 mod tests;
 
 /// Chunks buffered for a slow caller; when the buffer is full, the endpoint's connection is not read.
-const WAITING_PIECES: usize = 8;
+const MAX_BUFFERED_CHUNKS: usize = 8;
 
 /// The error of an answer that breaks off: the caller's connection is closed before the end of the answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -30,8 +30,8 @@
 
 /// A message from the sender of chunks to the body.
 #[derive(Debug)]
-enum Word {
-    Piece(Bytes),
+enum Message {
+    Chunk(Bytes),
     End,
     Broken(BrokenOff),
 }
@@ -40,36 +40,36 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct CallerLeft;
 
-/// Sends the chunks of an answer; dropping it before [`PieceSender::end`] breaks the answer off, whatever the cause.
+/// Sends the chunks of an answer; dropping it before [`ChunkSender::end`] breaks the answer off, whatever the cause.
 #[derive(Debug)]
-pub(crate) struct PieceSender {
-    words: mpsc::Sender<Word>,
+pub(crate) struct ChunkSender {
+    messages: mpsc::Sender<Message>,
 }
 
-impl PieceSender {
+impl ChunkSender {
     /// Sends a chunk, and waits while the caller's buffer is full.
-    pub(crate) async fn send(&self, piece: Bytes) -> Result<(), CallerLeft> {
-        self.say(Word::Piece(piece)).await
+    pub(crate) async fn send(&self, chunk: Bytes) -> Result<(), CallerLeft> {
+        self.send_message(Message::Chunk(chunk)).await
     }
 
     /// Ends a complete answer.
     pub(crate) async fn end(self) -> Result<(), CallerLeft> {
-        self.say(Word::End).await
+        self.send_message(Message::End).await
     }
 
     /// Breaks the answer off.
     pub(crate) async fn break_off(self) -> Result<(), CallerLeft> {
-        self.say(Word::Broken(BrokenOff)).await
+        self.send_message(Message::Broken(BrokenOff)).await
     }
 
     /// Waits until the caller has disconnected.
     pub(crate) async fn closed(&self) {
-        self.words.closed().await;
+        self.messages.closed().await;
     }
 
-    async fn say(&self, word: Word) -> Result<(), CallerLeft> {
-        let said = self.words.send(word).await;
-        said.map_err(|_receiver_is_gone| CallerLeft)
+    async fn send_message(&self, message: Message) -> Result<(), CallerLeft> {
+        let sent = self.messages.send(message).await;
+        sent.map_err(|_receiver_is_gone| CallerLeft)
     }
 }
 
@@ -77,20 +77,20 @@
 #[derive(Debug)]
 pub(crate) enum AnswerBody {
     Whole(Bytes),
-    Pieces(Pieces),
+    Chunks(Chunks),
     HandedOff(HandedOff),
 }
 
 /// Receives the chunks of an answer.
 #[derive(Debug)]
-pub(crate) struct Pieces {
-    words: mpsc::Receiver<Word>,
+pub(crate) struct Chunks {
+    messages: mpsc::Receiver<Message>,
     /// An error that was received and is returned at the next poll.
     broken: Option<BrokenOff>,
     has_ended: bool,
 }
 
-impl Pieces {
+impl Chunks {
     /// Returns the next chunk, or an error once the chunks before it could be written.
     ///
     /// The HTTP server discards unwritten data when a body fails, and flushes it when a body is pending. Chunks and an error may
@@ -102,14 +102,14 @@
         if self.has_ended {
             return Poll::Ready(None);
         }
-        let word = ready!(self.words.poll_recv(cx));
-        match word.unwrap_or(Word::Broken(BrokenOff)) {
-            Word::Piece(piece) => Poll::Ready(Some(Ok(piece))),
-            Word::End => {
+        let message = ready!(self.messages.poll_recv(cx));
+        match message.unwrap_or(Message::Broken(BrokenOff)) {
+            Message::Chunk(chunk) => Poll::Ready(Some(Ok(chunk))),
+            Message::End => {
                 self.has_ended = true;
                 Poll::Ready(None)
             }
-            Word::Broken(broken) => {
+            Message::Broken(broken) => {
                 self.has_ended = true;
                 self.broken = Some(broken);
                 cx.waker().wake_by_ref();
@@ -121,14 +121,14 @@
 
 impl AnswerBody {
     /// Returns a chunked body with its sender.
-    pub(crate) fn pieces() -> (PieceSender, Self) {
-        let (sender, words) = mpsc::channel(WAITING_PIECES);
-        let pieces = Pieces {
-            words,
+    pub(crate) fn chunks() -> (ChunkSender, Self) {
+        let (sender, messages) = mpsc::channel(MAX_BUFFERED_CHUNKS);
+        let chunks = Chunks {
+            messages,
             broken: None,
             has_ended: false,
         };
-        (PieceSender { words: sender }, Self::Pieces(pieces))
+        (ChunkSender { messages: sender }, Self::Chunks(chunks))
     }
 }
 
@@ -143,9 +143,9 @@
         match &mut *self {
             Self::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
             Self::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
-            Self::Pieces(pieces) => pieces
+            Self::Chunks(chunks) => chunks
                 .poll(cx)
-                .map(|piece| piece.map(|piece| piece.map(Frame::data))),
+                .map(|chunk| chunk.map(|chunk| chunk.map(Frame::data))),
             Self::HandedOff(handed_off) => handed_off.poll(cx),
         }
     }
@@ -153,7 +153,7 @@
     fn is_end_stream(&self) -> bool {
         match self {
             Self::Whole(bytes) => bytes.is_empty(),
-            Self::Pieces(_) => false,
+            Self::Chunks(_) => false,
             Self::HandedOff(handed_off) => handed_off.is_end_stream(),
         }
     }
@@ -161,7 +161,7 @@
     fn size_hint(&self) -> SizeHint {
         match self {
             Self::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
-            Self::Pieces(_) => SizeHint::default(),
+            Self::Chunks(_) => SizeHint::default(),
             Self::HandedOff(handed_off) => handed_off.size_hint(),
         }
     }
--- a/crates/gateway/src/connections.rs
+++ b/crates/gateway/src/connections.rs
@@ -9,20 +9,20 @@
 #[derive(Debug)]
 pub(crate) struct Connections {
     open: AtomicU32,
-    most: u32,
+    max: u32,
 }
 
 impl Connections {
-    pub(crate) fn new(most: u32) -> Self {
+    pub(crate) fn new(max: u32) -> Self {
         Self {
             open: AtomicU32::new(0),
-            most,
+            max,
         }
     }
 
     /// Counts a connection, and returns whether it is within the limit.
     pub(crate) fn try_open(&self) -> bool {
-        let may = self.open.load(Ordering::Relaxed) < self.most;
+        let may = self.open.load(Ordering::Relaxed) < self.max;
         if may {
             self.open.fetch_add(1, Ordering::Relaxed);
         }
@@ -35,7 +35,7 @@
     }
 
     /// Returns whether so many are open that callers are asked to close theirs after an answer.
-    pub(crate) fn are_many(&self) -> bool {
-        self.open.load(Ordering::Relaxed) >= self.most - self.most / 3
+    pub(crate) fn are_nearly_full(&self) -> bool {
+        self.open.load(Ordering::Relaxed) >= self.max - self.max / 3
     }
 }
--- a/crates/gateway/src/apart.rs
+++ b/crates/gateway/src/dedicated_thread.rs
@@ -10,11 +10,11 @@
 
 /// A running thread, which ends when this handle is dropped.
 #[derive(Debug)]
-pub(crate) struct Apart {
+pub(crate) struct DedicatedThread {
     _ends: oneshot::Sender<()>,
 }
 
-impl Apart {
+impl DedicatedThread {
     /// Runs a task on a new thread until the task ends or the handle is dropped.
     ///
     /// # Errors
--- a/crates/gateway/src/endpoint.rs
+++ b/crates/gateway/src/endpoint.rs
@@ -10,121 +10,121 @@
     Backlog, Candidate, CircuitBreaker, CircuitBreakerRules, CrashTracker, IncarnationHash,
     RequestKey,
 };
-use hinge_schema::routing::{Endpoint as Described, EngineLoad};
+use hinge_schema::routing::{Endpoint as Description, EngineLoad};
 use hinge_telemetry::log::Part;
 use hinge_telemetry::{info, warn};
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep};
 
-use crate::admit::{Admitter, Place};
+use crate::admission::{AdmissionClient, Grant};
 use crate::attempt::Outgoing;
 use crate::dialect::EndpointLoad;
+use crate::notices::Notices;
 use crate::pool::{self, MAX_IDLE, Pool};
-use crate::said::Said;
 use crate::suspects::{BrokenRequest, Evidence, Suspects};
 
 /// Time left to an answer once its endpoint is known to have restarted. What the endpoint sent before may still wait to be read,
 /// and a gateway short of CPU time reads it within a few tens of milliseconds.
-const LAST_BYTES: Duration = Duration::from_millis(200);
+const RESTART_GRACE: Duration = Duration::from_millis(200);
 
 /// Age beyond which a reported load is no longer used; requests last about a second.
-const LOAD_AGE: Duration = Duration::from_millis(1500);
+const MAX_LOAD_AGE: Duration = Duration::from_millis(1500);
 
 #[derive(Debug, Default)]
-struct Known {
-    standing: CircuitBreaker,
+struct LocalState {
+    breaker: CircuitBreaker,
     /// Requests from this gateway that the endpoint runs.
     own_running: u32,
     /// Prompt tokens of this gateway's requests whose answers have not begun.
     unread_tokens: u32,
     load: Option<(EndpointLoad, Instant)>,
     /// Requests sent minus requests ended since the load was reported.
-    since_load: i32,
+    sent_since_load: i32,
     /// Load reported by the admission beside the endpoint.
-    engine: Option<(EngineLoad, Instant)>,
+    admission_load: Option<(EngineLoad, Instant)>,
     /// Tokens that each team has used there recently.
-    team_use: HashMap<Box<str>, u64>,
+    team_usage: HashMap<Box<str>, u64>,
     /// Prompt tokens of this gateway's asks since the admission's last report.
-    since_engine: u32,
+    asked_tokens: u32,
 }
 
-impl Known {
+impl LocalState {
     /// Returns the load reported by the admission and its age, unless it is too old to be used.
-    fn fresh_engine(&self) -> Option<(&EngineLoad, Duration)> {
-        let (load, told_at) = self.engine.as_ref()?;
-        let age = told_at.elapsed();
-        (age < LOAD_AGE).then_some((load, age))
+    fn fresh_admission_load(&self) -> Option<(&EngineLoad, Duration)> {
+        let (load, reported_at) = self.admission_load.as_ref()?;
+        let age = reported_at.elapsed();
+        (age < MAX_LOAD_AGE).then_some((load, age))
     }
 
     /// Returns whether the admission recently reported that its engine is gone.
     fn engine_is_gone(&self) -> bool {
-        let told = self.fresh_engine();
-        told.is_some_and(|(load, _)| load.engine_is_gone == Some(true))
+        let reported = self.fresh_admission_load();
+        reported.is_some_and(|(load, _)| load.engine_is_gone == Some(true))
     }
 }
 
 /// One endpoint, in one incarnation.
 #[derive(Debug)]
 pub(crate) struct Endpoint {
-    pub(crate) described: Described,
+    pub(crate) description: Description,
     /// Hash of its id, which survives a restart, so that the home of a prompt prefix stays where it is.
     pub(crate) hash: u64,
     /// Hash of this incarnation, whose cache is empty after a restart.
     pub(crate) incarnation: IncarnationHash,
     pub(crate) pool: Pool,
     /// Client of the admission beside it, if there is one.
-    pub(crate) admitter: Option<Admitter>,
+    pub(crate) admission: Option<AdmissionClient>,
     is_draining: AtomicBool,
     /// Whether it has restarted, so that no request that was sent to it runs any more.
     has_restarted: watch::Sender<bool>,
     began: Instant,
-    known: Mutex<Known>,
-    ends: Mutex<CrashTracker<BrokenRequest>>,
+    state: Mutex<LocalState>,
+    crashes: Mutex<CrashTracker<BrokenRequest>>,
     /// Whether a probe connection is being opened to find out whether it has ended.
-    is_probed: AtomicBool,
+    is_probing: AtomicBool,
     suspects: Arc<Suspects>,
-    said: Arc<Said>,
+    notices: Arc<Notices>,
 }
 
 impl Endpoint {
     pub(crate) fn new(
-        described: Described,
-        admitter: Option<Admitter>,
+        description: Description,
+        admission: Option<AdmissionClient>,
         suspects: Arc<Suspects>,
-        said: Arc<Said>,
+        notices: Arc<Notices>,
     ) -> Self {
         Self {
-            admitter,
-            hash: hash(&described.id),
-            incarnation: incarnation(&described),
+            admission,
+            hash: hash(&description.id),
+            incarnation: incarnation(&description),
             is_draining: AtomicBool::new(false),
             has_restarted: watch::Sender::new(false),
-            described,
+            description,
             pool: Pool::new(MAX_IDLE),
             began: Instant::now(),
-            known: Mutex::default(),
-            ends: Mutex::default(),
-            is_probed: AtomicBool::new(false),
+            state: Mutex::default(),
+            crashes: Mutex::default(),
+            is_probing: AtomicBool::new(false),
             suspects,
-            said,
+            notices,
         }
     }
 
     /// Returns for how much longer it wants no requests from this instance.
-    pub(crate) fn rest_left(&self) -> Option<Duration> {
-        self.said.rest_left()
+    pub(crate) fn backoff_left(&self) -> Option<Duration> {
+        self.notices.backoff_left()
     }
 
     /// Records that it shuts down as planned.
-    pub(crate) fn leaves(&self) {
-        self.lock_ends().record_planned_stop();
+    pub(crate) fn record_planned_stop(&self) {
+        self.lock_crashes().record_planned_stop();
         self.drain();
     }
 
     /// Records that the answer to a request broke off.
-    pub(crate) fn broke(self: &Arc<Self>, request: BrokenRequest) {
+    pub(crate) fn record_broken(self: &Arc<Self>, request: BrokenRequest) {
         let now = self.began.elapsed();
-        let taken = self.lock_ends().record_broken(now, request);
+        let taken = self.lock_crashes().record_broken(now, request);
         match taken {
             Some(request) => self
                 .suspects
@@ -134,32 +134,32 @@
     }
 
     /// Records that it has ended.
-    pub(crate) fn ended(&self, evidence: Evidence) {
+    pub(crate) fn record_ended(&self, evidence: Evidence) {
         let now = self.began.elapsed();
-        let taken = self.lock_ends().record_crash(now);
+        let taken = self.lock_crashes().record_crash(now);
         for request in taken {
             self.suspects.ended_under(&request, self, evidence);
         }
     }
 
     /// Forgets a request that broke off here, because another endpoint has completed it.
-    pub(crate) fn forgive(&self, request: &RequestKey) {
-        self.lock_ends()
+    pub(crate) fn forget_broken(&self, request: &RequestKey) {
+        self.lock_crashes()
             .forget_broken(|broken| broken.key == *request);
     }
 
     /// Opens a connection to find out whether anything listens, unless an admission reports that.
     fn probe(self: &Arc<Self>) {
-        if self.is_watched() || self.is_probed.swap(true, Ordering::AcqRel) {
+        if self.has_admission_report() || self.is_probing.swap(true, Ordering::AcqRel) {
             return;
         }
         let endpoint = Arc::clone(self);
         tokio::spawn(async move {
-            match pool::connect(endpoint.described.address).await {
+            match pool::connect(endpoint.description.address).await {
                 Ok(sender) => endpoint.pool.keep(sender, None),
-                Err(cause) => endpoint.not_connected(&cause),
+                Err(cause) => endpoint.record_connect_failure(&cause),
             }
-            endpoint.is_probed.store(false, Ordering::Release);
+            endpoint.is_probing.store(false, Ordering::Release);
         });
     }
 
@@ -167,19 +167,19 @@
     ///
     /// A refused connection proves that a plain endpoint has ended. A model engine's admission knows better: it runs on the same
     /// machine, so a network fault can't mislead it.
-    pub(crate) fn not_connected(&self, cause: &io::Error) {
-        if cause.kind() == io::ErrorKind::ConnectionRefused && !self.is_watched() {
-            self.ended(Evidence::ConnectionRefused);
+    pub(crate) fn record_connect_failure(&self, cause: &io::Error) {
+        if cause.kind() == io::ErrorKind::ConnectionRefused && !self.has_admission_report() {
+            self.record_ended(Evidence::ConnectionRefused);
         }
     }
 
     /// Returns whether an admission beside it has reported on it.
-    fn is_watched(&self) -> bool {
-        self.lock().engine.is_some()
+    fn has_admission_report(&self) -> bool {
+        self.lock().admission_load.is_some()
     }
 
-    fn lock_ends(&self) -> MutexGuard<'_, CrashTracker<BrokenRequest>> {
-        self.ends.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_crashes(&self) -> MutexGuard<'_, CrashTracker<BrokenRequest>> {
+        self.crashes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Marks the endpoint as taking no new requests.
@@ -189,47 +189,47 @@
     }
 
     /// Records that the endpoint has restarted: this incarnation takes no new requests, and its open ones end.
-    pub(crate) fn started_again(&self) {
-        self.ended(Evidence::Replaced);
+    pub(crate) fn record_restart(&self) {
+        self.record_ended(Evidence::Replaced);
         self.drain();
         self.has_restarted.send_replace(true);
         info!(
             Part::Gateway,
             "An endpoint has restarted; the outcome of requests sent to its previous incarnation is unknown.",
-            endpoint = self.described.id,
-            born_unix_ms = self.described.born_unix_ms.unwrap_or_default(),
+            endpoint = self.description.id,
+            born_unix_ms = self.description.born_unix_ms.unwrap_or_default(),
             running = self.lock().own_running
         );
     }
 
     /// Waits until the endpoint has restarted, then for answers that its previous incarnation has already sent.
-    async fn restarted(&self) {
+    async fn wait_for_restart(&self) {
         let mut restarted = self.has_restarted.subscribe();
-        let told = restarted.wait_for(|restarted| *restarted).await.is_ok();
-        assert!(told, "the sender is held here");
-        sleep(LAST_BYTES).await;
+        let reported = restarted.wait_for(|restarted| *restarted).await.is_ok();
+        assert!(reported, "the sender is held here");
+        sleep(RESTART_GRACE).await;
     }
 
     /// Returns whether a description is of this incarnation of the endpoint.
-    pub(crate) fn is_same_start(&self, described: &Described) -> bool {
-        self.described.address == described.address
-            && self.described.born_unix_ms == described.born_unix_ms
+    pub(crate) fn is_same_incarnation(&self, description: &Description) -> bool {
+        self.description.address == description.address
+            && self.description.born_unix_ms == description.born_unix_ms
     }
 
     pub(crate) fn is_draining(&self) -> bool {
-        self.is_draining.load(Ordering::Acquire) || self.said.is_leaving()
+        self.is_draining.load(Ordering::Acquire) || self.notices.is_leaving()
     }
 
     /// Returns whether it may be sent a request now, given its circuit breaker and its reports.
     pub(crate) fn is_open(&self) -> bool {
-        let known = self.lock();
+        let state = self.lock();
         !self.is_draining()
-            && !known.engine_is_gone()
-            && known.standing.allows_request(self.began.elapsed())
+            && !state.engine_is_gone()
+            && state.breaker.allows_request(self.began.elapsed())
     }
 
     pub(crate) fn is_in(&self, data_center: &str) -> bool {
-        *self.described.data_center == *data_center
+        *self.description.data_center == *data_center
     }
 
     /// Returns its description for choosing an endpoint, with the age of its load in milliseconds.
@@ -238,14 +238,14 @@
         data_center: &str,
         has_cached_prefix: bool,
     ) -> (Candidate, u128) {
-        let known = self.lock();
-        if let Some((load, age)) = known.fresh_engine() {
+        let state = self.lock();
+        if let Some((load, age)) = state.fresh_admission_load() {
             let candidate = Candidate {
                 hash: self.hash,
                 running: load.running,
-                slots: self.described.slots,
+                slots: self.description.slots,
                 backlog: Backlog {
-                    unread_tokens: load.unread_tokens + known.since_engine,
+                    unread_tokens: load.unread_tokens + state.asked_tokens,
                     waiting_tokens: load.waiting_tokens,
                 },
                 is_local: self.is_in(data_center),
@@ -253,23 +253,23 @@
             };
             return (candidate, age.as_millis());
         }
-        let (running, age) = match known.load {
-            Some((load, told_at)) if told_at.elapsed() < LOAD_AGE => {
-                let told = load.running + load.waiting;
-                let running = told.saturating_add_signed(known.since_load);
+        let (running, age) = match state.load {
+            Some((load, reported_at)) if reported_at.elapsed() < MAX_LOAD_AGE => {
+                let reported = load.running + load.waiting;
+                let running = reported.saturating_add_signed(state.sent_since_load);
                 (
-                    running.max(known.own_running),
-                    told_at.elapsed().as_millis(),
+                    running.max(state.own_running),
+                    reported_at.elapsed().as_millis(),
                 )
             }
-            _ => (known.own_running, LOAD_AGE.as_millis()),
+            _ => (state.own_running, MAX_LOAD_AGE.as_millis()),
         };
         let candidate = Candidate {
             hash: self.hash,
             running,
-            slots: self.described.slots,
+            slots: self.description.slots,
             backlog: Backlog {
-                unread_tokens: known.unread_tokens,
+                unread_tokens: state.unread_tokens,
                 waiting_tokens: 0,
             },
             is_local: self.is_in(data_center),
@@ -279,120 +279,124 @@
     }
 
     /// Records that a request is sent; dropping the handle records that it has ended.
-    pub(crate) fn begin(self: &Arc<Self>, tokens: u32, place: Option<Place>) -> Use {
-        let mut known = self.lock();
-        known.standing.record_sent();
-        known.own_running += 1;
-        known.since_load += 1;
-        known.unread_tokens += tokens;
-        drop(known);
-        Use {
+    pub(crate) fn begin_request(
+        self: &Arc<Self>,
+        tokens: u32,
+        grant: Option<Grant>,
+    ) -> EndpointUse {
+        let mut state = self.lock();
+        state.breaker.record_sent();
+        state.own_running += 1;
+        state.sent_since_load += 1;
+        state.unread_tokens += tokens;
+        drop(state);
+        EndpointUse {
             endpoint: Arc::clone(self),
             tokens,
-            place,
+            grant,
             is_judged: false,
         }
     }
 
     /// Records a load report of the admission.
-    pub(crate) fn saw_engine_load(&self, load: &EngineLoad) {
-        let mut known = self.lock();
+    pub(crate) fn record_admission_load(&self, load: &EngineLoad) {
+        let mut state = self.lock();
         if !load.teams.is_empty() {
             let teams = load.teams.iter();
-            known.team_use = teams.map(|team| (team.team.clone(), team.tokens)).collect();
+            state.team_usage = teams.map(|team| (team.team.clone(), team.tokens)).collect();
         }
-        known.engine = Some((load.clone(), Instant::now()));
-        known.since_engine = 0;
-        drop(known);
+        state.admission_load = Some((load.clone(), Instant::now()));
+        state.asked_tokens = 0;
+        drop(state);
         if load.engine_is_gone == Some(true) {
-            self.ended(Evidence::AdmissionSays);
+            self.record_ended(Evidence::AdmissionSays);
         }
     }
 
-    /// Returns whether the admission has reported recently, which shows that the endpoint's machine is up and reachable.
+    /// Returns whether the admission has reported recently, which shows that the endpoint is up and reachable.
     pub(crate) fn has_fresh_load(&self) -> bool {
-        self.lock().fresh_engine().is_some()
+        self.lock().fresh_admission_load().is_some()
     }
 
     /// Returns a team's recent usage there in tokens, as last reported.
     pub(crate) fn used_by(&self, team: &str) -> u64 {
-        let known = self.lock();
-        let is_fresh = known.fresh_engine().is_some();
-        let used = known.team_use.get(team).filter(|_| is_fresh);
+        let state = self.lock();
+        let is_fresh = state.fresh_admission_load().is_some();
+        let used = state.team_usage.get(team).filter(|_| is_fresh);
         used.copied().unwrap_or_default()
     }
 
     /// Calls `visit` with each team's recent usage there in tokens, as last reported.
-    pub(crate) fn each_use(&self, mut visit: impl FnMut(&str, u64)) {
-        let known = self.lock();
-        if known.fresh_engine().is_some() {
-            for (team, tokens) in &known.team_use {
+    pub(crate) fn for_each_usage(&self, mut visit: impl FnMut(&str, u64)) {
+        let state = self.lock();
+        if state.fresh_admission_load().is_some() {
+            for (team, tokens) in &state.team_usage {
                 visit(team, *tokens);
             }
         }
     }
 
     /// Records the prompt tokens of an ask.
-    pub(crate) fn asks(&self, tokens: u32) {
-        self.lock().since_engine += tokens;
+    pub(crate) fn record_ask(&self, tokens: u32) {
+        self.lock().asked_tokens += tokens;
     }
 
-    fn lock(&self) -> MutexGuard<'_, Known> {
-        self.known.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, LocalState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// A request in progress at an endpoint; dropping it records the end.
 #[derive(Debug)]
-pub(crate) struct Use {
+pub(crate) struct EndpointUse {
     endpoint: Arc<Endpoint>,
     tokens: u32,
-    place: Option<Place>,
+    grant: Option<Grant>,
     is_judged: bool,
 }
 
-impl Use {
+impl EndpointUse {
     pub(crate) fn endpoint(&self) -> &Endpoint {
         &self.endpoint
     }
 
     /// Records the load that the endpoint reported.
-    pub(crate) fn saw_load(&self, load: EndpointLoad) {
-        let mut known = self.endpoint.lock();
-        known.load = Some((load, Instant::now()));
-        known.since_load = 0;
+    pub(crate) fn record_load(&self, load: EndpointLoad) {
+        let mut state = self.endpoint.lock();
+        state.load = Some((load, Instant::now()));
+        state.sent_since_load = 0;
     }
 
     /// Records that the endpoint wants no requests from this instance for some time.
-    pub(crate) fn asks_for_rest(&self, rest: Duration) {
-        if self.endpoint.said.asks_for_rest(rest) {
+    pub(crate) fn record_backoff(&self, backoff: Duration) {
+        if self.endpoint.notices.record_backoff(backoff) {
             info!(
                 Part::Gateway,
                 "An endpoint asks for rest.",
-                endpoint = self.endpoint.described.id,
-                rest_ms = rest.as_millis()
+                endpoint = self.endpoint.description.id,
+                rest_ms = backoff.as_millis()
             );
         }
     }
 
     /// Records that the endpoint announced its shutdown in an answer.
-    pub(crate) fn says_that_it_leaves(&self) {
-        if self.endpoint.said.leaves() {
+    pub(crate) fn record_leaving(&self) {
+        if self.endpoint.notices.record_leaving() {
             info!(
                 Part::Gateway,
                 "An endpoint says that it leaves.",
-                endpoint = self.endpoint.described.id
+                endpoint = self.endpoint.description.id
             );
         }
-        self.endpoint.leaves();
+        self.endpoint.record_planned_stop();
     }
 
     /// Records that the endpoint has begun to answer.
-    pub(crate) fn answered(&mut self) {
+    pub(crate) fn record_answer(&mut self) {
         self.is_judged = true;
-        let mut known = self.endpoint.lock();
-        known.standing.record_success();
-        known.unread_tokens -= self.tokens;
+        let mut state = self.endpoint.lock();
+        state.breaker.record_success();
+        state.unread_tokens -= self.tokens;
         self.tokens = 0;
     }
 
@@ -400,68 +404,68 @@
     ///
     /// On the admission's report alone, only a request that may be resumed elsewhere gains from giving up, because its answer may
     /// still arrive. After a restart of the endpoint no answer arrives.
-    pub(crate) async fn lost(&mut self, may_go_on: bool) -> &'static str {
+    pub(crate) async fn wait_until_lost(&mut self, may_rerun: bool) -> &'static str {
         let Self {
-            endpoint, place, ..
+            endpoint, grant, ..
         } = self;
         let no_longer_run = async {
-            match place {
-                Some(place) if may_go_on => place.lost().await,
+            match grant {
+                Some(grant) if may_rerun => grant.wait_until_lost().await,
                 Some(_) | None => std::future::pending().await,
             }
         };
         tokio::select! {
-            () = endpoint.restarted() => "the endpoint has started again",
+            () = endpoint.wait_for_restart() => "the endpoint has started again",
             () = no_longer_run => "the engine does not run the request any more",
         }
     }
 
     /// Records that another endpoint listens at the address: this one has ended, even if it is still listed.
-    pub(crate) fn is_gone(&mut self) {
+    pub(crate) fn record_replaced(&mut self) {
         self.is_judged = true;
         if !self.endpoint.is_draining() {
             warn!(
                 Part::Gateway,
                 "Another endpoint listens at an endpoint's address; the former one has ended.",
-                endpoint = self.endpoint.described.id,
-                address = self.endpoint.described.address
+                endpoint = self.endpoint.description.id,
+                address = self.endpoint.description.address
             );
         }
-        self.endpoint.ended(Evidence::Replaced);
+        self.endpoint.record_ended(Evidence::Replaced);
         self.endpoint.drain();
     }
 
     /// Records that the answer to the request broke off or can no longer arrive.
-    pub(crate) fn broke(&self, outgoing: &Outgoing) {
-        self.endpoint.broke(BrokenRequest {
+    pub(crate) fn record_broken(&self, outgoing: &Outgoing) {
+        self.endpoint.record_broken(BrokenRequest {
             key: outgoing.key(),
             request_id: outgoing.request_id.clone().unwrap_or_default(),
         });
     }
 
     /// Records that the first chunk of the answer, or the whole of a buffered answer, has arrived.
-    pub(crate) fn began(&self) {
-        if let Some(place) = &self.place {
-            place.began();
+    pub(crate) fn record_first_chunk(&self) {
+        if let Some(grant) = &self.grant {
+            grant.report_prefilled();
         }
     }
 
     /// Records a failure of the endpoint or of the network path to it.
-    pub(crate) fn failed(&mut self, cause: &str) {
+    pub(crate) fn record_failure(&mut self, cause: &str) {
         self.is_judged = true;
         let endpoint = &self.endpoint;
-        let held = {
-            let mut known = endpoint.lock();
+        let ejection = {
+            let mut state = endpoint.lock();
             let now = endpoint.began.elapsed();
-            known
-                .standing
+            state
+                .breaker
                 .record_failure(now, &CircuitBreakerRules::default())
         };
-        if let Some(hold) = held {
+        if let Some(hold) = ejection {
             warn!(
                 Part::Gateway,
                 "An endpoint is held out.",
-                endpoint = endpoint.described.id,
+                endpoint = endpoint.description.id,
                 hold_ms = hold.as_millis(),
                 cause = cause
             );
@@ -469,22 +473,22 @@
     }
 }
 
-impl Drop for Use {
+impl Drop for EndpointUse {
     fn drop(&mut self) {
-        let mut known = self.endpoint.lock();
-        known.own_running -= 1;
-        known.since_load -= 1;
-        known.unread_tokens -= self.tokens;
+        let mut state = self.endpoint.lock();
+        state.own_running -= 1;
+        state.sent_since_load -= 1;
+        state.unread_tokens -= self.tokens;
         if !self.is_judged {
-            known.standing.record_abandoned();
+            state.breaker.record_abandoned();
         }
     }
 }
 
 /// Returns the hash of one incarnation of an endpoint.
-fn incarnation(described: &Described) -> IncarnationHash {
-    let born = described.born_unix_ms.unwrap_or_default();
-    hash(&described.id).wrapping_add(born)
+fn incarnation(description: &Description) -> IncarnationHash {
+    let born = description.born_unix_ms.unwrap_or_default();
+    hash(&description.id).wrapping_add(born)
 }
 
 /// Returns the FNV-1a hash of an id, which is the same in every process.
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -50,7 +50,7 @@
     /// Returns an error when an event does not end within 1 MiB.
     pub fn push(&mut self, bytes: &Bytes) -> Result<Bytes, EventTooLong> {
         if self.rest.is_empty() && bytes.ends_with(b"\n\n") {
-            self.note_ids(bytes);
+            self.record_ids(bytes);
             return Ok(bytes.clone());
         }
         self.rest.extend_from_slice(bytes);
@@ -62,11 +62,11 @@
             };
         };
         let whole = self.rest.split_to(end).freeze();
-        self.note_ids(&whole);
+        self.record_ids(&whole);
         Ok(whole)
     }
 
-    fn note_ids(&mut self, events: &[u8]) {
+    fn record_ids(&mut self, events: &[u8]) {
         let lines = events.split(|byte| *byte == b'\n');
         let ids = lines.filter_map(|line| line.strip_prefix(b"id:"));
         if let Some(id) = ids.filter_map(parse_number).next_back() {
@@ -77,8 +77,8 @@
 
 /// Returns the index after the last empty line.
 fn end_of_events(bytes: &[u8]) -> Option<usize> {
-    let place = bytes.windows(2).rposition(|pair| pair == b"\n\n")?;
-    Some(place + 2)
+    let index = bytes.windows(2).rposition(|pair| pair == b"\n\n")?;
+    Some(index + 2)
 }
 
 fn parse_number(text: &[u8]) -> Option<u64> {
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -17,21 +17,21 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep};
 
-use crate::fleet::Held;
-use crate::neighbours::Neighbours;
+use crate::peer_updates::PeerUpdates;
+use crate::routing_state::RoutingState;
 
 /// Longest wait of one long poll. An answer without changes shows that the control instance still knows a leader, so this bounds
 /// how long a gateway follows an instance that has lost contact with the leader.
-const WATCH: Duration = Duration::from_millis(600);
+const WATCH_WAIT: Duration = Duration::from_millis(600);
 
 /// Time that a call may take beyond the wait of its long poll.
-const MARGIN: Duration = Duration::from_millis(300);
+const CALL_MARGIN: Duration = Duration::from_millis(300);
 
 /// Delay after every queried instance has failed; an election takes a second or two.
-const RETRY: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Minimum interval between log lines while no control instance answers.
-const TELL_EVERY: Duration = Duration::from_secs(1);
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Long-polls control until the task is aborted.
 pub(crate) async fn run(
@@ -39,22 +39,22 @@
     instance: Box<str>,
     peer_address: SocketAddr,
     seeds: watch::Receiver<Vec<Box<str>>>,
-    held: Arc<Held>,
+    routing: Arc<RoutingState>,
     readiness: Arc<Readiness>,
     table_age_ms: Gauge,
 ) {
     let mut targets = ControlInstances::new(&seeds.borrow(), rand::random::<u32>() as usize);
-    let mut neighbours = Neighbours::new();
-    let mut told_at = Instant::now();
+    let mut peer_updates = PeerUpdates::new();
+    let mut logged_at = Instant::now();
     loop {
         let was_followed = targets.is_following();
-        let question = question(&instance, &peer_address, &held);
-        let to_ask = targets.to_query();
-        held.control.store(Arc::new(to_ask.to_vec()));
-        let asked = ask_any(&client, &question, &to_ask);
-        let learned = neighbours.learn(&client, &held, &question);
-        let (asked, ()) = futures::join!(asked, learned);
-        let without = held.age();
+        let query = current_query(&instance, &peer_address, &routing);
+        let to_query = targets.to_query();
+        routing.control.store(Arc::new(to_query.to_vec()));
+        let asked = query_any(&client, &query, &to_query);
+        let fetched = peer_updates.fetch(&client, &routing, &query);
+        let (asked, ()) = futures::join!(asked, fetched);
+        let without = routing.age();
         table_age_ms.set(i64::try_from(without.as_millis()).unwrap_or(i64::MAX));
         match asked {
             Ok((address, update)) => {
@@ -67,20 +67,22 @@
                     );
                 }
                 targets.record_answer(&address, &update.control, &seeds.borrow());
-                held.known_control.store(Arc::new(targets.known().to_vec()));
-                neighbours.named(update.gateways.clone());
-                let has_table = held.take_in(update);
-                held.confirm();
+                routing
+                    .known_control
+                    .store(Arc::new(targets.known().to_vec()));
+                peer_updates.set_addresses(update.gateways.clone());
+                let has_table = routing.apply(update);
+                routing.confirm();
                 if has_table {
                     readiness.clear(Reason::NoConfig);
                 } else {
-                    sleep(RETRY).await;
+                    sleep(RETRY_DELAY).await;
                 }
             }
             Err(cause) => {
                 targets.record_failure(&seeds.borrow());
-                if was_followed || told_at.elapsed() >= TELL_EVERY {
-                    told_at = Instant::now();
+                if was_followed || logged_at.elapsed() >= LOG_INTERVAL {
+                    logged_at = Instant::now();
                     warn!(
                         Part::Gateway,
                         if was_followed {
@@ -90,11 +92,11 @@
                         },
                         cause = cause,
                         without_ms = without.as_millis(),
-                        table = held.current().table_number()
+                        table = routing.current().table_number()
                     );
                 }
                 if !was_followed {
-                    sleep(RETRY).await;
+                    sleep(RETRY_DELAY).await;
                 }
             }
         }
@@ -102,26 +104,26 @@
 }
 
 /// Returns the query for everything newer than the current state.
-fn question(instance: &str, peer_address: &SocketAddr, held: &Held) -> WatchRoutes {
-    let fleet = held.current();
+fn current_query(instance: &str, peer_address: &SocketAddr, routing: &RoutingState) -> WatchRoutes {
+    let fleet = routing.current();
     WatchRoutes {
         instance: instance.into(),
         peer_address: Some(peer_address.to_string().into()),
         table_number: fleet.table_number(),
         endpoints_version: fleet.endpoints_version(),
-        suspects_version: Some(held.suspects.version()),
-        wait_ms: u64::try_from(WATCH.as_millis()).unwrap_or(u64::MAX),
+        suspects_version: Some(routing.suspects.version()),
+        wait_ms: u64::try_from(WATCH_WAIT.as_millis()).unwrap_or(u64::MAX),
     }
 }
 
 /// Queries several instances concurrently, and returns the first answer with its address, or the last failure.
-async fn ask_any(
+async fn query_any(
     client: &Client,
-    question: &WatchRoutes,
+    query: &WatchRoutes,
     addresses: &[Address],
 ) -> Result<(Address, RoutesUpdate), String> {
     let asked = addresses.iter().map(|address| async move {
-        let answered = client.call(address, WATCH_ROUTES_PATH, question, WATCH + MARGIN);
+        let answered = client.call(address, WATCH_ROUTES_PATH, query, WATCH_WAIT + CALL_MARGIN);
         (address.clone(), answered.await)
     });
     let mut asked: FuturesUnordered<_> = asked.collect();
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -30,24 +30,24 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::admit::Ways;
-use crate::apart::Apart;
+use crate::admission::AdmissionAccess;
 use crate::connections::Connections;
+use crate::dedicated_thread::DedicatedThread;
 use crate::dialect::Dialect;
-use crate::door::Door;
 use crate::endpoint::Endpoint;
-use crate::fleet::Held;
 use crate::follow;
 use crate::handoff::Handoffs;
-use crate::load;
-use crate::meet;
+use crate::listener::CallerListener;
 use crate::metrics::Metrics;
-use crate::neighbours;
+use crate::overload;
+use crate::peer_discovery;
+use crate::peer_updates;
+use crate::routing_state::RoutingState;
 use crate::serve::{Origin, serve};
+use crate::suspect_reports;
 use crate::suspects::Suspects;
 use crate::takeover;
-use crate::teams::Teams;
-use crate::tell;
+use crate::team_usage::TeamUsage;
 
 /// Idle timeout of callers' connections while there is no route table to set it.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
@@ -57,7 +57,7 @@
 pub(crate) const MAX_HEADER_BYTES: usize = 24 * 1024;
 
 /// Delay after a failed accept, which concerns one connection or a temporary lack of file descriptors.
-pub(crate) const ACCEPT_RETRY: Duration = Duration::from_millis(10);
+pub(crate) const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// The settings of a gateway.
 #[derive(Debug, Clone)]
@@ -94,22 +94,22 @@
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) dialect: Arc<dyn Dialect>,
-    pub(crate) held: Arc<Held>,
+    pub(crate) routing: Arc<RoutingState>,
     pub(crate) metrics: Metrics,
     pub(crate) data_center: Box<str>,
     pub(crate) choice: ChoiceRules,
     pub(crate) max_spill_tokens: u32,
     pub(crate) connections: Connections,
     /// Whether overload control refuses new connections.
-    pub(crate) is_closed: watch::Sender<bool>,
+    pub(crate) is_paused: watch::Sender<bool>,
     /// When a planned stop cuts off requests that still run; set once the stop begins.
     pub(crate) stops_at: OnceLock<Instant>,
     overload: Mutex<OverloadControl>,
     budget_rules: RetryBudgetRules,
     budgets: Mutex<HashMap<Box<str>, RetryBudget>>,
     /// By service.
-    teams: Mutex<HashMap<Box<str>, Arc<Teams>>>,
-    kept_parts: Mutex<CachedPrefixes>,
+    team_usage: Mutex<HashMap<Box<str>, Arc<TeamUsage>>>,
+    cached_prefixes: Mutex<CachedPrefixes>,
     pub(crate) handoffs: Handoffs,
     began: Instant,
 }
@@ -121,54 +121,60 @@
     }
 
     /// Pauses or resumes accepting connections as overload control says.
-    pub(crate) fn follow_overload(&self) {
-        let is_closed = self.overload().refuses_connections();
-        self.is_closed.send_if_modified(|known| {
-            let is_new = *known != is_closed;
-            *known = is_closed;
+    pub(crate) fn apply_overload(&self) {
+        let is_paused = self.overload().refuses_connections();
+        self.is_paused.send_if_modified(|known| {
+            let is_new = *known != is_paused;
+            *known = is_paused;
             is_new
         });
     }
 
     /// Returns the recently reported usage of each team at the endpoints of a service.
-    pub(crate) fn teams(&self, service: &str, endpoints: &[Arc<Endpoint>]) -> Arc<Teams> {
-        let mut teams = self.teams.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(fresh) = teams.get(service).filter(|teams| teams.is_fresh()) {
+    pub(crate) fn team_usage(&self, service: &str, endpoints: &[Arc<Endpoint>]) -> Arc<TeamUsage> {
+        let mut team_usage = self
+            .team_usage
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        if let Some(fresh) = team_usage
+            .get(service)
+            .filter(|team_usage| team_usage.is_fresh())
+        {
             return Arc::clone(fresh);
         }
-        let gathered = Arc::new(Teams::gather(endpoints));
-        teams.insert(service.into(), Arc::clone(&gathered));
-        gathered
+        let summed = Arc::new(TeamUsage::sum(endpoints));
+        team_usage.insert(service.into(), Arc::clone(&summed));
+        summed
     }
 
     /// Counts a request to a service.
-    pub(crate) fn note_request(&self, service: &str) {
-        self.with_budget(service, RetryBudget::record_request);
+    pub(crate) fn record_request(&self, service: &str) {
+        self.with_retry_budget(service, RetryBudget::record_request);
     }
 
     /// Returns whether the service's retry budget allows one more attempt, and counts it if so.
-    pub(crate) fn try_repeat(&self, service: &str) -> bool {
-        self.with_budget(service, RetryBudget::try_retry)
+    pub(crate) fn try_retry(&self, service: &str) -> bool {
+        self.with_retry_budget(service, RetryBudget::try_retry)
     }
 
     /// Returns the endpoints that probably cache the shared prompt prefix with this key, the most recent first.
     pub(crate) fn holders(&self, key: u64) -> Holders {
-        self.kept_parts().holders(self.began.elapsed(), key)
+        self.cached_prefixes().holders(self.began.elapsed(), key)
     }
 
     /// Records that an endpoint caches the shared prompt prefix with this key.
-    pub(crate) fn note_kept(&self, key: u64, endpoint: IncarnationHash) {
-        self.kept_parts()
+    pub(crate) fn record_cached(&self, key: u64, endpoint: IncarnationHash) {
+        self.cached_prefixes()
             .record(self.began.elapsed(), key, endpoint);
     }
 
-    fn kept_parts(&self) -> MutexGuard<'_, CachedPrefixes> {
-        self.kept_parts
+    fn cached_prefixes(&self) -> MutexGuard<'_, CachedPrefixes> {
+        self.cached_prefixes
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn with_budget<T>(
+    fn with_retry_budget<T>(
         &self,
         service: &str,
         act: impl FnOnce(&mut RetryBudget, Duration) -> T,
@@ -197,8 +203,8 @@
     /// Tasks that accept connections; each ends when the answers on its connections have ended.
     serving: JoinSet<()>,
     handoff_address: Option<SocketAddr>,
-    lag: JoinHandle<()>,
-    _following: Apart,
+    lag_watch: JoinHandle<()>,
+    _control_thread: DedicatedThread,
 }
 
 impl Gateway {
@@ -218,32 +224,33 @@
         readiness.set(Reason::NoConfig);
         let listener = TcpListener::bind(settings.listen).await?;
         let address = listener.local_addr()?;
-        let admissions = settings.admission_port.map(|port| Ways {
+        let admissions = settings.admission_port.map(|port| AdmissionAccess {
             port,
             client: client.clone(),
             lost_grace: settings.lost_grace,
         });
         let suspects = Suspects::register(registry);
-        let held = Arc::new(Held::new(admissions, suspects));
-        let routes = neighbours::routes(Arc::clone(&readiness), key.clone(), Arc::clone(&held));
+        let routing = Arc::new(RoutingState::new(admissions, suspects));
+        let routes =
+            peer_updates::routes(Arc::clone(&readiness), key.clone(), Arc::clone(&routing));
         let ready_listen = settings.ready_listen.to_string();
         let ready = Server::bind(&ready_listen, routes, Limits::default()).await?;
         let ready_address = ready.local_address();
         let shared = Arc::new(Shared {
             dialect,
-            held: Arc::clone(&held),
+            routing: Arc::clone(&routing),
             metrics: Metrics::register(registry),
             data_center: settings.data_center.clone(),
             choice: settings.choice,
             max_spill_tokens: settings.max_spill_tokens,
             connections: Connections::new(settings.max_connections),
-            is_closed: watch::Sender::new(false),
+            is_paused: watch::Sender::new(false),
             stops_at: OnceLock::new(),
             overload: Mutex::new(OverloadControl::new(settings.overload)),
             budget_rules: settings.budget,
             budgets: Mutex::default(),
-            teams: Mutex::default(),
-            kept_parts: Mutex::default(),
+            team_usage: Mutex::default(),
+            cached_prefixes: Mutex::default(),
             handoffs: Handoffs::new(key.clone()),
             began: Instant::now(),
         });
@@ -253,15 +260,15 @@
         let mut serving = JoinSet::new();
         serving.spawn(callers);
         let takeover = bind_takeover(address.ip(), &settings).await?;
-        let (listener, meeting) = takeover.unzip();
+        let (listener, announcement) = takeover.unzip();
         let mut handoff_address = None;
         if let Some(listener) = listener {
             handoff_address = Some(listener.local_addr()?);
             let takeover = takeover::run(listener, key.clone(), Arc::clone(&shared), stopped);
             serving.spawn(takeover);
         }
-        let lag = load::watch_lag(Arc::clone(&shared), Arc::clone(&readiness));
-        let lag = tokio::spawn(lag);
+        let lag_watch = overload::watch_lag(Arc::clone(&shared), Arc::clone(&readiness));
+        let lag_watch = tokio::spawn(lag_watch);
         let following = follow_control(
             // A client of its own, because its connections are served on the dedicated thread.
             Client::new(key),
@@ -270,9 +277,9 @@
             given,
             Arc::clone(&shared),
             Arc::clone(&readiness),
-            meeting,
+            announcement,
         );
-        let following = Apart::spawn("follow-control", following)?;
+        let control_thread = DedicatedThread::spawn("follow-control", following)?;
         info!(
             Part::Gateway,
             "Listening.",
@@ -288,8 +295,8 @@
             seeds,
             serving,
             handoff_address,
-            lag,
-            _following: following,
+            lag_watch,
+            _control_thread: control_thread,
         })
     }
 
@@ -333,7 +340,7 @@
         });
         let has_ended = has_ended.await.is_ok();
         self.serving.abort_all();
-        self.lag.abort();
+        self.lag_watch.abort();
         has_ended
     }
 }
@@ -347,12 +354,12 @@
         return Ok(None);
     };
     let listener = takeover::bind(ip, ports).await?;
-    let question = MeetGateways {
+    let announcement = MeetGateways {
         instance: settings.instance.clone(),
         data_center: settings.data_center.clone(),
         address: listener.local_addr()?.to_string().into(),
     };
-    Ok(Some((listener, question)))
+    Ok(Some((listener, announcement)))
 }
 
 /// Follows control and reports to it until the future is dropped.
@@ -363,26 +370,26 @@
     seeds: watch::Receiver<Vec<Box<str>>>,
     shared: Arc<Shared>,
     readiness: Arc<Readiness>,
-    meeting: Option<MeetGateways>,
+    announcement: Option<MeetGateways>,
 ) {
-    let held = Arc::clone(&shared.held);
+    let routing = Arc::clone(&shared.routing);
     let table_age_ms = shared.metrics.table_age_ms.clone();
-    let telling = tell::run(client.clone(), instance.clone(), Arc::clone(&held));
+    let reporting = suspect_reports::run(client.clone(), instance.clone(), Arc::clone(&routing));
     let following = follow::run(
         client.clone(),
         instance,
         peer_address,
         seeds,
-        held,
+        routing,
         readiness,
         table_age_ms,
     );
-    let meeting = async {
-        if let Some(question) = meeting {
-            meet::run(client, question, shared).await;
+    let announcement = async {
+        if let Some(announcement) = announcement {
+            peer_discovery::run(client, announcement, shared).await;
         }
     };
-    futures::join!(telling, following, meeting);
+    futures::join!(reporting, following, announcement);
 }
 
 async fn accept_callers(
@@ -391,19 +398,19 @@
     mut stopped: watch::Receiver<bool>,
 ) {
     let graceful = GracefulShutdown::new();
-    let mut door = Door::new(listener, shared.is_closed.subscribe());
+    let mut listener = CallerListener::new(listener, shared.is_paused.subscribe());
     loop {
         let accepted = tokio::select! {
-            accepted = door.accept() => accepted,
+            accepted = listener.accept() => accepted,
             _stopped = stopped.wait_for(|stop| *stop) => break,
         };
         let Ok((stream, _remote)) = accepted else {
-            sleep(ACCEPT_RETRY).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         shared.metrics.connections.inc();
         shared.overload().record_connection();
-        shared.follow_overload();
+        shared.apply_overload();
         // A caller whose connection closes before its request was read retries at another gateway at once.
         if shared.connections.try_open() {
             serve_caller(stream, &shared, &graceful);
@@ -411,7 +418,7 @@
             shared.metrics.connections_closed.inc();
         }
     }
-    drop(door);
+    drop(listener);
     graceful.shutdown().await;
 }
 
@@ -423,14 +430,14 @@
         let shared = Arc::clone(&for_requests);
         async move {
             let mut response = serve(Arc::clone(&shared), request, Origin::Caller).await;
-            if shared.connections.are_many() {
+            if shared.connections.are_nearly_full() {
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(CONNECTION, close);
             }
             Ok::<_, Infallible>(response)
         }
     });
-    let fleet = shared.held.current();
+    let fleet = shared.routing.current();
     let idle = fleet.lookup.as_ref().map_or(IDLE_TIMEOUT, |lookup| {
         Duration::from_millis(lookup.table().limits.idle_timeout_ms)
     });
--- a/crates/gateway/src/handoff.rs
+++ b/crates/gateway/src/handoff.rs
@@ -24,7 +24,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::{Instant, timeout, timeout_at};
 
-use crate::attempt::{Exchanged, Outgoing, exchange};
+use crate::attempt::{ExchangeOutcome, Outgoing, exchange};
 use crate::body::{AnswerBody, BrokenOff};
 use crate::gateway::Shared;
 use crate::headers::{closes, strip_connection};
@@ -32,16 +32,16 @@
 use crate::refusal::Refusal;
 
 /// Header with the number of the sender's route table; a gateway accepts a request only if it has the same table.
-pub(crate) const TABLE: HeaderName = HeaderName::from_static("hinge-table");
+pub(crate) const TABLE_HEADER: HeaderName = HeaderName::from_static("hinge-table");
 
 /// Header with the reason why a gateway declined a request, for which it has done no work.
-pub(crate) const DECLINED: HeaderName = HeaderName::from_static("hinge-declined");
+pub(crate) const DECLINED_HEADER: HeaderName = HeaderName::from_static("hinge-declined");
 
 /// Maximum number of handed-off requests in progress; each takes memory for two connections.
-const MOST_UNDER_WAY: u32 = 400;
+const MAX_IN_PROGRESS: u32 = 400;
 
 /// Maximum number of gateways that one request is offered to.
-const MOST_ASKED: usize = 2;
+const MAX_OFFERS: usize = 2;
 
 /// Idle connections kept to each gateway; few, because requests are spread over many gateways.
 const MAX_IDLE: usize = 8;
@@ -50,10 +50,10 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// How long a gateway is not chosen after it has declined for another table or for overload, can't accept, or is unreachable.
-const OTHER_TABLE_REST: Duration = Duration::from_millis(100);
-const NO_ROOM_REST: Duration = Duration::from_millis(200);
-const UNABLE_REST: Duration = Duration::from_secs(1);
-const UNREACHABLE_REST: Duration = Duration::from_secs(2);
+const OTHER_TABLE_BACKOFF: Duration = Duration::from_millis(100);
+const NO_ROOM_BACKOFF: Duration = Duration::from_millis(200);
+const UNABLE_BACKOFF: Duration = Duration::from_secs(1);
+const UNREACHABLE_BACKOFF: Duration = Duration::from_secs(2);
 
 /// The reason why a gateway declines a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -84,17 +84,17 @@
         }
     }
 
-    fn rest(self) -> Duration {
+    fn backoff(self) -> Duration {
         match self {
-            Self::OtherTable => OTHER_TABLE_REST,
-            Self::NoRoom => NO_ROOM_REST,
-            Self::WithoutControl | Self::Leaving => UNABLE_REST,
+            Self::OtherTable => OTHER_TABLE_BACKOFF,
+            Self::NoRoom => NO_ROOM_BACKOFF,
+            Self::WithoutControl | Self::Leaving => UNABLE_BACKOFF,
         }
     }
 
     /// Parses the reason from the head of an answer; `None` if the answer declines nothing.
-    fn read(status: StatusCode, headers: &HeaderMap) -> Option<Self> {
-        let name = headers.get(DECLINED)?;
+    fn parse(status: StatusCode, headers: &HeaderMap) -> Option<Self> {
+        let name = headers.get(DECLINED_HEADER)?;
         let known = Self::ALL.into_iter();
         let mut known = known.filter(|_| status == StatusCode::SERVICE_UNAVAILABLE);
         known.find(|decline| name.as_bytes() == decline.name().as_bytes())
@@ -105,7 +105,7 @@
         let mut response = Response::new(AnswerBody::Whole(Bytes::new()));
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
         let name = HeaderValue::from_static(self.name());
-        response.headers_mut().insert(DECLINED, name);
+        response.headers_mut().insert(DECLINED_HEADER, name);
         response
     }
 }
@@ -115,7 +115,7 @@
 pub(crate) struct Handoffs {
     key: ClusterKey,
     began: Instant,
-    nearby: Mutex<PeerGateways>,
+    peers: Mutex<PeerGateways>,
     pools: Mutex<HashMap<SocketAddr, Arc<Pool>>>,
 }
 
@@ -124,25 +124,25 @@
         Self {
             key,
             began: Instant::now(),
-            nearby: Mutex::default(),
+            peers: Mutex::default(),
             pools: Mutex::default(),
         }
     }
 
     /// Replaces the addresses of the other gateways.
-    pub(crate) fn named(&self, addresses: &[SocketAddr]) {
-        let mut nearby = self.nearby();
-        nearby.record_listed(self.began.elapsed(), addresses);
-        self.pools().retain(|address, _| nearby.contains(*address));
+    pub(crate) fn set_peers(&self, addresses: &[SocketAddr]) {
+        let mut peers = self.peers();
+        peers.record_listed(self.began.elapsed(), addresses);
+        self.pools().retain(|address, _| peers.contains(*address));
     }
 
     fn choose(&self, except: &[SocketAddr]) -> Option<SocketAddr> {
         let draw = || rand::random::<u32>() as usize;
-        self.nearby().choose(self.began.elapsed(), except, draw)
+        self.peers().choose(self.began.elapsed(), except, draw)
     }
 
-    fn rests(&self, address: SocketAddr, rest: Duration) {
-        self.nearby().suspend(self.began.elapsed(), address, rest);
+    fn suspend(&self, address: SocketAddr, backoff: Duration) {
+        self.peers().suspend(self.began.elapsed(), address, backoff);
     }
 
     fn pool(&self, address: SocketAddr) -> Arc<Pool> {
@@ -150,8 +150,8 @@
         Arc::clone(self.pools().entry(address).or_insert_with(pool))
     }
 
-    fn nearby(&self) -> MutexGuard<'_, PeerGateways> {
-        self.nearby.lock().unwrap_or_else(PoisonError::into_inner)
+    fn peers(&self) -> MutexGuard<'_, PeerGateways> {
+        self.peers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn pools(&self) -> MutexGuard<'_, HashMap<SocketAddr, Arc<Pool>>> {
@@ -175,14 +175,14 @@
 
 /// A request in progress at another gateway; dropping it records the end.
 #[derive(Debug)]
-struct Use {
+struct PeerUse {
     shared: Arc<Shared>,
     address: SocketAddr,
 }
 
-impl Drop for Use {
+impl Drop for PeerUse {
     fn drop(&mut self) {
-        self.shared.handoffs.nearby().request_ended(self.address);
+        self.shared.handoffs.peers().request_ended(self.address);
     }
 }
 
@@ -192,7 +192,7 @@
     body: Incoming,
     /// Connection to return to its pool once the answer has ended.
     connection: Option<(Arc<Pool>, Sender)>,
-    _in_use: Use,
+    _in_use: PeerUse,
 }
 
 impl HandedOff {
@@ -232,7 +232,7 @@
 }
 
 /// The outcome of offering a request to another gateway.
-enum Handed {
+enum OfferOutcome {
     Answered(Response<AnswerBody>),
     Declined(Decline),
     Unreachable,
@@ -251,28 +251,28 @@
     if shared.stops_at.get().is_some() {
         return None;
     }
-    if shared.handoffs.nearby().in_flight() >= MOST_UNDER_WAY {
+    if shared.handoffs.peers().in_flight() >= MAX_IN_PROGRESS {
         return None;
     }
-    let mut asked: SmallVec<[SocketAddr; MOST_ASKED]> = SmallVec::new();
-    while asked.len() < MOST_ASKED {
+    let mut asked: SmallVec<[SocketAddr; MAX_OFFERS]> = SmallVec::new();
+    while asked.len() < MAX_OFFERS {
         let address = shared.handoffs.choose(&asked)?;
         asked.push(address);
-        let in_use = Use {
+        let in_use = PeerUse {
             shared: Arc::clone(shared),
             address,
         };
         match send(in_use, table, outgoing).await {
-            Handed::Answered(response) => {
+            OfferOutcome::Answered(response) => {
                 shared.overload().record_handoff();
-                tell(outgoing, address, asked.len(), overloaded);
+                log_handoff(outgoing, address, asked.len(), overloaded);
                 return Some(response);
             }
-            Handed::Declined(decline) => shared.handoffs.rests(address, decline.rest()),
-            Handed::Unreachable => shared.handoffs.rests(address, UNREACHABLE_REST),
-            Handed::Failed(refusal) => {
-                shared.handoffs.rests(address, UNREACHABLE_REST);
-                tell_failure(outgoing, address, refusal);
+            OfferOutcome::Declined(decline) => shared.handoffs.suspend(address, decline.backoff()),
+            OfferOutcome::Unreachable => shared.handoffs.suspend(address, UNREACHABLE_BACKOFF),
+            OfferOutcome::Failed(refusal) => {
+                shared.handoffs.suspend(address, UNREACHABLE_BACKOFF);
+                log_failure(outgoing, address, refusal);
                 return Some(refusal.response());
             }
         }
@@ -280,24 +280,24 @@
     None
 }
 
-async fn send(in_use: Use, table: u64, outgoing: &Outgoing) -> Handed {
+async fn send(in_use: PeerUse, table: u64, outgoing: &Outgoing) -> OfferOutcome {
     let shared = Arc::clone(&in_use.shared);
     let pool = shared.handoffs.pool(in_use.address);
     let Some(sender) = shared.handoffs.connect(in_use.address, &pool).await else {
-        return Handed::Unreachable;
+        return OfferOutcome::Unreachable;
     };
     let request = request(&shared, table, outgoing);
     let sent = timeout_at(outgoing.ends_at, exchange(sender, request)).await;
     let (sender, response) = match sent {
-        Ok(Exchanged::Answered(sender, response)) => (sender, response),
-        Ok(Exchanged::NotSent) => return Handed::Unreachable,
-        Ok(Exchanged::Lost) => return Handed::Failed(Refusal::Unknown),
-        Err(_elapsed) => return Handed::Failed(Refusal::TimedOut),
+        Ok(ExchangeOutcome::Answered(sender, response)) => (sender, response),
+        Ok(ExchangeOutcome::NotSent) => return OfferOutcome::Unreachable,
+        Ok(ExchangeOutcome::Lost) => return OfferOutcome::Failed(Refusal::Unknown),
+        Err(_elapsed) => return OfferOutcome::Failed(Refusal::TimedOut),
     };
     let (mut head, body) = response.into_parts();
-    if let Some(decline) = Decline::read(head.status, &head.headers) {
+    if let Some(decline) = Decline::parse(head.status, &head.headers) {
         pool.keep(sender, None);
-        return Handed::Declined(decline);
+        return OfferOutcome::Declined(decline);
     }
     let is_kept = !closes(&head.headers);
     strip_connection(&mut head.headers);
@@ -310,7 +310,7 @@
         connection: is_kept.then_some((pool, sender)),
         _in_use: in_use,
     };
-    Handed::Answered(Response::from_parts(head, AnswerBody::HandedOff(body)))
+    OfferOutcome::Answered(Response::from_parts(head, AnswerBody::HandedOff(body)))
 }
 
 fn request(shared: &Shared, table: u64, outgoing: &Outgoing) -> Request<Full<Bytes>> {
@@ -320,12 +320,12 @@
     let mut headers = outgoing.headers.clone();
     let remaining = outgoing.ends_at.saturating_duration_since(Instant::now());
     shared.dialect.write_remaining(&mut headers, remaining);
-    headers.insert(TABLE, table.into());
+    headers.insert(TABLE_HEADER, table.into());
     *request.headers_mut() = headers;
     request
 }
 
-fn tell(outgoing: &Outgoing, address: SocketAddr, asked: usize, overloaded: &Overloaded) {
+fn log_handoff(outgoing: &Outgoing, address: SocketAddr, asked: usize, overloaded: &Overloaded) {
     info!(
         Part::Gateway,
         "Handed off.",
@@ -340,7 +340,7 @@
     );
 }
 
-fn tell_failure(outgoing: &Outgoing, address: SocketAddr, refusal: Refusal) {
+fn log_failure(outgoing: &Outgoing, address: SocketAddr, refusal: Refusal) {
     warn!(
         Part::Gateway,
         "A request that was handed off has no answer.",
--- a/crates/gateway/src/story.rs
+++ b/crates/gateway/src/history.rs
@@ -15,7 +15,7 @@
 
 /// What has happened to a request so far.
 #[derive(Debug, Default)]
-pub(crate) struct Story {
+pub(crate) struct History {
     /// Endpoints that were sent the request; a restarted endpoint counts as another one.
     pub(crate) tried: SmallVec<[Arc<Endpoint>; 2]>,
     /// Endpoints whose admission refused the request.
@@ -37,28 +37,30 @@
     pub(crate) candidates: usize,
     /// Whether an endpoint may have run the request; then a refusal must not claim that it did not run.
     pub(crate) may_have_run: bool,
-    pub(crate) first_piece: Option<Duration>,
+    pub(crate) first_chunk: Option<Duration>,
     pub(crate) status: u16,
     pub(crate) cause: &'static str,
 }
 
-impl Story {
+impl History {
     /// Records a chunk that is passed on.
-    pub(crate) fn note_piece(&mut self, job: &Job) {
-        if self.first_piece.is_none() {
+    pub(crate) fn record_chunk(&mut self, job: &Job) {
+        if self.first_chunk.is_none() {
             let time = job.arrived.elapsed();
-            self.first_piece = Some(time);
-            job.gateway.metrics.first_piece(job, time.as_secs_f64());
+            self.first_chunk = Some(time);
+            job.gateway
+                .metrics
+                .record_first_chunk(job, time.as_secs_f64());
         }
     }
 
     /// Records why an answer is incomplete.
-    pub(crate) fn note_cause(&mut self, cause: &'static str) {
+    pub(crate) fn record_cause(&mut self, cause: &'static str) {
         self.cause = cause;
     }
 
     /// Records that all endpoints have asked for a pause, with the shortest time left.
-    pub(crate) fn note_rest(&mut self, shortest: Option<Duration>) {
+    pub(crate) fn record_backoff(&mut self, shortest: Option<Duration>) {
         if let Some(rest) = shortest {
             self.cause = "all endpoints rest";
             self.retry_after = Some(rest);
@@ -66,7 +68,7 @@
     }
 
     /// Records that an endpoint may have run the request although its answer is not passed on.
-    pub(crate) fn note_run(&mut self, cause: &'static str) {
+    pub(crate) fn record_possible_run(&mut self, cause: &'static str) {
         self.may_have_run = true;
         self.cause = cause;
     }
@@ -81,8 +83,8 @@
     }
 
     /// Returns the refusal of a held request.
-    pub(crate) fn held(&mut self, job: &Job) -> Refusal {
-        job.gateway.held.suspects.note_turned_away();
+    pub(crate) fn held_refusal(&mut self, job: &Job) -> Refusal {
+        job.gateway.routing.suspects.record_rejection();
         self.cause = "the request is held";
         if self.may_have_run {
             Refusal::Unknown
@@ -92,7 +94,7 @@
     }
 
     /// Logs the request at its end.
-    pub(crate) fn tell(&self, job: &Job, outcome: &str) {
+    pub(crate) fn log(&self, job: &Job, outcome: &str) {
         let (prompt_tokens, answer_tokens) = tokens_of(job.prompt.as_ref());
         // When the log falls behind, lines of failures are dropped last.
         let level = match outcome {
@@ -125,9 +127,9 @@
             running = self.running,
             load_age_ms = self.load_age_ms,
             table = job.fleet.table_number(),
-            table_age_ms = job.gateway.held.age().as_millis(),
+            table_age_ms = job.gateway.routing.age().as_millis(),
             list = job.fleet.endpoints_version(),
-            first_ms = self.first_piece.map_or(0, |time| time.as_millis()),
+            first_ms = self.first_chunk.map_or(0, |time| time.as_millis()),
             ms = job.arrived.elapsed().as_millis()
         );
     }
@@ -144,7 +146,7 @@
 fn ids_of(endpoints: &[Arc<Endpoint>]) -> String {
     let ids: SmallVec<[&str; 2]> = endpoints
         .iter()
-        .map(|endpoint| &*endpoint.described.id)
+        .map(|endpoint| &*endpoint.description.id)
         .collect();
     ids.join(",")
 }
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -13,32 +13,32 @@
 use smallvec::SmallVec;
 use tokio::time::Instant;
 
-use crate::admit::Admitted;
-use crate::attempt::{self, Answer, Attempt, Outgoing};
+use crate::admission::AskOutcome;
+use crate::attempt::{self, Answer, AttemptOutcome, Outgoing};
 use crate::endpoint::Endpoint;
-use crate::fleet::Fleet;
 use crate::gateway::Shared;
-use crate::load::Running;
+use crate::history::History;
+use crate::overload::RunningRequest;
 use crate::refusal::Refusal;
+use crate::routing_state::RoutingSnapshot;
 use crate::serve::Origin;
-use crate::story::Story;
-use crate::teams::Teams;
+use crate::team_usage::TeamUsage;
 
 /// Minimum time left to the deadline for an attempt to be worth making.
-const SHORTEST_ATTEMPT: Duration = Duration::from_millis(10);
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(10);
 
 /// Maximum number of attempts for one request in which no byte is sent; they cost nothing but time.
 const MAX_NOT_SENT: u32 = 4;
 
 /// Maximum number of admissions that may report a gone engine for one request; each costs a round trip.
-const MAX_GONE: usize = 4;
+const MAX_GONE_ENGINES: usize = 4;
 
 /// Retry delay when no endpoint accepts requests: a restart takes seconds, and a failed connection is tried again after half
 /// a second.
 const NO_ENDPOINT_RETRY: Duration = Duration::from_millis(500);
 
 /// Rank of a resumed stream; the priorities of the route table rank after it.
-const FIRST_RANK: u32 = 0;
+const RESUMED_RANK: u32 = 0;
 
 /// Longest pause after which a stream is worth resuming: callers give up after two seconds or more.
 const RESUME_BUDGET: Duration = Duration::from_secs(2);
@@ -56,7 +56,7 @@
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) gateway: Arc<Shared>,
-    pub(crate) fleet: Arc<Fleet>,
+    pub(crate) fleet: Arc<RoutingSnapshot>,
     pub(crate) route: Route,
     pub(crate) service: Box<str>,
     pub(crate) outgoing: Outgoing,
@@ -67,12 +67,12 @@
     pub(crate) rank: u32,
     pub(crate) origin: Origin,
     /// Counts the request against the overload limits; `None` for plain requests.
-    pub(crate) _running: Option<Running>,
+    pub(crate) _running: Option<RunningRequest>,
     pub(crate) arrived: Instant,
 }
 
 /// The outcome of all attempts at a request.
-pub(crate) enum Tried {
+pub(crate) enum JobOutcome {
     Answered(Box<Answer>),
     Refused(Refusal),
 }
@@ -88,108 +88,112 @@
 
     /// Returns whether the request may run more than once.
     pub(crate) fn is_idempotent(&self) -> bool {
-        self.outgoing.may_go_on
+        self.outgoing.may_rerun
     }
 
     /// Returns whether the request may be sent to one more endpoint, and counts the retry if so.
-    pub(crate) fn may_repeat(&self, story: &Story) -> bool {
-        let has_attempts = story.attempts < self.route.max_attempts.max(1);
-        let has_time = Instant::now() + SHORTEST_ATTEMPT < self.outgoing.ends_at;
-        let may = has_attempts && has_time && self.gateway.try_repeat(&self.service);
+    pub(crate) fn may_retry(&self, history: &History) -> bool {
+        let has_attempts = history.attempts < self.route.max_attempts.max(1);
+        let has_time = Instant::now() + MIN_ATTEMPT_TIME < self.outgoing.ends_at;
+        let may = has_attempts && has_time && self.gateway.try_retry(&self.service);
         if may {
-            self.gateway.metrics.repeats.inc();
+            self.gateway.metrics.retries.inc();
         }
         may
     }
 
     /// Sends the request to endpoints until one answers.
-    pub(crate) async fn attempts(&self, story: &mut Story, last_event: Option<u64>) -> Tried {
-        let not_sent_before = story.not_sent;
+    pub(crate) async fn attempts(
+        &self,
+        history: &mut History,
+        last_event: Option<u64>,
+    ) -> JobOutcome {
+        let not_sent_before = history.not_sent;
         loop {
-            if Instant::now() + SHORTEST_ATTEMPT >= self.outgoing.ends_at {
-                return Tried::Refused(story.refusal(NO_ENDPOINT_RETRY));
+            if Instant::now() + MIN_ATTEMPT_TIME >= self.outgoing.ends_at {
+                return JobOutcome::Refused(history.refusal(NO_ENDPOINT_RETRY));
             }
             if self.is_held() {
-                return Tried::Refused(story.held(self));
+                return JobOutcome::Refused(history.held_refusal(self));
             }
-            let Some(endpoint) = self.pick(story) else {
-                let retry_after = story.retry_after.unwrap_or(NO_ENDPOINT_RETRY);
-                return Tried::Refused(story.refusal(retry_after));
+            let Some(endpoint) = self.pick(history) else {
+                let retry_after = history.retry_after.unwrap_or(NO_ENDPOINT_RETRY);
+                return JobOutcome::Refused(history.refusal(retry_after));
             };
-            let place = match self.admit(&endpoint, story).await {
-                Admitted::Granted(place) => {
-                    story.waited_ms = place.waited_ms;
-                    story.ahead_tokens = place.ahead_tokens;
-                    Some(place)
+            let grant = match self.admit(&endpoint, history).await {
+                AskOutcome::Granted(grant) => {
+                    history.waited_ms = grant.waited_ms;
+                    history.ahead_tokens = grant.ahead_tokens;
+                    Some(grant)
                 }
-                Admitted::Unasked => None,
-                Admitted::EngineGone => {
-                    story.cause = "the engine is gone";
-                    story.gone.push(endpoint);
-                    if story.gone.len() >= MAX_GONE {
-                        return Tried::Refused(story.refusal(NO_ENDPOINT_RETRY));
+                AskOutcome::Unasked => None,
+                AskOutcome::EngineGone => {
+                    history.cause = "the engine is gone";
+                    history.gone.push(endpoint);
+                    if history.gone.len() >= MAX_GONE_ENGINES {
+                        return JobOutcome::Refused(history.refusal(NO_ENDPOINT_RETRY));
                     }
                     continue;
                 }
-                Admitted::Refused { retry_after } => {
-                    story.cause = "the admission refused";
-                    story.refused.push(Arc::clone(&endpoint));
-                    story.retry_after = Some(retry_after);
-                    if story.refused.len() < self.lag().max_admissions() {
+                AskOutcome::Refused { retry_after } => {
+                    history.cause = "the admission refused";
+                    history.refused.push(Arc::clone(&endpoint));
+                    history.retry_after = Some(retry_after);
+                    if history.refused.len() < self.lag().max_admissions() {
                         continue;
                     }
-                    return Tried::Refused(story.refusal(retry_after));
+                    return JobOutcome::Refused(history.refusal(retry_after));
                 }
             };
             // While the request was queued it may have become held, and the endpoint may have asked for a pause or begun to drain.
             if self.is_held() {
-                return Tried::Refused(story.held(self));
+                return JobOutcome::Refused(history.held_refusal(self));
             }
-            if endpoint.rest_left().is_some() || endpoint.is_draining() {
+            if endpoint.backoff_left().is_some() || endpoint.is_draining() {
                 continue;
             }
-            let is_tried_again = story
+            let is_tried_again = history
                 .tried
                 .last()
                 .is_some_and(|last| Arc::ptr_eq(last, &endpoint));
             if !is_tried_again {
-                story.tried.push(Arc::clone(&endpoint));
+                history.tried.push(Arc::clone(&endpoint));
             }
             let dialect = &*self.gateway.dialect;
-            let fetch_from = self.fetch_source(&endpoint);
-            story.fetched_from = fetch_from;
+            let fetch_from = self.kv_source(&endpoint);
+            history.fetched_from = fetch_from;
             let outgoing = &self.outgoing;
-            let sent = attempt::send(dialect, &endpoint, outgoing, last_event, fetch_from, place);
+            let sent = attempt::send(dialect, &endpoint, outgoing, last_event, fetch_from, grant);
             match sent.await {
-                Attempt::Answered(answer) => {
-                    story.attempts += 1;
-                    return Tried::Answered(answer);
+                AttemptOutcome::Answered(answer) => {
+                    history.attempts += 1;
+                    return JobOutcome::Answered(answer);
                 }
-                Attempt::NotSent => {
-                    story.cause = "no connection";
-                    story.not_sent += 1;
-                    if story.not_sent - not_sent_before >= MAX_NOT_SENT {
-                        return Tried::Refused(story.refusal(NO_ENDPOINT_RETRY));
+                AttemptOutcome::NotSent => {
+                    history.cause = "no connection";
+                    history.not_sent += 1;
+                    if history.not_sent - not_sent_before >= MAX_NOT_SENT {
+                        return JobOutcome::Refused(history.refusal(NO_ENDPOINT_RETRY));
                     }
                 }
-                Attempt::NotRun(status) => {
-                    story.attempts += 1;
-                    story.status = status.as_u16();
-                    story.cause = "the endpoint refused";
-                    if !self.may_repeat(story) {
-                        return Tried::Refused(story.refusal(NO_ENDPOINT_RETRY));
+                AttemptOutcome::NotRun(status) => {
+                    history.attempts += 1;
+                    history.status = status.as_u16();
+                    history.cause = "the endpoint refused";
+                    if !self.may_retry(history) {
+                        return JobOutcome::Refused(history.refusal(NO_ENDPOINT_RETRY));
                     }
                 }
-                Attempt::Unknown(cause) => {
-                    story.attempts += 1;
-                    story.note_run(cause);
-                    if !(self.is_idempotent() && self.may_repeat(story)) {
-                        return Tried::Refused(Refusal::Unknown);
+                AttemptOutcome::Unknown(cause) => {
+                    history.attempts += 1;
+                    history.record_possible_run(cause);
+                    if !(self.is_idempotent() && self.may_retry(history)) {
+                        return JobOutcome::Refused(Refusal::Unknown);
                     }
                 }
-                Attempt::TimedOut => {
-                    story.attempts += 1;
-                    return Tried::Refused(Refusal::TimedOut);
+                AttemptOutcome::TimedOut => {
+                    history.attempts += 1;
+                    return JobOutcome::Refused(Refusal::TimedOut);
                 }
             }
         }
@@ -197,18 +201,18 @@
 
     /// Returns whether the request is held because several endpoints ended while they ran it.
     fn is_held(&self) -> bool {
-        self.gateway.held.suspects.is_held(&self.outgoing)
+        self.gateway.routing.suspects.is_held(&self.outgoing)
     }
 
     /// Records that an endpoint has completed the request, so the ends of earlier endpoints had another cause.
-    pub(crate) fn completed(&self, story: &Story) {
-        if story.tried.len() > 1 {
+    pub(crate) fn completed(&self, history: &History) {
+        if history.tried.len() > 1 {
             let key = self.outgoing.key();
-            for endpoint in &story.tried {
-                endpoint.forgive(&key);
+            for endpoint in &history.tried {
+                endpoint.forget_broken(&key);
             }
         }
-        self.gateway.held.suspects.completed(&self.outgoing);
+        self.gateway.routing.suspects.completed(&self.outgoing);
     }
 
     /// Returns the recent usage of the request's team at the other endpoints of the service.
@@ -216,34 +220,34 @@
         let Some(team) = &self.outgoing.team else {
             return 0;
         };
-        let everywhere = self.teams().used_by(team);
+        let everywhere = self.team_usage().used_by(team);
         everywhere.saturating_sub(endpoint.used_by(team))
     }
 
     /// Returns how far the usage of the request's team lags behind that of the team with the most.
     fn lag(&self) -> UsageLag {
         let team = self.outgoing.team.as_deref();
-        team.map_or(UsageLag::Even, |team| self.teams().lag_of(team))
+        team.map_or(UsageLag::Even, |team| self.team_usage().lag_of(team))
     }
 
-    fn teams(&self) -> Arc<Teams> {
+    fn team_usage(&self) -> Arc<TeamUsage> {
         let listed = self.fleet.of_service(&self.service);
-        self.gateway.teams(&self.service, listed)
+        self.gateway.team_usage(&self.service, listed)
     }
 
     /// Requests a slot from the admission beside a model engine.
-    async fn admit(&self, endpoint: &Arc<Endpoint>, story: &Story) -> Admitted {
-        let (Some(admitter), Some(prompt)) = (&endpoint.admitter, &self.prompt) else {
-            return Admitted::Unasked;
+    async fn admit(&self, endpoint: &Arc<Endpoint>, history: &History) -> AskOutcome {
+        let (Some(admission), Some(prompt)) = (&endpoint.admission, &self.prompt) else {
+            return AskOutcome::Unasked;
         };
         if self.engine.is_none() {
-            return Admitted::Unasked;
+            return AskOutcome::Unasked;
         }
         let engines = self.fleet.of_service(&self.service).len();
-        admitter.follow(endpoint, engines, &self.gateway.data_center);
-        endpoint.asks(prompt.unshared_tokens());
+        admission.follow(endpoint, engines, &self.gateway.data_center);
+        endpoint.record_ask(prompt.unshared_tokens());
         let (shared_key, shared_tokens) = prompt.shared_key().unwrap_or_default();
-        let (rank, budget) = self.urgency(story);
+        let (rank, budget) = self.urgency(history);
         let ask = AdmitAsk {
             // Assigned when the ask is sent.
             number: 0,
@@ -257,7 +261,7 @@
             budget_ms: u64::try_from(budget.as_millis()).unwrap_or(u64::MAX),
             elsewhere_tokens: self.used_elsewhere(endpoint),
         };
-        admitter.ask(endpoint, ask).await
+        admission.ask(endpoint, ask).await
     }
 
     /// Returns the rank of an ask, and the time within which the answer must begin.
@@ -265,34 +269,34 @@
     /// When an endpoint ends under load, all of its streams look for other endpoints at once, where the queues are already full. A
     /// refused stream loses all work that was done for it, so a resumed stream ranks before requests that have not begun, and may
     /// wait for as long as its caller does. A request that was only refused elsewhere has used up part of its time.
-    fn urgency(&self, story: &Story) -> (u32, Duration) {
-        if story.first_piece.is_some() {
+    fn urgency(&self, history: &History) -> (u32, Duration) {
+        if history.first_chunk.is_some() {
             let left = self
                 .outgoing
                 .ends_at
                 .saturating_duration_since(Instant::now());
-            return (FIRST_RANK, left.min(RESUME_BUDGET));
+            return (RESUMED_RANK, left.min(RESUME_BUDGET));
         }
         let target = Duration::from_millis(self.route.target_latency_ms);
-        let rank = self.rank.saturating_add(FIRST_RANK + 1);
+        let rank = self.rank.saturating_add(RESUMED_RANK + 1);
         (rank, target.saturating_sub(self.arrived.elapsed()))
     }
 
     /// Resumes a broken stream at another endpoint, after the last event that the caller has received.
     pub(crate) async fn resume(
         &self,
-        story: &mut Story,
+        history: &mut History,
         last_event: Option<u64>,
     ) -> Option<Box<Answer>> {
-        if !self.is_idempotent() || !self.may_repeat(story) {
+        if !self.is_idempotent() || !self.may_retry(history) {
             return None;
         }
-        match self.attempts(story, last_event).await {
-            Tried::Answered(answer) if answer.response.status() == StatusCode::OK => {
+        match self.attempts(history, last_event).await {
+            JobOutcome::Answered(answer) if answer.response.status() == StatusCode::OK => {
                 self.gateway.metrics.resumed.inc();
                 Some(answer)
             }
-            Tried::Answered(_) | Tried::Refused(_) => None,
+            JobOutcome::Answered(_) | JobOutcome::Refused(_) => None,
         }
     }
 
@@ -323,15 +327,15 @@
     }
 
     /// Records that an endpoint caches the prompt's shared prefix, now that its answer has begun.
-    pub(crate) fn note_kept(&self, endpoint: &Endpoint) {
+    pub(crate) fn record_cached(&self, endpoint: &Endpoint) {
         let shared = self.prompt.as_ref().and_then(Prompt::shared_key);
         if let Some((key, _)) = shared.filter(|_| self.route.prompts) {
-            self.gateway.note_kept(key, endpoint.incarnation);
+            self.gateway.record_cached(key, endpoint.incarnation);
         }
     }
 
     /// Returns the engine from which an endpoint fetches the prompt's shared prefix; `None` if it should have the prefix itself.
-    fn fetch_source(&self, endpoint: &Endpoint) -> Option<SocketAddr> {
+    fn kv_source(&self, endpoint: &Endpoint) -> Option<SocketAddr> {
         let engine = self.engine.as_ref()?;
         let prompt = self.prompt.as_ref().filter(|_| self.route.prompts)?;
         let copy_token = token_copy_time(engine.token_bytes?, engine.link_mbps?)?;
@@ -339,45 +343,49 @@
         if holders.contains(&endpoint.incarnation) {
             return None;
         }
-        let fleet = self.gateway.held.current();
+        let fleet = self.gateway.routing.current();
         let listed = fleet.of_service(&self.service).iter();
-        let sound: SmallVec<[&Arc<Endpoint>; 16]> = listed
+        let usable: SmallVec<[&Arc<Endpoint>; 16]> = listed
             .filter(|listed| listed.is_open() && listed.has_fresh_load())
             .collect();
-        let sources: SmallVec<[KvSource; 16]> = sound
+        let sources: SmallVec<[KvSource; 16]> = usable
             .iter()
             .map(|endpoint| KvSource {
                 hash: endpoint.hash,
                 incarnation: endpoint.incarnation,
             })
             .collect();
-        let place = choose_kv_source(&sources, &holders, prompt, copy_token)?;
-        let source = sound[place].described.address;
-        (source != endpoint.described.address).then_some(source)
+        let index = choose_kv_source(&sources, &holders, prompt, copy_token)?;
+        let source = usable[index].description.address;
+        (source != endpoint.description.address).then_some(source)
     }
 
     /// Chooses an endpoint, preferably one that was not tried and is not ejected by its circuit breaker.
-    fn pick(&self, story: &mut Story) -> Option<Arc<Endpoint>> {
+    fn pick(&self, history: &mut History) -> Option<Arc<Endpoint>> {
         // The current list, not that of the request's arrival: endpoints may have left or started since then.
-        let fleet = self.gateway.held.current();
+        let fleet = self.gateway.routing.current();
         let listed = fleet.of_service(&self.service);
         let listed = listed.iter().filter(|endpoint| !endpoint.is_draining());
         // A requested pause is binding: no request goes to such an endpoint, even if no other is left.
-        let mut shortest_rest: Option<Duration> = None;
+        let mut shortest_backoff: Option<Duration> = None;
         let listed: SmallVec<[&Arc<Endpoint>; 16]> = listed
             .filter(|endpoint| {
-                let rest = endpoint.rest_left();
-                let rests = rest.into_iter().chain(shortest_rest);
-                shortest_rest = rests.min();
-                rest.is_none()
+                let backoff = endpoint.backoff_left();
+                let backoffs = backoff.into_iter().chain(shortest_backoff);
+                shortest_backoff = backoffs.min();
+                backoff.is_none()
             })
             .collect();
         if listed.is_empty() {
-            story.note_rest(shortest_rest);
+            history.record_backoff(shortest_backoff);
             return None;
         }
         let is_new = |endpoint: &Arc<Endpoint>| {
-            let mut known = story.tried.iter().chain(&story.refused).chain(&story.gone);
+            let mut known = history
+                .tried
+                .iter()
+                .chain(&history.refused)
+                .chain(&history.gone);
             !known.any(|known| Arc::ptr_eq(known, endpoint))
         };
         let open = listed.iter().filter(|endpoint| endpoint.is_open());
@@ -390,16 +398,16 @@
             open
         };
         let holders = self.holders();
-        let described = usable.iter().map(|endpoint| {
+        let description = usable.iter().map(|endpoint| {
             let has_cached_prefix = holders.contains(&endpoint.incarnation);
             endpoint.candidate(&self.gateway.data_center, has_cached_prefix)
         });
-        let (candidates, ages): (Vec<Candidate>, Vec<u128>) = described.unzip();
-        story.candidates = candidates.len();
+        let (candidates, ages): (Vec<Candidate>, Vec<u128>) = description.unzip();
+        history.candidates = candidates.len();
         let rules = &self.gateway.choice;
         let prompt = self.prompt.as_ref().filter(|_| self.route.prompts);
         let (far_bytes, draw) = (self.far_bytes(), rand::random());
-        let place = if story.refused.is_empty() {
+        let index = if history.refused.is_empty() {
             choose_endpoint(&candidates, prompt, far_bytes, rules, draw)
         } else {
             let room = self.room();
@@ -413,8 +421,8 @@
                 draw,
             )
         }?;
-        story.running = candidates[place].running;
-        story.load_age_ms = ages[place];
-        Some(Arc::clone(usable[place]))
+        history.running = candidates[index].running;
+        history.load_age_ms = ages[index];
+        Some(Arc::clone(usable[index]))
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -4,38 +4,38 @@
 //! headers for the endpoint. Routes, teams and endpoints come from control and are versioned: a gateway never goes back to
 //! an older version.
 
-mod admit;
+mod admission;
+mod admission_stream;
 mod answer;
-mod apart;
 mod attempt;
 mod batch;
 mod body;
 mod connections;
+mod dedicated_thread;
 mod dialect;
-mod door;
 mod endpoint;
 mod events;
-mod fleet;
 mod follow;
 mod gateway;
 mod handoff;
 mod headers;
+mod history;
 mod job;
-mod line;
-mod load;
-mod meet;
+mod listener;
 mod metrics;
-mod neighbours;
+mod notices;
+mod overload;
+mod peer_discovery;
+mod peer_updates;
 mod pool;
-mod pump;
 mod refusal;
-mod said;
+mod routing_state;
 mod serve;
-mod story;
+mod streaming;
+mod suspect_reports;
 mod suspects;
 mod takeover;
-mod teams;
-mod tell;
+mod team_usage;
 
 pub use dialect::{AnswerFacts, Dialect, Disposition, EndpointLoad, ForwardFacts, RequestFacts};
 pub use events::EventSplitter;
--- a/crates/gateway/src/door.rs
+++ b/crates/gateway/src/listener.rs
@@ -13,19 +13,19 @@
 
 /// A listener for callers that is closed while connections are refused.
 #[derive(Debug)]
-pub(crate) struct Door {
+pub(crate) struct CallerListener {
     listener: Option<TcpListener>,
     /// Address to bind again; `None` if it could not be read, in which case the listener always stays open.
     address: Option<SocketAddr>,
-    is_closed: watch::Receiver<bool>,
+    is_paused: watch::Receiver<bool>,
 }
 
-impl Door {
-    pub(crate) fn new(listener: TcpListener, is_closed: watch::Receiver<bool>) -> Self {
+impl CallerListener {
+    pub(crate) fn new(listener: TcpListener, is_paused: watch::Receiver<bool>) -> Self {
         Self {
             address: listener.local_addr().ok(),
             listener: Some(listener),
-            is_closed,
+            is_paused,
         }
     }
 
@@ -39,23 +39,23 @@
             self.follow().await?;
             let Some(listener) = &self.listener else {
                 // The sender is dropped only when the gateway ends.
-                let _changed_or_gone = self.is_closed.changed().await;
+                let _changed_or_gone = self.is_paused.changed().await;
                 continue;
             };
             tokio::select! {
                 accepted = listener.accept() => return accepted,
-                _changed_or_gone = self.is_closed.changed() => {}
+                _changed_or_gone = self.is_paused.changed() => {}
             }
         }
     }
 
     /// Binds or closes the listener as overload control said last.
     async fn follow(&mut self) -> io::Result<()> {
-        let is_closed = *self.is_closed.borrow_and_update();
+        let is_paused = *self.is_paused.borrow_and_update();
         let Some(address) = self.address else {
             return Ok(());
         };
-        if is_closed {
+        if is_paused {
             self.listener = None;
         } else if self.listener.is_none() {
             let bound = TcpListener::bind(address).await;
--- a/crates/gateway/src/door/tests.rs
+++ b/crates/gateway/src/listener/tests.rs
@@ -9,7 +9,7 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-use super::Door;
+use super::CallerListener;
 
 /// Starts a listener and counts the connections that it accepts.
 async fn open() -> (
@@ -22,11 +22,11 @@
         .await
         .expect("a port is free");
     let address = listener.local_addr().expect("it is bound");
-    let (closed, is_closed) = watch::channel(false);
+    let (closed, is_paused) = watch::channel(false);
     let (count, accepted) = watch::channel(0);
-    let mut door = Door::new(listener, is_closed);
+    let mut listener = CallerListener::new(listener, is_paused);
     let task = tokio::spawn(async move {
-        while let Ok(_connection) = door.accept().await {
+        while let Ok(_connection) = listener.accept().await {
             count.send_modify(|count| *count += 1);
         }
     });
@@ -61,12 +61,12 @@
         // Closing a listener resets the connections in its accept queue, whose callers have already sent requests.
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
         let address = listener.local_addr().expect("it is bound");
-        let (closed, is_closed) = watch::channel(false);
-        let mut door = Door::new(listener, is_closed);
+        let (closed, is_paused) = watch::channel(false);
+        let mut listener = CallerListener::new(listener, is_paused);
         let mut waiting = TcpStream::connect(address).await.expect("the port is bound");
         closed.send_replace(true);
         let is_taken = tokio::select! {
-            accepted = door.accept() => accepted.is_ok(),
+            accepted = listener.accept() => accepted.is_ok(),
             _cut = waiting.read_u8() => false,
         };
         assert!(is_taken, "a pending connection was reset");
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -19,8 +19,8 @@
     teams: Family<OutcomeLabels, Counter>,
     team_labels: TeamLabels,
     route_labels: TeamLabels,
-    first_piece: HistogramFamily<RouteLabels>,
-    pub(crate) repeats: Counter,
+    first_chunk: HistogramFamily<RouteLabels>,
+    pub(crate) retries: Counter,
     pub(crate) connections: Counter,
     pub(crate) connections_closed: Counter,
     pub(crate) resumed: Counter,
@@ -46,12 +46,12 @@
             ),
             team_labels: TeamLabels::default(),
             route_labels: TeamLabels::default(),
-            first_piece: registry.histograms(
+            first_chunk: registry.histograms(
                 "gateway_first_piece_seconds",
                 "Time from a request's arrival to the first piece of its answer.",
                 LATENCY_SECONDS,
             ),
-            repeats: registry.counter(
+            retries: registry.counter(
                 "gateway_repeats",
                 "Requests that were sent to a further endpoint.",
             ),
@@ -89,7 +89,7 @@
     }
 
     /// Counts the end of a request.
-    pub(crate) fn ended(&self, job: &Job, outcome: &str) {
+    pub(crate) fn record_end(&self, job: &Job, outcome: &str) {
         let route = self.route_labels.label(&job.route.name);
         let labels = [
             ("route", route.as_ref().into()),
@@ -103,29 +103,29 @@
     }
 
     /// Counts a request that was refused before a job was made for it.
-    pub(crate) fn refused(&self, outcome: &str) {
+    pub(crate) fn record_refused(&self, outcome: &str) {
         let labels = [("route", "none".into()), ("outcome", outcome.into())];
         self.requests.get_or_create(&labels).inc();
     }
 
     /// Adds the counts of overload control.
-    pub(crate) fn count(&self, tally: &OverloadCounts) {
-        for bound in LimitKind::ALL {
-            let labels = [("bound", bound.name())];
-            let refused = tally.refused_at(bound);
+    pub(crate) fn add_counts(&self, counts: &OverloadCounts) {
+        for kind in LimitKind::ALL {
+            let labels = [("bound", kind.name())];
+            let refused = counts.refused_at(kind);
             self.refused.get_or_create(&labels).inc_by(refused.into());
         }
-        self.handed_off.inc_by(tally.handed_off.into());
-        self.taken_over.inc_by(tally.taken_over.into());
-        self.declined.inc_by(tally.declined.into());
-        let shut_ms = u64::try_from(tally.closed_time.as_millis()).unwrap_or(u64::MAX);
+        self.handed_off.inc_by(counts.handed_off.into());
+        self.taken_over.inc_by(counts.taken_over.into());
+        self.declined.inc_by(counts.declined.into());
+        let shut_ms = u64::try_from(counts.closed_time.as_millis()).unwrap_or(u64::MAX);
         self.shut_ms.inc_by(shut_ms);
     }
 
     /// Records the time to the first chunk of an answer.
-    pub(crate) fn first_piece(&self, job: &Job, seconds: f64) {
+    pub(crate) fn record_first_chunk(&self, job: &Job, seconds: f64) {
         let route = self.route_labels.label(&job.route.name);
         let labels = [("route", route.as_ref().into())];
-        self.first_piece.get_or_create(&labels).observe(seconds);
+        self.first_chunk.get_or_create(&labels).observe(seconds);
     }
 }
--- a/crates/gateway/src/said.rs
+++ b/crates/gateway/src/notices.rs
@@ -9,43 +9,43 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use hinge_schema::routing::Endpoint as Described;
+use hinge_schema::routing::Endpoint as Description;
 use tokio::time::Instant;
 
 #[cfg(test)]
 mod tests;
 
 /// Maximum number of unlisted incarnations whose notices are kept.
-const MOST_UNLISTED: usize = 1_024;
+const MAX_UNLISTED: usize = 1_024;
 
 /// The notices that one incarnation of an endpoint has sent to this instance.
 #[derive(Debug, Default)]
-pub(crate) struct Said {
-    rests_until: Mutex<Option<Instant>>,
+pub(crate) struct Notices {
+    backoff_until: Mutex<Option<Instant>>,
     is_leaving: AtomicBool,
 }
 
-impl Said {
+impl Notices {
     /// Records that it wants no requests for some time, and returns whether that lasts longer than it asked for before.
-    pub(crate) fn asks_for_rest(&self, rest: Duration) -> bool {
-        let until = Instant::now() + rest;
-        let mut rests_until = self.lock();
-        let is_longer = rests_until.is_none_or(|before| before < until);
+    pub(crate) fn record_backoff(&self, backoff: Duration) -> bool {
+        let until = Instant::now() + backoff;
+        let mut backoff_until = self.lock();
+        let is_longer = backoff_until.is_none_or(|before| before < until);
         if is_longer {
-            *rests_until = Some(until);
+            *backoff_until = Some(until);
         }
         is_longer
     }
 
     /// Returns for how much longer it wants no requests.
-    pub(crate) fn rest_left(&self) -> Option<Duration> {
+    pub(crate) fn backoff_left(&self) -> Option<Duration> {
         let until = (*self.lock())?;
         let left = until.saturating_duration_since(Instant::now());
         (!left.is_zero()).then_some(left)
     }
 
     /// Records that it is shutting down, and returns whether this is new.
-    pub(crate) fn leaves(&self) -> bool {
+    pub(crate) fn record_leaving(&self) -> bool {
         !self.is_leaving.swap(true, Ordering::AcqRel)
     }
 
@@ -55,12 +55,12 @@
     }
 
     /// Returns whether any notice is still valid.
-    fn holds(&self) -> bool {
-        self.is_leaving() || self.rest_left().is_some()
+    fn are_valid(&self) -> bool {
+        self.is_leaving() || self.backoff_left().is_some()
     }
 
     fn lock(&self) -> MutexGuard<'_, Option<Instant>> {
-        self.rests_until
+        self.backoff_until
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
@@ -68,49 +68,51 @@
 
 /// The identity of one incarnation of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Start {
+struct Incarnation {
     id: Box<str>,
     address: SocketAddr,
     born_unix_ms: Option<u64>,
 }
 
-impl Start {
-    fn of(described: &Described) -> Self {
+impl Incarnation {
+    fn of(description: &Description) -> Self {
         Self {
-            id: described.id.clone(),
-            address: described.address,
-            born_unix_ms: described.born_unix_ms,
+            id: description.id.clone(),
+            address: description.address,
+            born_unix_ms: description.born_unix_ms,
         }
     }
 }
 
 /// The notices of the listed incarnations, and of those that may be listed again.
 #[derive(Debug, Default)]
-pub(crate) struct Words {
-    of: Mutex<HashMap<Start, Arc<Said>>>,
+pub(crate) struct NoticeTable {
+    by_incarnation: Mutex<HashMap<Incarnation, Arc<Notices>>>,
 }
 
-impl Words {
+impl NoticeTable {
     /// Returns the notices of an incarnation, including those from before it was last listed.
-    pub(crate) fn of(&self, described: &Described) -> Arc<Said> {
-        let mut words = self.lock();
-        Arc::clone(words.entry(Start::of(described)).or_default())
+    pub(crate) fn of(&self, description: &Description) -> Arc<Notices> {
+        let mut notices = self.lock();
+        Arc::clone(notices.entry(Incarnation::of(description)).or_default())
     }
 
     /// Forgets the incarnations that are not listed, except for a bounded number with valid notices.
-    pub(crate) fn keep(&self, listed: &[Described]) {
-        let listed: HashSet<Start> = listed.iter().map(Start::of).collect();
+    pub(crate) fn retain_listed(&self, listed: &[Description]) {
+        let listed: HashSet<Incarnation> = listed.iter().map(Incarnation::of).collect();
         let mut unlisted = 0;
-        self.lock().retain(|start, said| {
-            if listed.contains(start) {
+        self.lock().retain(|incarnation, notices| {
+            if listed.contains(incarnation) {
                 return true;
             }
-            unlisted += usize::from(said.holds());
-            said.holds() && unlisted <= MOST_UNLISTED
+            unlisted += usize::from(notices.are_valid());
+            notices.are_valid() && unlisted <= MAX_UNLISTED
         });
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<Start, Arc<Said>>> {
-        self.of.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, HashMap<Incarnation, Arc<Notices>>> {
+        self.by_incarnation
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/gateway/src/load.rs
+++ b/crates/gateway/src/overload.rs
@@ -15,35 +15,41 @@
 const TICK: Duration = Duration::from_millis(40);
 
 /// Minimum interval between log lines about the lag during an overload.
-const TELL_EVERY: Duration = Duration::from_secs(1);
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Interval at which accepted and rejected requests are counted and logged.
-const COUNT_EVERY: Duration = Duration::from_secs(1);
+const COUNT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Measures how late timer ticks fire, until the task is aborted.
 pub(crate) async fn watch_lag(shared: Arc<Shared>, readiness: Arc<Readiness>) {
     let began = Instant::now();
-    let (mut was_short, mut was_full, mut was_guarded) = (false, false, false);
-    let mut told_at = began;
+    let (mut was_overloaded, mut was_full, mut was_limiting) = (false, false, false);
+    let mut logged_at = began;
     let mut counted_at = began;
     loop {
         let due = Instant::now() + TICK;
         sleep_until(due).await;
         let now = Instant::now();
-        let (limit, lag, is_short, is_full, is_guarded) = {
+        let (limit, lag, is_overloaded, is_full, is_limiting) = {
             let mut overload = shared.overload();
             overload.record_tick(now - began, now - due);
             let (limit, lag) = (overload.limit(), overload.lag());
-            let (is_short, is_full) = (overload.is_overloaded(), overload.is_full());
-            (limit, lag, is_short, is_full, overload.limits_connections())
+            let (is_overloaded, is_full) = (overload.is_overloaded(), overload.is_full());
+            (
+                limit,
+                lag,
+                is_overloaded,
+                is_full,
+                overload.limits_connections(),
+            )
         };
-        shared.follow_overload();
-        if is_guarded != was_guarded {
-            was_guarded = is_guarded;
+        shared.apply_overload();
+        if is_limiting != was_limiting {
+            was_limiting = is_limiting;
             info!(
                 Part::Gateway,
                 "Overload control has started or stopped limiting connections.",
-                refused = is_guarded,
+                refused = is_limiting,
                 limit = limit,
                 lag_ms = lag.as_millis()
             );
@@ -63,8 +69,8 @@
                 readiness.clear(Reason::Full);
             }
         }
-        if is_short && (!was_short || told_at.elapsed() >= TELL_EVERY) {
-            told_at = now;
+        if is_overloaded && (!was_overloaded || logged_at.elapsed() >= LOG_INTERVAL) {
+            logged_at = now;
             warn!(
                 Part::Gateway,
                 "Short of processor time.",
@@ -72,40 +78,40 @@
                 limit = limit
             );
         }
-        if was_short && !is_short {
+        if was_overloaded && !is_overloaded {
             info!(
                 Part::Gateway,
                 "Processor time suffices again.",
                 limit = limit
             );
         }
-        was_short = is_short;
-        if counted_at.elapsed() >= COUNT_EVERY {
+        was_overloaded = is_overloaded;
+        if counted_at.elapsed() >= COUNT_INTERVAL {
             counted_at = now;
-            let tally = shared.overload().take_counts();
-            shared.metrics.count(&tally);
-            if tally.has_excess() {
-                tell(&tally, limit, lag);
+            let counts = shared.overload().take_counts();
+            shared.metrics.add_counts(&counts);
+            if counts.has_excess() {
+                log_counts(&counts, limit, lag);
             }
         }
     }
 }
 
 /// Logs how many requests were accepted and rejected, and why.
-fn tell(tally: &OverloadCounts, limit: u32, lag: Duration) {
+fn log_counts(counts: &OverloadCounts, limit: u32, lag: Duration) {
     info!(
         Part::Gateway,
         "Load.",
-        connections = tally.connections,
-        begun = tally.begun,
-        handed_off = tally.handed_off,
-        taken_over = tally.taken_over,
-        declined = tally.declined,
-        refused_all = tally.refused_at(LimitKind::All),
-        refused_hot_teams = tally.refused_at(LimitKind::HotTeams),
-        refused_other_teams = tally.refused_at(LimitKind::OtherTeams),
-        refused_lag = tally.refused_at(LimitKind::Lag),
-        shut_ms = tally.closed_time.as_millis(),
+        connections = counts.connections,
+        begun = counts.begun,
+        handed_off = counts.handed_off,
+        taken_over = counts.taken_over,
+        declined = counts.declined,
+        refused_all = counts.refused_at(LimitKind::All),
+        refused_hot_teams = counts.refused_at(LimitKind::HotTeams),
+        refused_other_teams = counts.refused_at(LimitKind::OtherTeams),
+        refused_lag = counts.refused_at(LimitKind::Lag),
+        shut_ms = counts.closed_time.as_millis(),
         limit = limit,
         lag_ms = lag.as_millis()
     );
@@ -113,12 +119,12 @@
 
 /// A request in progress, counted against the overload limits until it is dropped.
 #[derive(Debug)]
-pub(crate) struct Running {
+pub(crate) struct RunningRequest {
     shared: Arc<Shared>,
     team: Box<str>,
 }
 
-impl Running {
+impl RunningRequest {
     /// Admits a caller's request, unless this gateway is overloaded.
     ///
     /// # Errors
@@ -134,7 +140,7 @@
     }
 }
 
-impl Running {
+impl RunningRequest {
     /// Admits a request that another gateway hands off, if the limits allow it.
     pub(crate) fn take_over(shared: &Arc<Shared>, team: Option<&str>) -> Option<Self> {
         let team = team.unwrap_or_default();
@@ -146,7 +152,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningRequest {
     fn drop(&mut self) {
         self.shared.overload().request_ended(&self.team);
     }
--- a/crates/gateway/src/meet.rs
+++ b/crates/gateway/src/peer_discovery.rs
@@ -17,38 +17,38 @@
 use crate::gateway::Shared;
 
 /// Interval between queries until each control instance has been queried once, and afterwards.
-const FIRST_EVERY: Duration = Duration::from_secs(1);
-const LATER_EVERY: Duration = Duration::from_secs(5);
+const FIRST_INTERVAL: Duration = Duration::from_secs(1);
+const LATER_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Timeout of a query, after which the next instance is queried.
-const WAIT: Duration = Duration::from_millis(500);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Queries control instances in turn until the task is aborted.
-pub(crate) async fn run(client: Client, question: MeetGateways, shared: Arc<Shared>) {
+pub(crate) async fn run(client: Client, query: MeetGateways, shared: Arc<Shared>) {
     let from = rand::random::<u32>() as usize;
     let mut asked = 0;
     loop {
-        let known = shared.held.known_control.load_full();
+        let known = shared.routing.known_control.load_full();
         let is_first_round = asked < known.len().max(1);
         sleep(if is_first_round {
-            FIRST_EVERY
+            FIRST_INTERVAL
         } else {
-            LATER_EVERY
+            LATER_INTERVAL
         })
         .await;
-        let known = shared.held.known_control.load_full();
+        let known = shared.routing.known_control.load_full();
         let Some(address) = known.get((from + asked) % known.len().max(1)) else {
             continue;
         };
         asked += 1;
-        let called = client.call(address, MEET_GATEWAYS_PATH, &question, WAIT);
+        let called = client.call(address, MEET_GATEWAYS_PATH, &query, QUERY_TIMEOUT);
         let answered: Result<NearbyGateways, _> = called.await;
         match answered {
             Ok(nearby) => {
                 let addresses = nearby.addresses.iter();
                 let addresses: Vec<SocketAddr> =
                     addresses.filter_map(|text| text.parse().ok()).collect();
-                shared.handoffs.named(&addresses);
+                shared.handoffs.set_peers(&addresses);
             }
             Err(cause) => debug!(
                 Part::Gateway,
--- a/crates/gateway/src/neighbours.rs
+++ b/crates/gateway/src/peer_updates.rs
@@ -17,7 +17,7 @@
 use tokio::time::Instant;
 use viz::{IntoResponse, Request, Router};
 
-use crate::fleet::Held;
+use crate::routing_state::RoutingState;
 
 #[cfg(test)]
 mod tests;
@@ -27,27 +27,27 @@
 
 /// Time without control after which other gateways are queried. An election takes about a second, during which nothing is committed
 /// that they could know.
-const ASK_AFTER: Duration = Duration::from_secs(1);
+const QUERY_AFTER: Duration = Duration::from_secs(1);
 
 /// Minimum interval between queries, a fraction of the seconds within which a change must take effect.
-const ASK_EVERY: Duration = Duration::from_millis(300);
+const QUERY_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Timeout of a query, which takes a round trip and the transfer of a table.
-const WAIT: Duration = Duration::from_millis(300);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// The other gateways that can be queried for updates.
 #[derive(Debug)]
-pub(crate) struct Neighbours {
+pub(crate) struct PeerUpdates {
     addresses: Vec<Box<str>>,
-    asked_at: Instant,
+    queried_at: Instant,
 }
 
-impl Neighbours {
+impl PeerUpdates {
     /// Creates an empty set.
     pub(crate) fn new() -> Self {
         Self {
             addresses: Vec::new(),
-            asked_at: Instant::now(),
+            queried_at: Instant::now(),
         }
     }
 
@@ -55,21 +55,26 @@
     ///
     /// A control instance that has just started, or that no other gateway follows, lists none. The earlier addresses may still be
     /// reachable, and without them a gateway that loses that instance as well would receive no updates.
-    pub(crate) fn named(&mut self, addresses: Vec<Box<str>>) {
+    pub(crate) fn set_addresses(&mut self, addresses: Vec<Box<str>>) {
         if !addresses.is_empty() {
             self.addresses = addresses;
         }
     }
 
     /// Queries the other gateways and applies their updates, if control has been unreachable for long enough.
-    pub(crate) async fn learn(&mut self, client: &Client, held: &Held, question: &WatchRoutes) {
-        let is_due = held.age() >= ASK_AFTER && self.asked_at.elapsed() >= ASK_EVERY;
+    pub(crate) async fn fetch(
+        &mut self,
+        client: &Client,
+        routing: &RoutingState,
+        query: &WatchRoutes,
+    ) {
+        let is_due = routing.age() >= QUERY_AFTER && self.queried_at.elapsed() >= QUERY_INTERVAL;
         if !is_due {
             return;
         }
-        self.asked_at = Instant::now();
+        self.queried_at = Instant::now();
         let asked = self.addresses.iter().map(|address| async move {
-            let asked = client.call(address, NEWER_PATH, question, WAIT);
+            let asked = client.call(address, NEWER_PATH, query, QUERY_TIMEOUT);
             // A gateway that does not answer is queried again in the next round.
             let update: Option<RoutesUpdate> = asked.await.ok();
             (address, update)
@@ -82,12 +87,12 @@
                 Part::Gateway,
                 "Another gateway tells of changes.",
                 address = address,
-                without_ms = held.age().as_millis(),
+                without_ms = routing.age().as_millis(),
                 table = update.table.as_ref().map_or(0, |table| table.number),
                 endpoints = update.endpoints.as_ref().map_or(0, |list| list.version),
                 suspects = update.suspects.as_ref().map_or(0, |list| list.version)
             );
-            held.take_in(update);
+            routing.apply(update);
         }
     }
 }
@@ -97,7 +102,11 @@
 }
 
 /// Returns the routes for the readiness check and for other gateways' queries.
-pub(crate) fn routes(readiness: Arc<Readiness>, key: ClusterKey, held: Arc<Held>) -> Router {
+pub(crate) fn routes(
+    readiness: Arc<Readiness>,
+    key: ClusterKey,
+    routing: Arc<RoutingState>,
+) -> Router {
     let ready = move |_request: Request| {
         let is_ready = readiness.is_ready();
         async move {
@@ -110,9 +119,9 @@
         }
     };
     let newer = move |request: Request| {
-        let (key, held) = (key.clone(), Arc::clone(&held));
+        let (key, routing) = (key.clone(), Arc::clone(&routing));
         async move {
-            let answer = async |question: WatchRoutes| Ok(held.newer_than(&question));
+            let answer = async |query: WatchRoutes| Ok(routing.changes_since(&query));
             unary(&key, request, answer).await
         }
     };
--- a/crates/gateway/src/neighbours/tests.rs
+++ b/crates/gateway/src/peer_updates/tests.rs
@@ -2,14 +2,14 @@
 
 use hinge_cases::cases;
 
-use super::Neighbours;
+use super::PeerUpdates;
 
 fn after(answers: &[&[&str]]) -> Vec<Box<str>> {
-    let mut neighbours = Neighbours::new();
-    for named in answers {
-        neighbours.named(named.iter().map(|address| Box::from(*address)).collect());
+    let mut peer_updates = PeerUpdates::new();
+    for listed in answers {
+        peer_updates.set_addresses(listed.iter().map(|address| Box::from(*address)).collect());
     }
-    neighbours.addresses
+    peer_updates.addresses
 }
 
 cases! {
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -20,11 +20,11 @@
 const USER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Time for which an idle connection is reused when the endpoint states no keep-alive time.
-const KEEP_IDLE: Duration = Duration::from_secs(4);
+const DEFAULT_REUSE_TIME: Duration = Duration::from_secs(4);
 
 /// Part of an endpoint's keep-alive time for which a connection is reused, in thousandths. The margin avoids sending a request
 /// while the endpoint closes the connection: such a request may have run.
-const KEEP_PERMILLE: u32 = 700;
+const KEEP_ALIVE_PERMILLE: u32 = 700;
 
 /// Idle connections kept to each endpoint; it never needs more at once than it has slots.
 pub(crate) const MAX_IDLE: usize = 64;
@@ -65,7 +65,8 @@
 
     /// Returns a connection whose answer has ended to the pool.
     pub(crate) fn keep(&self, sender: Sender, keep_alive: Option<Duration>) {
-        let keep_for = keep_alive.map_or(KEEP_IDLE, |time| time * KEEP_PERMILLE / 1000);
+        let keep_for =
+            keep_alive.map_or(DEFAULT_REUSE_TIME, |time| time * KEEP_ALIVE_PERMILLE / 1000);
         let mut idle = self.lock();
         if idle.len() < self.max_idle && !sender.is_closed() {
             idle.push(Idle {
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/routing_state.rs
@@ -13,14 +13,14 @@
 use hinge_telemetry::log::Part;
 use tokio::time::Instant;
 
-use crate::admit::{Admitter, Ways};
+use crate::admission::{AdmissionAccess, AdmissionClient};
 use crate::endpoint::Endpoint;
-use crate::said::Words;
+use crate::notices::NoticeTable;
 use crate::suspects::{Evidence, Suspects};
 
 /// An immutable snapshot of the routes and endpoints.
 #[derive(Debug, Default)]
-pub(crate) struct Fleet {
+pub(crate) struct RoutingSnapshot {
     pub(crate) lookup: Option<Arc<RouteIndex>>,
     /// Latest list of endpoints from control, if any.
     list: Option<Arc<EndpointList>>,
@@ -28,7 +28,7 @@
     by_service: HashMap<Box<str>, Vec<Arc<Endpoint>>>,
 }
 
-impl Fleet {
+impl RoutingSnapshot {
     /// Returns the endpoints of a service that take requests.
     pub(crate) fn of_service(&self, service: &str) -> &[Arc<Endpoint>] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
@@ -49,13 +49,13 @@
 
 /// The newest routes and endpoints; an update with an older version is ignored.
 #[derive(Debug)]
-pub(crate) struct Held {
-    current: ArcSwap<Fleet>,
+pub(crate) struct RoutingState {
+    current: ArcSwap<RoutingSnapshot>,
     writer: Mutex<()>,
     /// How to reach the admissions beside the endpoints; `None` without admissions.
-    admissions: Option<Ways>,
+    admission_access: Option<AdmissionAccess>,
     pub(crate) suspects: Arc<Suspects>,
-    words: Words,
+    notices: NoticeTable,
     /// Control instances that receive this gateway's reports: the followed one, or several while none is followed.
     pub(crate) control: ArcSwap<Vec<Address>>,
     /// All known control instances.
@@ -65,15 +65,15 @@
     confirmed_ms: AtomicU64,
 }
 
-impl Held {
+impl RoutingState {
     /// Creates a state without routes and endpoints.
-    pub(crate) fn new(admissions: Option<Ways>, suspects: Suspects) -> Self {
+    pub(crate) fn new(admission_access: Option<AdmissionAccess>, suspects: Suspects) -> Self {
         Self {
             current: ArcSwap::default(),
             writer: Mutex::default(),
-            admissions,
+            admission_access,
             suspects: Arc::new(suspects),
-            words: Words::default(),
+            notices: NoticeTable::default(),
             control: ArcSwap::default(),
             known_control: ArcSwap::default(),
             began: Instant::now(),
@@ -94,114 +94,115 @@
     }
 
     /// Returns the current snapshot, without a lock.
-    pub(crate) fn current(&self) -> Arc<Fleet> {
+    pub(crate) fn current(&self) -> Arc<RoutingSnapshot> {
         self.current.load_full()
     }
 
     /// Puts a newer route table in force; an older one is ignored.
-    pub(crate) fn put_table(&self, table: RouteTable) {
+    pub(crate) fn apply_table(&self, table: RouteTable) {
         let _writer = self.writer.lock().unwrap_or_else(PoisonError::into_inner);
-        let held = self.current();
-        if table.number <= held.table_number() {
+        let current = self.current();
+        if table.number <= current.table_number() {
             return;
         }
         info!(
             Part::Gateway,
             "A route table is in force.",
             number = table.number,
-            before = held.table_number(),
+            before = current.table_number(),
             routes = table.routes.len(),
             teams = table.teams.len()
         );
-        self.current.store(Arc::new(Fleet {
+        self.current.store(Arc::new(RoutingSnapshot {
             lookup: Some(Arc::new(RouteIndex::new(table))),
-            list: held.list.clone(),
-            by_id: held.by_id.clone(),
-            by_service: held.by_service.clone(),
+            list: current.list.clone(),
+            by_id: current.by_id.clone(),
+            by_service: current.by_service.clone(),
         }));
     }
 
     /// Applies the newer parts of an update, and returns whether there is a route table now.
-    pub(crate) fn take_in(&self, update: RoutesUpdate) -> bool {
+    pub(crate) fn apply(&self, update: RoutesUpdate) -> bool {
         if let Some(table) = update.table {
-            self.put_table(table);
+            self.apply_table(table);
         }
         if let Some(list) = update.endpoints {
-            self.put_endpoints(list);
+            self.apply_endpoints(list);
         }
         if let Some(list) = update.suspects {
-            self.suspects.take_in(&list);
+            self.suspects.apply(&list);
         }
         self.current().table_number() > 0
     }
 
     /// Returns everything that is newer than the versions in a query.
-    pub(crate) fn newer_than(&self, question: &WatchRoutes) -> RoutesUpdate {
-        let held = self.current();
-        let lookup = held.lookup.as_ref();
-        let newer = lookup.filter(|_| held.table_number() > question.table_number);
-        let list = held.list.as_ref();
-        let list = list.filter(|list| list.version > question.endpoints_version);
+    pub(crate) fn changes_since(&self, query: &WatchRoutes) -> RoutesUpdate {
+        let current = self.current();
+        let lookup = current.lookup.as_ref();
+        let newer = lookup.filter(|_| current.table_number() > query.table_number);
+        let list = current.list.as_ref();
+        let list = list.filter(|list| list.version > query.endpoints_version);
         RoutesUpdate {
             table: newer.map(|lookup| lookup.table().clone()),
             endpoints: list.map(|list| EndpointList::clone(list)),
-            suspects: question
+            suspects: query
                 .suspects_version
-                .and_then(|version| self.suspects.newer_than(version)),
+                .and_then(|version| self.suspects.changes_since(version)),
             control: Vec::new(),
             gateways: Vec::new(),
         }
     }
 
-    fn endpoint(&self, described: hinge_schema::routing::Endpoint) -> Endpoint {
-        let admissions = self.admissions.as_ref();
-        let admitter = admissions.map(|ways| Admitter::new(described.address, ways.clone()));
-        let said = self.words.of(&described);
-        Endpoint::new(described, admitter, Arc::clone(&self.suspects), said)
+    fn new_endpoint(&self, description: hinge_schema::routing::Endpoint) -> Endpoint {
+        let admission_access = self.admission_access.as_ref();
+        let admission = admission_access
+            .map(|access| AdmissionClient::new(description.address, access.clone()));
+        let notices = self.notices.of(&description);
+        Endpoint::new(description, admission, Arc::clone(&self.suspects), notices)
     }
 
     /// Applies a newer list of endpoints; an older one is ignored.
-    pub(crate) fn put_endpoints(&self, list: EndpointList) {
+    pub(crate) fn apply_endpoints(&self, list: EndpointList) {
         let _writer = self.writer.lock().unwrap_or_else(PoisonError::into_inner);
-        let held = self.current();
-        if list.version <= held.endpoints_version() {
+        let current = self.current();
+        if list.version <= current.endpoints_version() {
             return;
         }
-        self.words.keep(&list.endpoints);
+        self.notices.retain_listed(&list.endpoints);
         let mut by_id = HashMap::new();
         let mut by_service: HashMap<Box<str>, Vec<Arc<Endpoint>>> = HashMap::new();
         let mut ready = 0_usize;
-        for described in list.endpoints.iter().cloned() {
-            let is_ready = described.state == EndpointState::Ready;
-            let known = held.by_id.get(&described.id);
-            let known = known.filter(|known| known.is_same_start(&described));
+        for description in list.endpoints.iter().cloned() {
+            let is_ready = description.state == EndpointState::Ready;
+            let known = current.by_id.get(&description.id);
+            let known = known.filter(|known| known.is_same_incarnation(&description));
             let endpoint = known
                 .cloned()
-                .unwrap_or_else(|| Arc::new(self.endpoint(described)));
+                .unwrap_or_else(|| Arc::new(self.new_endpoint(description)));
             if is_ready && !endpoint.is_draining() {
                 ready += 1;
-                let service = endpoint.described.service.clone();
+                let service = endpoint.description.service.clone();
                 by_service
                     .entry(service)
                     .or_default()
                     .push(Arc::clone(&endpoint));
             } else if !is_ready {
-                endpoint.leaves();
+                endpoint.record_planned_stop();
             }
-            by_id.insert(endpoint.described.id.clone(), endpoint);
+            by_id.insert(endpoint.description.id.clone(), endpoint);
         }
         let addresses: HashSet<SocketAddr> = by_id
             .values()
-            .map(|endpoint| endpoint.described.address)
+            .map(|endpoint| endpoint.description.address)
             .collect();
-        for (id, endpoint) in &held.by_id {
+        for (id, endpoint) in &current.by_id {
             match by_id.get(id) {
-                None if addresses.contains(&endpoint.described.address) => {
-                    endpoint.ended(Evidence::Replaced);
+                None if addresses.contains(&endpoint.description.address) => {
+                    endpoint.record_ended(Evidence::Replaced);
                     endpoint.drain();
                 }
-                None => endpoint.leaves(),
-                Some(next) if !Arc::ptr_eq(next, endpoint) => endpoint.started_again(),
+                None => endpoint.record_planned_stop(),
+                Some(next) if !Arc::ptr_eq(next, endpoint) => endpoint.record_restart(),
                 Some(_same) => {}
             }
         }
@@ -209,12 +210,12 @@
             Part::Gateway,
             "The endpoints have changed.",
             version = list.version,
-            before = held.endpoints_version(),
+            before = current.endpoints_version(),
             listed = by_id.len(),
             ready = ready
         );
-        self.current.store(Arc::new(Fleet {
-            lookup: held.lookup.clone(),
+        self.current.store(Arc::new(RoutingSnapshot {
+            lookup: current.lookup.clone(),
             list: Some(Arc::new(list)),
             by_id,
             by_service,
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -15,23 +15,23 @@
 use hyper::body::Incoming;
 use tokio::time::{Instant, timeout_at};
 
-use crate::answer::{NotWhole, is_read_whole, read_whole};
+use crate::answer::{ReadError, is_read_whole, read_whole};
 use crate::attempt::{Answer, Outgoing};
 use crate::body::AnswerBody;
 use crate::dialect::RequestFacts;
-use crate::fleet::Fleet;
 use crate::gateway::Shared;
-use crate::handoff::{Decline, TABLE, hand_off};
+use crate::handoff::{Decline, TABLE_HEADER, hand_off};
 use crate::headers::strip_connection;
-use crate::job::{Job, Tried};
-use crate::load::Running;
-use crate::pump;
+use crate::history::{History, tokens_of};
+use crate::job::{Job, JobOutcome};
+use crate::overload::RunningRequest;
 use crate::refusal::Refusal;
-use crate::story::{Story, tokens_of};
-use crate::takeover::HELD_AGE;
+use crate::routing_state::RoutingSnapshot;
+use crate::streaming;
+use crate::takeover::MAX_STATE_AGE;
 
 /// Interval between two chunks of a stream to another gateway, a fraction of the pause that callers tolerate.
-const BATCH_EVERY: Duration = Duration::from_millis(60);
+const BATCH_INTERVAL: Duration = Duration::from_millis(60);
 
 /// Content type of server-sent events.
 const EVENT_STREAM: &str = "text/event-stream";
@@ -48,10 +48,10 @@
     /// Returns the minimum interval between chunks of a stream.
     ///
     /// Fewer, larger chunks save CPU time of an overloaded gateway that passes them on.
-    pub(crate) fn batch_every(self) -> Duration {
+    pub(crate) fn batch_interval(self) -> Duration {
         match self {
             Self::Caller => Duration::ZERO,
-            Self::Gateway => BATCH_EVERY,
+            Self::Gateway => BATCH_INTERVAL,
         }
     }
 }
@@ -65,21 +65,21 @@
     let arrived = Instant::now();
     let (mut parts, body) = request.into_parts();
     let facts = gateway.dialect.read_request(&parts.headers);
-    let fleet = gateway.held.current();
+    let fleet = gateway.routing.current();
     if origin == Origin::Gateway
         && let Some(decline) = declines(&gateway, &fleet, &mut parts.headers)
     {
         return decline.response();
     }
-    let found = find(&fleet, &parts, &facts);
-    let Found {
+    let matched = look_up(&fleet, &parts, &facts);
+    let Match {
         route,
         service,
         team,
         rank,
         engine,
-    } = match found {
-        Ok(found) => found,
+    } = match matched {
+        Ok(matched) => matched,
         Err(refusal) => return refuse_early(&gateway, &fleet, &facts, &parts, refusal),
     };
     let timeout = Duration::from_millis(route.timeout_ms);
@@ -92,21 +92,21 @@
         Err(refusal) => return refuse_early(&gateway, &fleet, &facts, &parts, refusal),
     };
     let outgoing = Outgoing {
-        may_go_on: may_run_again(&route),
+        may_rerun: may_run_again(&route),
         ..outgoing(parts, body, &facts, team, ends_at)
     };
-    if gateway.held.suspects.is_held(&outgoing) {
+    if gateway.routing.suspects.is_held(&outgoing) {
         return refuse_held(&gateway, &route, &outgoing);
     }
     let team = outgoing.team.as_deref();
-    let place = match origin {
-        Origin::Caller => take_place(&gateway, engine.is_some(), team),
-        Origin::Gateway => match take_over(&gateway, engine.is_some(), team) {
+    let admitted = match origin {
+        Origin::Caller => admit_caller(&gateway, engine.is_some(), team),
+        Origin::Gateway => match admit_handoff(&gateway, engine.is_some(), team) {
             Ok(running) => Ok(running),
             Err(decline) => return decline.response(),
         },
     };
-    let running = match place {
+    let running = match admitted {
         Ok(running) => running,
         Err(overloaded) => {
             let handed_off = hand_off(&gateway, fleet.table_number(), &outgoing, &overloaded);
@@ -136,25 +136,25 @@
 /// Admits a caller's request.
 ///
 /// Only requests to model engines count against the limits; a plain one is only rejected when the gateway lags behind.
-fn take_place(
+fn admit_caller(
     gateway: &Arc<Shared>,
     has_engine: bool,
     team: Option<&str>,
-) -> Result<Option<Running>, Overloaded> {
+) -> Result<Option<RunningRequest>, Overloaded> {
     if has_engine {
-        return Running::begin(gateway, team).map(Some);
+        return RunningRequest::begin(gateway, team).map(Some);
     }
     gateway.overload().check_plain().map(|()| None)
 }
 
 /// Admits a request that another gateway hands off.
-fn take_over(
+fn admit_handoff(
     gateway: &Arc<Shared>,
     has_engine: bool,
     team: Option<&str>,
-) -> Result<Option<Running>, Decline> {
+) -> Result<Option<RunningRequest>, Decline> {
     if has_engine {
-        let running = Running::take_over(gateway, team);
+        let running = RunningRequest::take_over(gateway, team);
         return running.map(Some).ok_or(Decline::NoRoom);
     }
     let checked = gateway.overload().check_plain();
@@ -165,12 +165,12 @@
 ///
 /// Both gateways must have the same route table: a caller must not be served by an older table than that of the gateway it connected
 /// to, nor by a newer one and then by the older one again.
-fn declines(gateway: &Shared, fleet: &Fleet, headers: &mut HeaderMap) -> Option<Decline> {
-    let table = headers.remove(TABLE);
+fn declines(gateway: &Shared, fleet: &RoutingSnapshot, headers: &mut HeaderMap) -> Option<Decline> {
+    let table = headers.remove(TABLE_HEADER);
     let table = table.and_then(|table| table.to_str().ok()?.parse::<u64>().ok());
     if gateway.stops_at.get().is_some() {
         Some(Decline::Leaving)
-    } else if gateway.held.age() > HELD_AGE {
+    } else if gateway.routing.age() > MAX_STATE_AGE {
         Some(Decline::WithoutControl)
     } else if table != Some(fleet.table_number()) {
         Some(Decline::OtherTable)
@@ -189,7 +189,7 @@
 }
 
 /// The result of looking a request up in the route table.
-struct Found {
+struct Match {
     route: Route,
     service: Box<str>,
     team: Option<Box<str>>,
@@ -200,7 +200,7 @@
 }
 
 /// Looks up the route, the service and the team of a request.
-fn find(fleet: &Fleet, parts: &Parts, facts: &RequestFacts) -> Result<Found, Refusal> {
+fn look_up(fleet: &RoutingSnapshot, parts: &Parts, facts: &RequestFacts) -> Result<Match, Refusal> {
     let lookup = fleet.lookup.as_ref().ok_or(Refusal::NoTable)?;
     let host = host_of(parts).ok_or(Refusal::NoRoute)?;
     let route = lookup
@@ -215,7 +215,7 @@
     };
     let target = RouteIndex::pick_target(route, rand::random()).ok_or(Refusal::NoRoute)?;
     let service = lookup.service(&target.service);
-    Ok(Found {
+    Ok(Match {
         service: target.service.clone(),
         team: team.map(|team| team.name.clone()),
         rank: team
@@ -234,7 +234,11 @@
     Some(host.split(':').next().unwrap_or(host))
 }
 
-async fn read_body(fleet: &Fleet, body: Incoming, ends_at: Instant) -> Result<Bytes, Refusal> {
+async fn read_body(
+    fleet: &RoutingSnapshot,
+    body: Incoming,
+    ends_at: Instant,
+) -> Result<Bytes, Refusal> {
     let lookup = fleet.lookup.as_ref().ok_or(Refusal::NoTable)?;
     let limit = lookup.table().limits.max_body_bytes;
     let limit = usize::try_from(limit).unwrap_or(usize::MAX);
@@ -269,7 +273,7 @@
             .prompt
             .as_ref()
             .map_or(0, |prompt| prompt.prompt_tokens),
-        may_go_on: false,
+        may_rerun: false,
         ends_at,
         key: OnceLock::new(),
     }
@@ -282,12 +286,12 @@
 
 fn refuse_early(
     gateway: &Shared,
-    fleet: &Fleet,
+    fleet: &RoutingSnapshot,
     facts: &RequestFacts,
     parts: &Parts,
     refusal: Refusal,
 ) -> Response<AnswerBody> {
-    gateway.metrics.refused(refusal.name());
+    gateway.metrics.record_refused(refusal.name());
     let id = facts.request_id.as_deref().unwrap_or("-");
     let status = refusal.status().as_u16();
     info!(
@@ -298,7 +302,7 @@
         status = status,
         path = parts.uri.path(),
         table = fleet.table_number(),
-        table_age_ms = gateway.held.age().as_millis()
+        table_age_ms = gateway.routing.age().as_millis()
     );
     refusal.response()
 }
@@ -311,7 +315,7 @@
     overloaded: Overloaded,
 ) -> Response<AnswerBody> {
     let refusal = Refusal::Overloaded(overloaded);
-    gateway.metrics.refused(refusal.name());
+    gateway.metrics.record_refused(refusal.name());
     let (prompt_tokens, answer_tokens) = tokens_of(facts.prompt.as_ref());
     info!(
         Part::Gateway,
@@ -341,8 +345,8 @@
 /// Refuses a held request before it uses any of its team's share.
 fn refuse_held(gateway: &Shared, route: &Route, outgoing: &Outgoing) -> Response<AnswerBody> {
     let refusal = Refusal::Held;
-    gateway.metrics.refused(refusal.name());
-    gateway.held.suspects.note_turned_away();
+    gateway.metrics.record_refused(refusal.name());
+    gateway.routing.suspects.record_rejection();
     info!(
         Part::Gateway,
         "Request.",
@@ -352,52 +356,52 @@
         route = route.name,
         team = outgoing.team.as_deref().unwrap_or("-"),
         request = outgoing.key(),
-        list = gateway.held.suspects.version()
+        list = gateway.routing.suspects.version()
     );
     refusal.response()
 }
 
 async fn answer(job: Arc<Job>) -> Response<AnswerBody> {
-    let mut story = Story::default();
+    let mut history = History::default();
     if job.outlasts_stop() {
-        story.note_cause("this instance stops before the answer would end");
+        history.record_cause("this instance stops before the answer would end");
         let refusal = Refusal::NotRun {
             retry_after: Duration::ZERO,
         };
-        return refuse(&job, &mut story, refusal);
+        return refuse(&job, &mut history, refusal);
     }
-    job.gateway.note_request(&job.service);
+    job.gateway.record_request(&job.service);
     loop {
-        let answer = match job.attempts(&mut story, job.last_event).await {
-            Tried::Answered(answer) => answer,
-            Tried::Refused(refusal) => return refuse(&job, &mut story, refusal),
+        let answer = match job.attempts(&mut history, job.last_event).await {
+            JobOutcome::Answered(answer) => answer,
+            JobOutcome::Refused(refusal) => return refuse(&job, &mut history, refusal),
         };
         let is_retryable = answer.response.status().is_server_error() && job.is_idempotent();
-        if is_retryable && job.may_repeat(&story) {
-            story.note_run("the endpoint failed the request");
+        if is_retryable && job.may_retry(&history) {
+            history.record_possible_run("the endpoint failed the request");
             continue;
         }
-        story.status = answer.response.status().as_u16();
+        history.status = answer.response.status().as_u16();
         if is_read_whole(answer.response.body()) {
-            match whole(&job, &mut story, *answer).await {
+            match whole(&job, &mut history, *answer).await {
                 Ok(response) => return response,
-                Err(NotWhole::Broken) if job.is_idempotent() && job.may_repeat(&story) => {
-                    story.note_run("the answer broke off");
+                Err(ReadError::Broken) if job.is_idempotent() && job.may_retry(&history) => {
+                    history.record_possible_run("the answer broke off");
                 }
-                Err(NotWhole::Broken) => return refuse(&job, &mut story, Refusal::Unknown),
-                Err(NotWhole::TimedOut) => return refuse(&job, &mut story, Refusal::TimedOut),
+                Err(ReadError::Broken) => return refuse(&job, &mut history, Refusal::Unknown),
+                Err(ReadError::TimedOut) => return refuse(&job, &mut history, Refusal::TimedOut),
             }
         } else {
-            return stream(job, story, answer);
+            return stream(job, history, answer);
         }
     }
 }
 
 async fn whole(
     job: &Job,
-    story: &mut Story,
+    history: &mut History,
     answer: Answer,
-) -> Result<Response<AnswerBody>, NotWhole> {
+) -> Result<Response<AnswerBody>, ReadError> {
     let Answer {
         response,
         connection,
@@ -407,22 +411,22 @@
     let body = tokio::select! {
         biased;
         body = read_whole(body, job.outgoing.ends_at) => body,
-        _cause = in_use.lost(job.outgoing.may_go_on) => Err(NotWhole::Broken),
+        _cause = in_use.wait_until_lost(job.outgoing.may_rerun) => Err(ReadError::Broken),
     };
-    if matches!(body, Err(NotWhole::Broken)) {
-        in_use.broke(&job.outgoing);
+    if matches!(body, Err(ReadError::Broken)) {
+        in_use.record_broken(&job.outgoing);
     }
     let body = body?;
     if head.status.is_success() {
-        in_use.began();
-        job.completed(story);
+        in_use.record_first_chunk();
+        job.completed(history);
     }
     drop(in_use);
     connection.keep();
     strip_connection(&mut head.headers);
-    story.note_piece(job);
-    job.gateway.metrics.ended(job, outcome_of(head.status));
-    story.tell(job, outcome_of(head.status));
+    history.record_chunk(job);
+    job.gateway.metrics.record_end(job, outcome_of(head.status));
+    history.log(job, outcome_of(head.status));
     Ok(Response::from_parts(head, AnswerBody::Whole(body)))
 }
 
@@ -434,15 +438,15 @@
     }
 }
 
-fn stream(job: Arc<Job>, story: Story, answer: Box<Answer>) -> Response<AnswerBody> {
-    let (pieces, body) = AnswerBody::pieces();
+fn stream(job: Arc<Job>, history: History, answer: Box<Answer>) -> Response<AnswerBody> {
+    let (chunks, body) = AnswerBody::chunks();
     let mut response = Response::new(body);
     *response.status_mut() = answer.response.status();
     let mut headers = answer.response.headers().clone();
     let is_events = is_event_stream(&headers);
     strip_connection(&mut headers);
     *response.headers_mut() = headers;
-    tokio::spawn(pump::run(job, story, answer, pieces, is_events));
+    tokio::spawn(streaming::run(job, history, answer, chunks, is_events));
     response
 }
 
@@ -453,9 +457,9 @@
     value.is_some_and(|value| value.starts_with(EVENT_STREAM))
 }
 
-fn refuse(job: &Job, story: &mut Story, refusal: Refusal) -> Response<AnswerBody> {
-    story.status = refusal.status().as_u16();
-    job.gateway.metrics.ended(job, refusal.name());
-    story.tell(job, refusal.name());
+fn refuse(job: &Job, history: &mut History, refusal: Refusal) -> Response<AnswerBody> {
+    history.status = refusal.status().as_u16();
+    job.gateway.metrics.record_end(job, refusal.name());
+    history.log(job, refusal.name());
     refusal.response()
 }
--- a/crates/gateway/src/pump.rs
+++ b/crates/gateway/src/streaming.rs
@@ -10,26 +10,26 @@
 
 use crate::attempt::Answer;
 use crate::batch::Batch;
-use crate::body::PieceSender;
+use crate::body::ChunkSender;
 use crate::events::EventSplitter;
 use crate::headers;
+use crate::history::History;
 use crate::job::Job;
-use crate::story::Story;
 
 /// Grace period after the deadline until a stream is cut off. An endpoint knows the deadline and ends by itself; this catches one
 /// that doesn't.
-const OVERTIME: Duration = Duration::from_millis(100);
+const DEADLINE_GRACE: Duration = Duration::from_millis(100);
 
 /// How a stream ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Ended {
+pub(crate) enum StreamEnd {
     Complete,
     CallerLeft,
     Broken,
     TimedOut,
 }
 
-impl Ended {
+impl StreamEnd {
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Complete => "complete",
@@ -43,35 +43,35 @@
 /// Streams an answer until its end, and logs the request.
 pub(crate) async fn run(
     job: Arc<Job>,
-    mut story: Story,
+    mut history: History,
     answer: Box<Answer>,
-    pieces: PieceSender,
+    chunks: ChunkSender,
     is_events: bool,
 ) {
-    let mut batch = Batch::new(job.origin.batch_every());
+    let mut batch = Batch::new(job.origin.batch_interval());
     let mut splitter = is_events.then(|| EventSplitter::after(job.last_event));
     let mut answer = answer;
     let ended = loop {
         let passing = pass_on(
             &job,
-            &mut story,
+            &mut history,
             answer,
-            &pieces,
+            &chunks,
             splitter.as_mut(),
             &mut batch,
         );
         let ended = passing.await;
-        if ended != Ended::Broken {
+        if ended != StreamEnd::Broken {
             break ended;
         }
         let Some(splitter) = splitter.as_mut() else {
-            story.note_cause("the endpoint broke the answer off");
+            history.record_cause("the endpoint broke the answer off");
             break ended;
         };
         splitter.drop_rest();
-        story.note_cause("the endpoint broke the answer off");
+        history.record_cause("the endpoint broke the answer off");
         // Each event that the caller has may represent finished work, so a stream can only be resumed after a known event id.
-        let resumed = job.resume(&mut story, splitter.last_id());
+        let resumed = job.resume(&mut history, splitter.last_id());
         let Some(next) = resumed.await else {
             break ended;
         };
@@ -79,25 +79,25 @@
     };
     if let Some(held) = batch.take() {
         // A disconnected caller is noticed when the end is sent.
-        let _sent_or_left = pieces.send(held).await;
+        let _sent_or_left = chunks.send(held).await;
     }
     let _told_or_left = match ended {
-        Ended::Complete => pieces.end().await,
-        Ended::Broken | Ended::TimedOut => pieces.break_off().await,
-        Ended::CallerLeft => Ok(()),
+        StreamEnd::Complete => chunks.end().await,
+        StreamEnd::Broken | StreamEnd::TimedOut => chunks.break_off().await,
+        StreamEnd::CallerLeft => Ok(()),
     };
-    job.gateway.metrics.ended(&job, ended.name());
-    story.tell(&job, ended.name());
+    job.gateway.metrics.record_end(&job, ended.name());
+    history.log(&job, ended.name());
 }
 
 async fn pass_on(
     job: &Job,
-    story: &mut Story,
+    history: &mut History,
     answer: Box<Answer>,
-    pieces: &PieceSender,
+    chunks: &ChunkSender,
     mut splitter: Option<&mut EventSplitter>,
     batch: &mut Batch,
-) -> Ended {
+) -> StreamEnd {
     let Answer {
         response,
         connection,
@@ -108,68 +108,68 @@
         response.status().is_success() && headers::has_own_end(response.headers());
     let mut body = response.into_body();
     let mut has_begun = false;
-    let may_go_on = splitter.is_some() && job.outgoing.may_go_on;
-    let ends_at = job.outgoing.ends_at + OVERTIME;
+    let may_rerun = splitter.is_some() && job.outgoing.may_rerun;
+    let ends_at = job.outgoing.ends_at + DEADLINE_GRACE;
     loop {
         let next = tokio::select! {
             biased;
-            () = pieces.closed() => return Ended::CallerLeft,
-            next = next_piece(&mut body, ends_at) => next,
-            _cause = in_use.lost(may_go_on) => Piece::Broken,
-            () = batch.due() => Piece::Due,
+            () = chunks.closed() => return StreamEnd::CallerLeft,
+            next = next_chunk(&mut body, ends_at) => next,
+            _cause = in_use.wait_until_lost(may_rerun) => NextChunk::Broken,
+            () = batch.due() => NextChunk::Due,
         };
-        let piece = match next {
-            Piece::Data(data) => match splitter.as_mut() {
+        let chunk = match next {
+            NextChunk::Data(data) => match splitter.as_mut() {
                 Some(splitter) => match splitter.push(&data) {
                     Ok(whole) => whole,
-                    Err(_too_long) => return Ended::Broken,
+                    Err(_too_long) => return StreamEnd::Broken,
                 },
                 None => data,
             },
-            Piece::End => break,
-            Piece::Broken => {
-                in_use.broke(&job.outgoing);
-                return Ended::Broken;
+            NextChunk::End => break,
+            NextChunk::Broken => {
+                in_use.record_broken(&job.outgoing);
+                return StreamEnd::Broken;
             }
-            Piece::TimedOut => return Ended::TimedOut,
-            Piece::Due => {
+            NextChunk::TimedOut => return StreamEnd::TimedOut,
+            NextChunk::Due => {
                 let held = batch.take().unwrap_or_default();
-                if pieces.send(held).await.is_err() {
-                    return Ended::CallerLeft;
+                if chunks.send(held).await.is_err() {
+                    return StreamEnd::CallerLeft;
                 }
                 continue;
             }
         };
-        if piece.is_empty() {
+        if chunk.is_empty() {
             continue;
         }
         if !has_begun {
             has_begun = true;
-            in_use.began();
-            job.note_kept(in_use.endpoint());
+            in_use.record_first_chunk();
+            job.record_cached(in_use.endpoint());
         }
-        story.note_piece(job);
-        let Some(piece) = batch.push(piece) else {
+        history.record_chunk(job);
+        let Some(chunk) = batch.push(chunk) else {
             continue;
         };
-        if pieces.send(piece).await.is_err() {
-            return Ended::CallerLeft;
+        if chunks.send(chunk).await.is_err() {
+            return StreamEnd::CallerLeft;
         }
     }
     // A stream that ends in the middle of an event was truncated.
     if splitter.is_some_and(|splitter| splitter.is_inside()) {
-        in_use.broke(&job.outgoing);
-        return Ended::Broken;
+        in_use.record_broken(&job.outgoing);
+        return StreamEnd::Broken;
     }
     drop(in_use);
     connection.keep();
     if proves_completion {
-        job.completed(story);
+        job.completed(history);
     }
-    Ended::Complete
+    StreamEnd::Complete
 }
 
-enum Piece {
+enum NextChunk {
     Data(Bytes),
     End,
     Broken,
@@ -178,14 +178,14 @@
     Due,
 }
 
-async fn next_piece(body: &mut Incoming, ends_at: Instant) -> Piece {
+async fn next_chunk(body: &mut Incoming, ends_at: Instant) -> NextChunk {
     loop {
         return match timeout_at(ends_at, body.frame()).await {
-            Err(_elapsed) => Piece::TimedOut,
-            Ok(None) => Piece::End,
-            Ok(Some(Err(_broken))) => Piece::Broken,
+            Err(_elapsed) => NextChunk::TimedOut,
+            Ok(None) => NextChunk::End,
+            Ok(Some(Err(_broken))) => NextChunk::Broken,
             Ok(Some(Ok(frame))) => match frame.into_data() {
-                Ok(data) => Piece::Data(data),
+                Ok(data) => NextChunk::Data(data),
                 Err(_trailers) => continue,
             },
         };
--- a/crates/gateway/src/tell.rs
+++ b/crates/gateway/src/suspect_reports.rs
@@ -12,75 +12,75 @@
 use tokio::sync::Notify;
 use tokio::time::sleep;
 
-use crate::fleet::Held;
+use crate::routing_state::RoutingState;
 
 /// Delay that lets all requests broken off by one end be reported in one call.
-const GATHER: Duration = Duration::from_millis(50);
+const BATCH_DELAY: Duration = Duration::from_millis(50);
 
 /// Timeout of a report to control.
-const TELL_TIMEOUT: Duration = Duration::from_secs(1);
+const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Delay before a failed report is sent again; an election takes a second or two.
-const TELL_RETRY: Duration = Duration::from_millis(100);
+const REPORT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Maximum number of pending ends, and of pending completions; beyond it the oldest are dropped.
-const MOST_UNTOLD: usize = 4_096;
+const MAX_PENDING: usize = 4_096;
 
 #[derive(Debug, Default)]
-struct News {
+struct Report {
     ends: Vec<(RequestKey, IncarnationHash)>,
     completed: Vec<RequestKey>,
 }
 
 /// Observations that control has not acknowledged yet.
 #[derive(Debug, Default)]
-pub(crate) struct Untold {
-    news: Mutex<News>,
-    has_come: Notify,
+pub(crate) struct PendingReports {
+    report: Mutex<Report>,
+    added: Notify,
 }
 
-impl Untold {
+impl PendingReports {
     /// Adds an end of an endpoint during a request.
     pub(crate) fn add_end(&self, end: (RequestKey, IncarnationHash)) {
-        self.add(|news| news.ends.push(end));
+        self.add(|report| report.ends.push(end));
     }
 
     /// Adds a suspected request that has completed.
     pub(crate) fn add_completed(&self, request: RequestKey) {
-        self.add(|news| news.completed.push(request));
+        self.add(|report| report.completed.push(request));
     }
 
-    fn add(&self, add: impl FnOnce(&mut News)) {
-        let mut news = self.lock();
-        add(&mut news);
-        news.bound();
-        self.has_come.notify_one();
+    fn add(&self, add: impl FnOnce(&mut Report)) {
+        let mut report = self.lock();
+        add(&mut report);
+        report.drop_oldest();
+        self.added.notify_one();
     }
 
-    fn take(&self) -> News {
+    fn take(&self) -> Report {
         std::mem::take(&mut *self.lock())
     }
 
     /// Puts a failed report back, before the observations that have been added since.
-    fn put_back(&self, earlier: News) {
-        let mut news = self.lock();
-        let mut later = std::mem::replace(&mut *news, earlier);
-        news.ends.append(&mut later.ends);
-        news.completed.append(&mut later.completed);
-        news.bound();
-        self.has_come.notify_one();
+    fn put_back(&self, earlier: Report) {
+        let mut report = self.lock();
+        let mut later = std::mem::replace(&mut *report, earlier);
+        report.ends.append(&mut later.ends);
+        report.completed.append(&mut later.completed);
+        report.drop_oldest();
+        self.added.notify_one();
     }
 
-    fn lock(&self) -> MutexGuard<'_, News> {
-        self.news.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Report> {
+        self.report.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl News {
-    fn bound(&mut self) {
-        let too_many = self.ends.len().saturating_sub(MOST_UNTOLD);
+impl Report {
+    fn drop_oldest(&mut self) {
+        let too_many = self.ends.len().saturating_sub(MAX_PENDING);
         self.ends.drain(..too_many);
-        let too_many = self.completed.len().saturating_sub(MOST_UNTOLD);
+        let too_many = self.completed.len().saturating_sub(MAX_PENDING);
         self.completed.drain(..too_many);
     }
 
@@ -101,33 +101,37 @@
 }
 
 /// Reports ends and completions to control as they occur, until the task is aborted.
-pub(crate) async fn run(client: Client, instance: Box<str>, held: Arc<Held>) {
-    let untold = &held.suspects.untold;
+pub(crate) async fn run(client: Client, instance: Box<str>, routing: Arc<RoutingState>) {
+    let pending = &routing.suspects.pending_reports;
     loop {
-        untold.has_come.notified().await;
-        sleep(GATHER).await;
-        let news = untold.take();
-        if let Err(cause) = tell_any(&client, &held, &news.message(&instance)).await {
+        pending.added.notified().await;
+        sleep(BATCH_DELAY).await;
+        let report = pending.take();
+        if let Err(cause) = report_to_any(&client, &routing, &report.message(&instance)).await {
             warn!(
                 Part::Gateway,
                 "Could not tell control of ends under requests.",
-                ends = news.ends.len(),
-                completed = news.completed.len(),
+                ends = report.ends.len(),
+                completed = report.completed.len(),
                 cause = cause
             );
-            untold.put_back(news);
-            sleep(TELL_RETRY).await;
+            pending.put_back(report);
+            sleep(REPORT_RETRY_DELAY).await;
         }
     }
 }
 
 /// Reports to the first control instance that answers, or returns the last failure.
-async fn tell_any(client: &Client, held: &Held, message: &NoteSuspects) -> Result<(), String> {
+async fn report_to_any(
+    client: &Client,
+    routing: &RoutingState,
+    message: &NoteSuspects,
+) -> Result<(), String> {
     let mut last = "no control instance is known".to_owned();
-    for address in held.control.load().iter() {
-        let told = client.call(address, NOTE_SUSPECTS_PATH, message, TELL_TIMEOUT);
-        let told: Result<SuspectsNoted, _> = told.await;
-        match told {
+    for address in routing.control.load().iter() {
+        let reported = client.call(address, NOTE_SUSPECTS_PATH, message, REPORT_TIMEOUT);
+        let reported: Result<SuspectsNoted, _> = reported.await;
+        match reported {
             Ok(_noted) => return Ok(()),
             Err(cause) => last = format!("{address}: {cause}"),
         }
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -16,7 +16,7 @@
 
 use crate::attempt::Outgoing;
 use crate::endpoint::Endpoint;
-use crate::tell::Untold;
+use crate::suspect_reports::PendingReports;
 
 /// A request whose answer broke off.
 #[derive(Debug, Clone)]
@@ -55,9 +55,9 @@
 pub(crate) struct Suspects {
     known: Mutex<Known>,
     /// Whether any request is suspected; if none is, no request key has to be computed.
-    are_some: AtomicBool,
+    has_any: AtomicBool,
     /// Observations that control has not acknowledged yet.
-    pub(crate) untold: Untold,
+    pub(crate) pending_reports: PendingReports,
     ends: Counter,
     turned_away: Counter,
     held: Gauge,
@@ -67,8 +67,8 @@
     pub(crate) fn register(registry: &Registry) -> Self {
         Self {
             known: Mutex::default(),
-            are_some: AtomicBool::new(false),
-            untold: Untold::default(),
+            has_any: AtomicBool::new(false),
+            pending_reports: PendingReports::default(),
             ends: registry.counter(
                 "gateway_ended_under",
                 "Requests whose endpoint ended while it worked on them.",
@@ -97,22 +97,22 @@
             known.record(known.version(), &[end], &[]);
             known.crash_count(&request.key)
         });
-        self.untold.add_end(end);
+        self.pending_reports.add_end(end);
         warn!(
             Part::Gateway,
             "An endpoint ended under a request.",
             id = request.request_id,
             request = request.key,
             ends = ends,
-            endpoint = endpoint.described.id,
-            born_unix_ms = endpoint.described.born_unix_ms.unwrap_or_default(),
+            endpoint = endpoint.description.id,
+            born_unix_ms = endpoint.description.born_unix_ms.unwrap_or_default(),
             evidence = evidence
         );
     }
 
     /// Records that an endpoint has completed a request.
     pub(crate) fn completed(&self, outgoing: &Outgoing) {
-        if !self.are_some.load(Ordering::Acquire) {
+        if !self.has_any.load(Ordering::Acquire) {
             return;
         }
         let request = outgoing.key();
@@ -120,16 +120,16 @@
             return;
         }
         self.change(|known| known.record(known.version(), &[], &[request]));
-        self.untold.add_completed(request);
+        self.pending_reports.add_completed(request);
     }
 
     /// Returns whether a request is held, so that it must be rejected.
     pub(crate) fn is_held(&self, outgoing: &Outgoing) -> bool {
-        self.are_some.load(Ordering::Acquire) && self.lock().is_held(&outgoing.key())
+        self.has_any.load(Ordering::Acquire) && self.lock().is_held(&outgoing.key())
     }
 
     /// Counts a request that is rejected because it is held.
-    pub(crate) fn note_turned_away(&self) {
+    pub(crate) fn record_rejection(&self) {
         self.turned_away.inc();
     }
 
@@ -139,19 +139,19 @@
     }
 
     /// Returns the changes since a version, if there are any.
-    pub(crate) fn newer_than(&self, version: u64) -> Option<SuspectList> {
+    pub(crate) fn changes_since(&self, version: u64) -> Option<SuspectList> {
         self.lock().changes_since(version)
     }
 
     /// Applies a list from control or from another gateway.
-    pub(crate) fn take_in(&self, list: &SuspectList) {
+    pub(crate) fn apply(&self, list: &SuspectList) {
         self.change(|known| known.apply(list));
     }
 
     fn change<T>(&self, act: impl FnOnce(&mut Known) -> T) -> T {
         let mut known = self.lock();
         let result = act(&mut known);
-        self.are_some.store(!known.is_empty(), Ordering::Release);
+        self.has_any.store(!known.is_empty(), Ordering::Release);
         let held = i64::try_from(known.held().len()).unwrap_or(i64::MAX);
         if self.held.set(held) != held {
             warn!(
--- a/crates/gateway/src/takeover.rs
+++ b/crates/gateway/src/takeover.rs
@@ -19,17 +19,17 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-use crate::gateway::{ACCEPT_RETRY, MAX_HEADER_BYTES, Shared};
+use crate::gateway::{ACCEPT_RETRY_DELAY, MAX_HEADER_BYTES, Shared};
 use crate::serve::{Origin, serve};
 
 /// Time within which a new connection must present the cluster key.
-const PROOF_TIMEOUT: Duration = Duration::from_secs(1);
+const KEY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Idle timeout of a connection, longer than the time for which other gateways reuse one.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Time without confirmation from control beyond which this gateway's state is too old to serve others; it spans several polls.
-pub(crate) const HELD_AGE: Duration = Duration::from_millis(1_500);
+pub(crate) const MAX_STATE_AGE: Duration = Duration::from_millis(1_500);
 
 /// Binds the first free port of a range.
 ///
@@ -61,7 +61,7 @@
             _stopped = stopped.wait_for(|stop| *stop) => break,
         };
         let Ok((stream, _remote)) = accepted else {
-            sleep(ACCEPT_RETRY).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let serving = serve_gateway(stream, key.clone(), Arc::clone(&shared), graceful.watcher());
@@ -79,7 +79,7 @@
 ) {
     // Without TCP_NODELAY chunks are only delayed a little, so a failure to set it is no reason to refuse the gateway.
     let _is_set = stream.set_nodelay(true);
-    let proof = timeout(PROOF_TIMEOUT, is_proved(&mut stream, &key));
+    let proof = timeout(KEY_TIMEOUT, has_valid_key(&mut stream, &key));
     if !matches!(proof.await, Ok(Ok(true))) {
         return;
     }
@@ -97,7 +97,7 @@
 }
 
 /// Reads the first line of a connection, and returns whether it matches the cluster key.
-async fn is_proved(stream: &mut TcpStream, key: &ClusterKey) -> io::Result<bool> {
+async fn has_valid_key(stream: &mut TcpStream, key: &ClusterKey) -> io::Result<bool> {
     let mut line = vec![0; key.header_value().len() + 1];
     stream.read_exact(&mut line).await?;
     let proof = line.strip_suffix(b"\n");
