--- a/crates/gateway/src/teams.rs
+++ b/crates/gateway/src/team_usage.rs
@@ -10,22 +10,22 @@
 use crate::endpoint::Endpoint;
 
 /// Time for which the sums are cached; admissions report the usage of teams about once a second.
-const KEEP: Duration = Duration::from_millis(200);
+const MAX_AGE: Duration = Duration::from_millis(200);
 
 /// The recent usage of each team at all endpoints of a service, in tokens.
 #[derive(Debug)]
-pub(crate) struct Teams {
+pub(crate) struct TeamUsage {
     used: HashMap<Box<str>, u64>,
     most: u64,
-    gathered_at: Instant,
+    summed_at: Instant,
 }
 
-impl Teams {
+impl TeamUsage {
     /// Sums the usage reported by the endpoints' admissions.
-    pub(crate) fn gather(endpoints: &[Arc<Endpoint>]) -> Self {
+    pub(crate) fn sum(endpoints: &[Arc<Endpoint>]) -> Self {
         let mut used: HashMap<Box<str>, u64> = HashMap::new();
         for endpoint in endpoints {
-            endpoint.each_use(|team, tokens| match used.get_mut(team) {
+            endpoint.for_each_usage(|team, tokens| match used.get_mut(team) {
                 Some(sum) => *sum += tokens,
                 None => _ = used.insert(team.into(), tokens),
             });
@@ -33,13 +33,13 @@
         Self {
             most: used.values().copied().max().unwrap_or_default(),
             used,
-            gathered_at: Instant::now(),
+            summed_at: Instant::now(),
         }
     }
 
     /// Returns whether the sums are recent enough to be used.
     pub(crate) fn is_fresh(&self) -> bool {
-        self.gathered_at.elapsed() < KEEP
+        self.summed_at.elapsed() < MAX_AGE
     }
 
     /// Returns a team's usage.
