--- a/crates/gateway/src/admission_stream.rs
+++ b/crates/gateway/src/admission_stream.rs
@@ -1,7 +1,7 @@
 //! Multiplexes all asks of this gateway to one admission over a single exchange.
 //!
-//! An exchange per ask would cost a small gateway more than the rest of a short request: an HTTP/2 stream of its own, with headers
-//! in both directions, a reset at its end, and a wake-up for each of these.
+//! An exchange per ask would cost a small gateway more than the rest of a short request: an HTTP/2 stream of its own, with
+//! headers in both directions, a reset at its end, and a wake-up for each of these.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -190,12 +190,12 @@
         FromAdmission::Verdict(verdict) => {
             let waiter = asks.waiters.get_mut(&verdict.number);
             let sender = waiter.and_then(|waiter| waiter.verdict.take());
-            let _asker_is_gone = sender.map(|sender| sender.send(verdict));
+            let _ask_was_dropped = sender.map(|sender| sender.send(verdict));
         }
         FromAdmission::Lost(lost) => {
             let waiter = asks.waiters.get_mut(&lost.number);
             let sender = waiter.and_then(|waiter| waiter.lost.take());
-            let _asker_is_gone = sender.map(|sender| sender.send(()));
+            let _ask_was_dropped = sender.map(|sender| sender.send(()));
         }
     }
 }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -146,7 +146,7 @@
             return AttemptOutcome::Unknown("the connection broke");
         }
     };
-    judge(dialect, endpoint, outgoing, sender, response, in_use)
+    evaluate(dialect, endpoint, outgoing, sender, response, in_use)
 }
 
 fn request(
@@ -194,7 +194,7 @@
     }
 }
 
-fn judge(
+fn evaluate(
     dialect: &dyn Dialect,
     endpoint: &Arc<Endpoint>,
     outgoing: &Outgoing,
@@ -243,8 +243,8 @@
     let connection = Connection {
         endpoint: Arc::clone(endpoint),
         sender,
-        keep_alive: headers::keep_alive(headers),
-        closes: headers::closes(headers),
+        keep_alive: headers::keep_alive_time(headers),
+        closes: headers::closes_connection(headers),
     };
     AttemptOutcome::Answered(Box::new(Answer {
         response,
--- a/crates/gateway/src/batch/tests.rs
+++ b/crates/gateway/src/batch/tests.rs
@@ -32,7 +32,7 @@
         advance(INTERVAL).await;
         assert_eq!(batch.push(chunk("b")), Some(chunk("b")));
         assert_eq!(batch.push(chunk("c")), None);
-        assert_eq!(batch.take(), Some(chunk("c")), "the end of a stream waits for nothing");
+        assert_eq!(batch.take(), Some(chunk("c")), "nothing is held back at the end of a stream");
     }
     a_zero_interval_holds_nothing_back => {
         let mut batch = Batch::new(Duration::ZERO);
--- a/crates/gateway/src/connections.rs
+++ b/crates/gateway/src/connections.rs
@@ -22,11 +22,11 @@
 
     /// Counts a connection, and returns whether it is within the limit.
     pub(crate) fn try_open(&self) -> bool {
-        let may = self.open.load(Ordering::Relaxed) < self.max;
-        if may {
+        let is_allowed = self.open.load(Ordering::Relaxed) < self.max;
+        if is_allowed {
             self.open.fetch_add(1, Ordering::Relaxed);
         }
-        may
+        is_allowed
     }
 
     /// Records that a counted connection has closed.
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -22,7 +22,7 @@
     pub last_event: Option<u64>,
 }
 
-/// What the gateway tells the endpoint in a request's headers.
+/// What the gateway tells an endpoint in a request's headers.
 #[derive(Debug, Clone, Copy)]
 pub struct ForwardFacts<'a> {
     /// Id of the endpoint that is meant; any other must not run the request.
--- a/crates/gateway/src/endpoint.rs
+++ b/crates/gateway/src/endpoint.rs
@@ -30,6 +30,7 @@
 /// Age beyond which a reported load is no longer used; requests last about a second.
 const MAX_LOAD_AGE: Duration = Duration::from_millis(1500);
 
+/// What this gateway knows of an endpoint's load and health.
 #[derive(Debug, Default)]
 struct LocalState {
     breaker: CircuitBreaker,
@@ -128,7 +129,7 @@
         match taken {
             Some(request) => self
                 .suspects
-                .ended_under(&request, self, Evidence::KnownBefore),
+                .record_end(&request, self, Evidence::KnownBefore),
             None => self.probe(),
         }
     }
@@ -138,7 +139,7 @@
         let now = self.began.elapsed();
         let taken = self.lock_crashes().record_crash(now);
         for request in taken {
-            self.suspects.ended_under(&request, self, evidence);
+            self.suspects.record_end(&request, self, evidence);
         }
     }
 
@@ -294,7 +295,7 @@
             endpoint: Arc::clone(self),
             tokens,
             grant,
-            is_judged: false,
+            has_outcome: false,
         }
     }
 
@@ -309,7 +310,7 @@
         state.asked_tokens = 0;
         drop(state);
         if load.engine_is_gone == Some(true) {
-            self.record_ended(Evidence::AdmissionSays);
+            self.record_ended(Evidence::AdmissionReport);
         }
     }
 
@@ -352,7 +353,8 @@
     endpoint: Arc<Endpoint>,
     tokens: u32,
     grant: Option<Grant>,
-    is_judged: bool,
+    /// Whether the circuit breaker has been told how the request fared.
+    has_outcome: bool,
 }
 
 impl EndpointUse {
@@ -393,7 +395,7 @@
 
     /// Records that the endpoint has begun to answer.
     pub(crate) fn record_answer(&mut self) {
-        self.is_judged = true;
+        self.has_outcome = true;
         let mut state = self.endpoint.lock();
         state.breaker.record_success();
         state.unread_tokens -= self.tokens;
@@ -422,7 +424,7 @@
 
     /// Records that another endpoint listens at the address: this one has ended, even if it is still listed.
     pub(crate) fn record_replaced(&mut self) {
-        self.is_judged = true;
+        self.has_outcome = true;
         if !self.endpoint.is_draining() {
             warn!(
                 Part::Gateway,
@@ -452,7 +454,7 @@
 
     /// Records a failure of the endpoint or of the network path to it.
     pub(crate) fn record_failure(&mut self, cause: &str) {
-        self.is_judged = true;
+        self.has_outcome = true;
         let endpoint = &self.endpoint;
         let ejection = {
             let mut state = endpoint.lock();
@@ -479,7 +481,7 @@
         state.own_running -= 1;
         state.sent_since_load -= 1;
         state.unread_tokens -= self.tokens;
-        if !self.is_judged {
+        if !self.has_outcome {
             state.breaker.record_abandoned();
         }
     }
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -12,16 +12,16 @@
 /// A splitter that buffers the unfinished event and tracks the id of the last whole one.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    rest: BytesMut,
+    partial: BytesMut,
     last_id: Option<u64>,
 }
 
 impl EventSplitter {
     /// Creates a splitter for a stream that continues after an event the caller has received, if any.
     #[must_use]
-    pub fn after(last_id: Option<u64>) -> Self {
+    pub fn resume_after(last_id: Option<u64>) -> Self {
         Self {
-            rest: BytesMut::new(),
+            partial: BytesMut::new(),
             last_id,
         }
     }
@@ -34,13 +34,13 @@
 
     /// Returns whether an unfinished event is buffered.
     #[must_use]
-    pub fn is_inside(&self) -> bool {
-        !self.rest.is_empty()
+    pub fn has_partial(&self) -> bool {
+        !self.partial.is_empty()
     }
 
     /// Discards the unfinished event of a stream that broke off.
-    pub fn drop_rest(&mut self) {
-        self.rest.clear();
+    pub fn discard_partial(&mut self) {
+        self.partial.clear();
     }
 
     /// Adds bytes, and returns the bytes of the events that are now whole, unchanged.
@@ -49,19 +49,19 @@
     ///
     /// Returns an error when an event does not end within 1 MiB.
     pub fn push(&mut self, bytes: &Bytes) -> Result<Bytes, EventTooLong> {
-        if self.rest.is_empty() && bytes.ends_with(b"\n\n") {
+        if self.partial.is_empty() && bytes.ends_with(b"\n\n") {
             self.record_ids(bytes);
             return Ok(bytes.clone());
         }
-        self.rest.extend_from_slice(bytes);
-        let Some(end) = end_of_events(&self.rest) else {
-            return if self.rest.len() > MAX_EVENT_BYTES {
+        self.partial.extend_from_slice(bytes);
+        let Some(end) = end_of_events(&self.partial) else {
+            return if self.partial.len() > MAX_EVENT_BYTES {
                 Err(EventTooLong)
             } else {
                 Ok(Bytes::new())
             };
         };
-        let whole = self.rest.split_to(end).freeze();
+        let whole = self.partial.split_to(end).freeze();
         self.record_ids(&whole);
         Ok(whole)
     }
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -51,12 +51,12 @@
         let query = current_query(&instance, &peer_address, &routing);
         let to_query = targets.to_query();
         routing.control.store(Arc::new(to_query.to_vec()));
-        let asked = query_any(&client, &query, &to_query);
+        let queried = query_any(&client, &query, &to_query);
         let fetched = peer_updates.fetch(&client, &routing, &query);
-        let (asked, ()) = futures::join!(asked, fetched);
+        let (queried, ()) = futures::join!(queried, fetched);
         let without = routing.age();
         table_age_ms.set(i64::try_from(without.as_millis()).unwrap_or(i64::MAX));
-        match asked {
+        match queried {
             Ok((address, update)) => {
                 if !was_followed {
                     info!(
@@ -105,12 +105,12 @@
 
 /// Returns the query for everything newer than the current state.
 fn current_query(instance: &str, peer_address: &SocketAddr, routing: &RoutingState) -> WatchRoutes {
-    let fleet = routing.current();
+    let snapshot = routing.current();
     WatchRoutes {
         instance: instance.into(),
         peer_address: Some(peer_address.to_string().into()),
-        table_number: fleet.table_number(),
-        endpoints_version: fleet.endpoints_version(),
+        table_number: snapshot.table_number(),
+        endpoints_version: snapshot.endpoints_version(),
         suspects_version: Some(routing.suspects.version()),
         wait_ms: u64::try_from(WATCH_WAIT.as_millis()).unwrap_or(u64::MAX),
     }
@@ -122,13 +122,13 @@
     query: &WatchRoutes,
     addresses: &[Address],
 ) -> Result<(Address, RoutesUpdate), String> {
-    let asked = addresses.iter().map(|address| async move {
+    let queries = addresses.iter().map(|address| async move {
         let answered = client.call(address, WATCH_ROUTES_PATH, query, WATCH_WAIT + CALL_MARGIN);
         (address.clone(), answered.await)
     });
-    let mut asked: FuturesUnordered<_> = asked.collect();
+    let mut queries: FuturesUnordered<_> = queries.collect();
     let mut last = "no control instance is known".to_owned();
-    while let Some((address, answered)) = asked.next().await {
+    while let Some((address, answered)) = queries.next().await {
         match answered {
             Ok(update) => return Ok((address, update)),
             Err(cause) => last = format!("{address}: {cause}"),
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -74,7 +74,7 @@
     pub control: Vec<Box<str>>,
     /// Port range for requests from other gateways, of which the first free port is bound; `None` turns handing off off.
     pub handoff_ports: Option<RangeInclusive<u16>>,
-    /// Port of the admission sidecars beside the model engines; `None` without admissions.
+    /// Port of the admissions beside the model engines; `None` without admissions.
     pub admission_port: Option<u16>,
     /// Budget of retries for each service.
     pub budget: RetryBudgetRules,
@@ -255,7 +255,7 @@
             began: Instant::now(),
         });
         let (stop, stopped) = watch::channel(false);
-        let (seeds, given) = watch::channel(settings.control.clone());
+        let (seeds, seed_changes) = watch::channel(settings.control.clone());
         let callers = accept_callers(listener, Arc::clone(&shared), stopped.clone());
         let mut serving = JoinSet::new();
         serving.spawn(callers);
@@ -274,7 +274,7 @@
             Client::new(key),
             settings.instance,
             ready_address,
-            given,
+            seed_changes,
             Arc::clone(&shared),
             Arc::clone(&readiness),
             announcement,
@@ -384,12 +384,12 @@
         readiness,
         table_age_ms,
     );
-    let announcement = async {
+    let discovery = async {
         if let Some(announcement) = announcement {
             peer_discovery::run(client, announcement, shared).await;
         }
     };
-    futures::join!(reporting, following, announcement);
+    futures::join!(reporting, following, discovery);
 }
 
 async fn accept_callers(
@@ -437,8 +437,8 @@
             Ok::<_, Infallible>(response)
         }
     });
-    let fleet = shared.routing.current();
-    let idle = fleet.lookup.as_ref().map_or(IDLE_TIMEOUT, |lookup| {
+    let snapshot = shared.routing.current();
+    let idle = snapshot.lookup.as_ref().map_or(IDLE_TIMEOUT, |lookup| {
         Duration::from_millis(lookup.table().limits.idle_timeout_ms)
     });
     let connection = http1::Builder::new()
--- a/crates/gateway/src/handoff.rs
+++ b/crates/gateway/src/handoff.rs
@@ -1,7 +1,7 @@
 //! Hands requests that exceed this gateway's limits off to other gateways of the data centre.
 //!
-//! The other gateway serves the request as if its caller had connected there, and its answer is streamed back through this one. It
-//! accepts or declines before it does any work. A request is handed off once at most and never forwarded further.
+//! The other gateway serves the request as if its caller had connected there, and its answer is streamed back through this
+//! one. It accepts or declines before it does any work. A request is handed off once at most and never forwarded further.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -27,7 +27,7 @@
 use crate::attempt::{ExchangeOutcome, Outgoing, exchange};
 use crate::body::{AnswerBody, BrokenOff};
 use crate::gateway::Shared;
-use crate::headers::{closes, strip_connection};
+use crate::headers::{closes_connection, strip_hop_by_hop};
 use crate::pool::{self, Pool, Sender};
 use crate::refusal::Refusal;
 
@@ -254,10 +254,10 @@
     if shared.handoffs.peers().in_flight() >= MAX_IN_PROGRESS {
         return None;
     }
-    let mut asked: SmallVec<[SocketAddr; MAX_OFFERS]> = SmallVec::new();
-    while asked.len() < MAX_OFFERS {
-        let address = shared.handoffs.choose(&asked)?;
-        asked.push(address);
+    let mut offered: SmallVec<[SocketAddr; MAX_OFFERS]> = SmallVec::new();
+    while offered.len() < MAX_OFFERS {
+        let address = shared.handoffs.choose(&offered)?;
+        offered.push(address);
         let in_use = PeerUse {
             shared: Arc::clone(shared),
             address,
@@ -265,7 +265,7 @@
         match send(in_use, table, outgoing).await {
             OfferOutcome::Answered(response) => {
                 shared.overload().record_handoff();
-                log_handoff(outgoing, address, asked.len(), overloaded);
+                log_handoff(outgoing, address, offered.len(), overloaded);
                 return Some(response);
             }
             OfferOutcome::Declined(decline) => shared.handoffs.suspend(address, decline.backoff()),
@@ -299,8 +299,8 @@
         pool.keep(sender, None);
         return OfferOutcome::Declined(decline);
     }
-    let is_kept = !closes(&head.headers);
-    strip_connection(&mut head.headers);
+    let is_kept = !closes_connection(&head.headers);
+    strip_hop_by_hop(&mut head.headers);
     if shared.overload().should_close_connection() {
         let close = HeaderValue::from_static("close");
         head.headers.insert(CONNECTION, close);
@@ -325,14 +325,14 @@
     request
 }
 
-fn log_handoff(outgoing: &Outgoing, address: SocketAddr, asked: usize, overloaded: &Overloaded) {
+fn log_handoff(outgoing: &Outgoing, address: SocketAddr, offered: usize, overloaded: &Overloaded) {
     info!(
         Part::Gateway,
         "Handed off.",
         id = outgoing.request_id.as_deref().unwrap_or("-"),
         team = outgoing.team.as_deref().unwrap_or("-"),
         to = address,
-        asked = asked,
+        asked = offered,
         bound = overloaded.limit_kind.name(),
         running = overloaded.running,
         limit = overloaded.limit,
--- a/crates/gateway/src/headers.rs
+++ b/crates/gateway/src/headers.rs
@@ -18,7 +18,7 @@
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
 /// Removes the hop-by-hop headers, including those that `Connection` lists.
-pub(crate) fn strip_connection(headers: &mut HeaderMap) {
+pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
@@ -45,7 +45,7 @@
 }
 
 /// Returns whether a peer closes its connection after this message.
-pub(crate) fn closes(headers: &HeaderMap) -> bool {
+pub(crate) fn closes_connection(headers: &HeaderMap) -> bool {
     let values = headers.get_all(CONNECTION).iter();
     let mut words = values
         .filter_map(|value| value.to_str().ok())
@@ -54,7 +54,7 @@
 }
 
 /// Returns the time for which a peer keeps an idle connection, if it states one.
-pub(crate) fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
+pub(crate) fn keep_alive_time(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     let mut parts = value.split(',');
     let seconds = parts.find_map(|part| part.trim().strip_prefix("timeout="))?;
@@ -62,6 +62,6 @@
 }
 
 /// Returns whether an answer is delimited by its length or by chunks, rather than by the close of its connection.
-pub(crate) fn has_own_end(headers: &HeaderMap) -> bool {
+pub(crate) fn is_self_delimited(headers: &HeaderMap) -> bool {
     headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
 }
--- a/crates/gateway/src/history.rs
+++ b/crates/gateway/src/history.rs
@@ -61,9 +61,9 @@
 
     /// Records that all endpoints have asked for a pause, with the shortest time left.
     pub(crate) fn record_backoff(&mut self, shortest: Option<Duration>) {
-        if let Some(rest) = shortest {
+        if let Some(backoff) = shortest {
             self.cause = "all endpoints rest";
-            self.retry_after = Some(rest);
+            self.retry_after = Some(backoff);
         }
     }
 
@@ -126,9 +126,9 @@
             candidates = self.candidates,
             running = self.running,
             load_age_ms = self.load_age_ms,
-            table = job.fleet.table_number(),
+            table = job.snapshot.table_number(),
             table_age_ms = job.gateway.routing.age().as_millis(),
-            list = job.fleet.endpoints_version(),
+            list = job.snapshot.endpoints_version(),
             first_ms = self.first_chunk.map_or(0, |time| time.as_millis()),
             ms = job.arrived.elapsed().as_millis()
         );
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -56,7 +56,7 @@
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) gateway: Arc<Shared>,
-    pub(crate) fleet: Arc<RoutingSnapshot>,
+    pub(crate) snapshot: Arc<RoutingSnapshot>,
     pub(crate) route: Route,
     pub(crate) service: Box<str>,
     pub(crate) outgoing: Outgoing,
@@ -95,15 +95,15 @@
     pub(crate) fn may_retry(&self, history: &History) -> bool {
         let has_attempts = history.attempts < self.route.max_attempts.max(1);
         let has_time = Instant::now() + MIN_ATTEMPT_TIME < self.outgoing.ends_at;
-        let may = has_attempts && has_time && self.gateway.try_retry(&self.service);
-        if may {
+        let is_allowed = has_attempts && has_time && self.gateway.try_retry(&self.service);
+        if is_allowed {
             self.gateway.metrics.retries.inc();
         }
-        may
+        is_allowed
     }
 
     /// Sends the request to endpoints until one answers.
-    pub(crate) async fn attempts(
+    pub(crate) async fn run_attempts(
         &self,
         history: &mut History,
         last_event: Option<u64>,
@@ -116,7 +116,7 @@
             if self.is_held() {
                 return JobOutcome::Refused(history.held_refusal(self));
             }
-            let Some(endpoint) = self.pick(history) else {
+            let Some(endpoint) = self.pick_endpoint(history) else {
                 let retry_after = history.retry_after.unwrap_or(NO_ENDPOINT_RETRY);
                 return JobOutcome::Refused(history.refusal(retry_after));
             };
@@ -145,7 +145,8 @@
                     return JobOutcome::Refused(history.refusal(retry_after));
                 }
             };
-            // While the request was queued it may have become held, and the endpoint may have asked for a pause or begun to drain.
+            // While the request was queued it may have become held, and the endpoint may have asked for a pause or begun to
+            // drain.
             if self.is_held() {
                 return JobOutcome::Refused(history.held_refusal(self));
             }
@@ -205,14 +206,17 @@
     }
 
     /// Records that an endpoint has completed the request, so the ends of earlier endpoints had another cause.
-    pub(crate) fn completed(&self, history: &History) {
+    pub(crate) fn record_completed(&self, history: &History) {
         if history.tried.len() > 1 {
             let key = self.outgoing.key();
             for endpoint in &history.tried {
                 endpoint.forget_broken(&key);
             }
         }
-        self.gateway.routing.suspects.completed(&self.outgoing);
+        self.gateway
+            .routing
+            .suspects
+            .record_completed(&self.outgoing);
     }
 
     /// Returns the recent usage of the request's team at the other endpoints of the service.
@@ -231,7 +235,7 @@
     }
 
     fn team_usage(&self) -> Arc<TeamUsage> {
-        let listed = self.fleet.of_service(&self.service);
+        let listed = self.snapshot.of_service(&self.service);
         self.gateway.team_usage(&self.service, listed)
     }
 
@@ -243,7 +247,7 @@
         if self.engine.is_none() {
             return AskOutcome::Unasked;
         }
-        let engines = self.fleet.of_service(&self.service).len();
+        let engines = self.snapshot.of_service(&self.service).len();
         admission.follow(endpoint, engines, &self.gateway.data_center);
         endpoint.record_ask(prompt.unshared_tokens());
         let (shared_key, shared_tokens) = prompt.shared_key().unwrap_or_default();
@@ -266,9 +270,9 @@
 
     /// Returns the rank of an ask, and the time within which the answer must begin.
     ///
-    /// When an endpoint ends under load, all of its streams look for other endpoints at once, where the queues are already full. A
-    /// refused stream loses all work that was done for it, so a resumed stream ranks before requests that have not begun, and may
-    /// wait for as long as its caller does. A request that was only refused elsewhere has used up part of its time.
+    /// When an endpoint ends under load, all of its streams look for other endpoints at once, where the queues are already full.
+    /// A refused stream loses all work that was done for it, so a resumed stream ranks before requests that have not begun, and
+    /// may wait for as long as its caller does. A request that was only refused elsewhere has used up part of its time.
     fn urgency(&self, history: &History) -> (u32, Duration) {
         if history.first_chunk.is_some() {
             let left = self
@@ -291,7 +295,7 @@
         if !self.is_idempotent() || !self.may_retry(history) {
             return None;
         }
-        match self.attempts(history, last_event).await {
+        match self.run_attempts(history, last_event).await {
             JobOutcome::Answered(answer) if answer.response.status() == StatusCode::OK => {
                 self.gateway.metrics.resumed.inc();
                 Some(answer)
@@ -301,7 +305,7 @@
     }
 
     /// Returns the backlog up to which an engine is worth trying after another one refused.
-    fn room(&self) -> BacklogLimits {
+    fn backlog_limits(&self) -> BacklogLimits {
         let target = Duration::from_millis(self.route.target_latency_ms);
         let left = target.saturating_sub(self.arrived.elapsed());
         BacklogLimits {
@@ -343,8 +347,8 @@
         if holders.contains(&endpoint.incarnation) {
             return None;
         }
-        let fleet = self.gateway.routing.current();
-        let listed = fleet.of_service(&self.service).iter();
+        let snapshot = self.gateway.routing.current();
+        let listed = snapshot.of_service(&self.service).iter();
         let usable: SmallVec<[&Arc<Endpoint>; 16]> = listed
             .filter(|listed| listed.is_open() && listed.has_fresh_load())
             .collect();
@@ -361,10 +365,10 @@
     }
 
     /// Chooses an endpoint, preferably one that was not tried and is not ejected by its circuit breaker.
-    fn pick(&self, history: &mut History) -> Option<Arc<Endpoint>> {
+    fn pick_endpoint(&self, history: &mut History) -> Option<Arc<Endpoint>> {
         // The current list, not that of the request's arrival: endpoints may have left or started since then.
-        let fleet = self.gateway.routing.current();
-        let listed = fleet.of_service(&self.service);
+        let snapshot = self.gateway.routing.current();
+        let listed = snapshot.of_service(&self.service);
         let listed = listed.iter().filter(|endpoint| !endpoint.is_draining());
         // A requested pause is binding: no request goes to such an endpoint, even if no other is left.
         let mut shortest_backoff: Option<Duration> = None;
@@ -398,11 +402,11 @@
             open
         };
         let holders = self.holders();
-        let description = usable.iter().map(|endpoint| {
+        let with_ages = usable.iter().map(|endpoint| {
             let has_cached_prefix = holders.contains(&endpoint.incarnation);
             endpoint.candidate(&self.gateway.data_center, has_cached_prefix)
         });
-        let (candidates, ages): (Vec<Candidate>, Vec<u128>) = description.unzip();
+        let (candidates, ages): (Vec<Candidate>, Vec<u128>) = with_ages.unzip();
         history.candidates = candidates.len();
         let rules = &self.gateway.choice;
         let prompt = self.prompt.as_ref().filter(|_| self.route.prompts);
@@ -410,14 +414,14 @@
         let index = if history.refused.is_empty() {
             choose_endpoint(&candidates, prompt, far_bytes, rules, draw)
         } else {
-            let room = self.room();
+            let limits = self.backlog_limits();
             choose_after_refusal(
                 &candidates,
                 prompt,
                 far_bytes,
                 rules,
                 self.lag(),
-                room,
+                limits,
                 draw,
             )
         }?;
--- a/crates/gateway/src/listener.rs
+++ b/crates/gateway/src/listener.rs
@@ -36,7 +36,7 @@
     /// Returns the system's error when a connection can't be accepted, or the address can't be bound again.
     pub(crate) async fn accept(&mut self) -> io::Result<(TcpStream, SocketAddr)> {
         loop {
-            self.follow().await?;
+            self.apply_pause().await?;
             let Some(listener) = &self.listener else {
                 // The sender is dropped only when the gateway ends.
                 let _changed_or_gone = self.is_paused.changed().await;
@@ -50,7 +50,7 @@
     }
 
     /// Binds or closes the listener as overload control said last.
-    async fn follow(&mut self) -> io::Result<()> {
+    async fn apply_pause(&mut self) -> io::Result<()> {
         let is_paused = *self.is_paused.borrow_and_update();
         let Some(address) = self.address else {
             return Ok(());
--- a/crates/gateway/src/listener/tests.rs
+++ b/crates/gateway/src/listener/tests.rs
@@ -12,7 +12,7 @@
 use super::CallerListener;
 
 /// Starts a listener and counts the connections that it accepts.
-async fn open() -> (
+async fn start() -> (
     SocketAddr,
     watch::Sender<bool>,
     watch::Receiver<u32>,
@@ -22,7 +22,7 @@
         .await
         .expect("a port is free");
     let address = listener.local_addr().expect("it is bound");
-    let (closed, is_paused) = watch::channel(false);
+    let (pause, is_paused) = watch::channel(false);
     let (count, accepted) = watch::channel(0);
     let mut listener = CallerListener::new(listener, is_paused);
     let task = tokio::spawn(async move {
@@ -30,7 +30,7 @@
             count.send_modify(|count| *count += 1);
         }
     });
-    (address, closed, accepted, task)
+    (address, pause, accepted, task)
 }
 
 /// Connects until an attempt has the wanted result.
@@ -42,17 +42,17 @@
 
 async_cases! { real
     connections_are_refused_while_closed_and_accepted_after_reopening => {
-        let (address, closed, mut accepted, task) = open().await;
+        let (address, pause, mut accepted, task) = start().await;
         connect_until(address, Result::is_ok).await;
         accepted.wait_for(|count| *count >= 1).await.expect("the task holds the listener");
-        closed.send_replace(true);
+        pause.send_replace(true);
         let is_refused = |connected: &io::Result<TcpStream>| {
             let refused = connected.as_ref().err();
             refused.is_some_and(|cause| cause.kind() == io::ErrorKind::ConnectionRefused)
         };
         connect_until(address, is_refused).await;
         let before = *accepted.borrow();
-        closed.send_replace(false);
+        pause.send_replace(false);
         connect_until(address, Result::is_ok).await;
         accepted.wait_for(|count| *count > before).await.expect("the task holds the listener");
         task.abort();
@@ -61,10 +61,10 @@
         // Closing a listener resets the connections in its accept queue, whose callers have already sent requests.
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
         let address = listener.local_addr().expect("it is bound");
-        let (closed, is_paused) = watch::channel(false);
+        let (pause, is_paused) = watch::channel(false);
         let mut listener = CallerListener::new(listener, is_paused);
         let mut waiting = TcpStream::connect(address).await.expect("the port is bound");
-        closed.send_replace(true);
+        pause.send_replace(true);
         let is_taken = tokio::select! {
             accepted = listener.accept() => accepted.is_ok(),
             _cut = waiting.read_u8() => false,
--- a/crates/gateway/src/overload.rs
+++ b/crates/gateway/src/overload.rs
@@ -144,8 +144,8 @@
     /// Admits a request that another gateway hands off, if the limits allow it.
     pub(crate) fn take_over(shared: &Arc<Shared>, team: Option<&str>) -> Option<Self> {
         let team = team.unwrap_or_default();
-        let may = shared.overload().try_take_over(team);
-        may.then(|| Self {
+        let is_allowed = shared.overload().try_take_over(team);
+        is_allowed.then(|| Self {
             shared: Arc::clone(shared),
             team: team.into(),
         })
--- a/crates/gateway/src/peer_discovery.rs
+++ b/crates/gateway/src/peer_discovery.rs
@@ -26,10 +26,10 @@
 /// Queries control instances in turn until the task is aborted.
 pub(crate) async fn run(client: Client, query: MeetGateways, shared: Arc<Shared>) {
     let from = rand::random::<u32>() as usize;
-    let mut asked = 0;
+    let mut queried = 0;
     loop {
         let known = shared.routing.known_control.load_full();
-        let is_first_round = asked < known.len().max(1);
+        let is_first_round = queried < known.len().max(1);
         sleep(if is_first_round {
             FIRST_INTERVAL
         } else {
@@ -37,10 +37,10 @@
         })
         .await;
         let known = shared.routing.known_control.load_full();
-        let Some(address) = known.get((from + asked) % known.len().max(1)) else {
+        let Some(address) = known.get((from + queried) % known.len().max(1)) else {
             continue;
         };
-        asked += 1;
+        queried += 1;
         let called = client.call(address, MEET_GATEWAYS_PATH, &query, QUERY_TIMEOUT);
         let answered: Result<NearbyGateways, _> = called.await;
         match answered {
--- a/crates/gateway/src/peer_updates.rs
+++ b/crates/gateway/src/peer_updates.rs
@@ -1,8 +1,8 @@
 //! Fetches updates from other gateways while no control instance answers, and serves them to others.
 //!
-//! When a network partition splits control, a gateway may reach only instances without a leader, or none at all. Most other gateways
-//! reach both sides and have every newer table within a second. Their state was committed, and an older version is never applied,
-//! so an update can be accepted from any of them.
+//! When a network partition splits control, a gateway may reach only instances without a leader, or none at all. Most other
+//! gateways reach both sides and have every newer table within a second. Their state was committed, and an older version is
+//! never applied, so an update can be accepted from any of them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,8 +25,8 @@
 /// Path on which a gateway serves its newer state.
 const NEWER_PATH: &str = "/v1/gateways/newer";
 
-/// Time without control after which other gateways are queried. An election takes about a second, during which nothing is committed
-/// that they could know.
+/// Time without control after which other gateways are queried. An election takes about a second, during which nothing is
+/// committed that they could know.
 const QUERY_AFTER: Duration = Duration::from_secs(1);
 
 /// Minimum interval between queries, a fraction of the seconds within which a change must take effect.
@@ -73,14 +73,14 @@
             return;
         }
         self.queried_at = Instant::now();
-        let asked = self.addresses.iter().map(|address| async move {
-            let asked = client.call(address, NEWER_PATH, query, QUERY_TIMEOUT);
+        let queries = self.addresses.iter().map(|address| async move {
+            let call = client.call(address, NEWER_PATH, query, QUERY_TIMEOUT);
             // A gateway that does not answer is queried again in the next round.
-            let update: Option<RoutesUpdate> = asked.await.ok();
+            let update: Option<RoutesUpdate> = call.await.ok();
             (address, update)
         });
-        for (address, update) in join_all(asked).await {
-            let Some(update) = update.filter(has_news) else {
+        for (address, update) in join_all(queries).await {
+            let Some(update) = update.filter(has_changes) else {
                 continue;
             };
             info!(
@@ -97,7 +97,7 @@
     }
 }
 
-fn has_news(update: &RoutesUpdate) -> bool {
+fn has_changes(update: &RoutesUpdate) -> bool {
     update.table.is_some() || update.endpoints.is_some() || update.suspects.is_some()
 }
 
--- a/crates/gateway/src/peer_updates/tests.rs
+++ b/crates/gateway/src/peer_updates/tests.rs
@@ -4,7 +4,7 @@
 
 use super::PeerUpdates;
 
-fn after(answers: &[&[&str]]) -> Vec<Box<str>> {
+fn addresses_after(answers: &[&[&str]]) -> Vec<Box<str>> {
     let mut peer_updates = PeerUpdates::new();
     for listed in answers {
         peer_updates.set_addresses(listed.iter().map(|address| Box::from(*address)).collect());
@@ -14,9 +14,9 @@
 
 cases! {
     the_most_recently_listed_gateways_are_queried => {
-        assert_eq!(after(&[&["a", "b"], &["c"]]), ["c".into()]);
+        assert_eq!(addresses_after(&[&["a", "b"], &["c"]]), ["c".into()]);
     }
     an_empty_list_keeps_the_earlier_gateways => {
-        assert_eq!(after(&[&["a", "b"], &[]]), ["a".into(), "b".into()]);
+        assert_eq!(addresses_after(&[&["a", "b"], &[]]), ["a".into(), "b".into()]);
     }
 }
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -1,4 +1,4 @@
-//! Serves one request: finds its route and team, and sends it to endpoints until one answers.
+//! Serves one request: looks up its route and team, admits it or hands it off, and returns an endpoint's answer or a refusal.
 
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
@@ -21,7 +21,7 @@
 use crate::dialect::RequestFacts;
 use crate::gateway::Shared;
 use crate::handoff::{Decline, TABLE_HEADER, hand_off};
-use crate::headers::strip_connection;
+use crate::headers::strip_hop_by_hop;
 use crate::history::{History, tokens_of};
 use crate::job::{Job, JobOutcome};
 use crate::overload::RunningRequest;
@@ -65,13 +65,13 @@
     let arrived = Instant::now();
     let (mut parts, body) = request.into_parts();
     let facts = gateway.dialect.read_request(&parts.headers);
-    let fleet = gateway.routing.current();
+    let snapshot = gateway.routing.current();
     if origin == Origin::Gateway
-        && let Some(decline) = declines(&gateway, &fleet, &mut parts.headers)
+        && let Some(decline) = decline_reason(&gateway, &snapshot, &mut parts.headers)
     {
         return decline.response();
     }
-    let matched = look_up(&fleet, &parts, &facts);
+    let matched = look_up(&snapshot, &parts, &facts);
     let Match {
         route,
         service,
@@ -80,16 +80,16 @@
         engine,
     } = match matched {
         Ok(matched) => matched,
-        Err(refusal) => return refuse_early(&gateway, &fleet, &facts, &parts, refusal),
+        Err(refusal) => return refuse_early(&gateway, &snapshot, &facts, &parts, refusal),
     };
     let timeout = Duration::from_millis(route.timeout_ms);
     let ends_at = arrived
         + facts
             .deadline
             .map_or(timeout, |deadline| deadline.min(timeout));
-    let body = match read_body(&fleet, body, ends_at).await {
+    let body = match read_body(&snapshot, body, ends_at).await {
         Ok(body) => body,
-        Err(refusal) => return refuse_early(&gateway, &fleet, &facts, &parts, refusal),
+        Err(refusal) => return refuse_early(&gateway, &snapshot, &facts, &parts, refusal),
     };
     let outgoing = Outgoing {
         may_rerun: may_run_again(&route),
@@ -109,7 +109,7 @@
     let running = match admitted {
         Ok(running) => running,
         Err(overloaded) => {
-            let handed_off = hand_off(&gateway, fleet.table_number(), &outgoing, &overloaded);
+            let handed_off = hand_off(&gateway, snapshot.table_number(), &outgoing, &overloaded);
             return match handed_off.await {
                 Some(response) => response,
                 None => refuse_overloaded(&gateway, team, &facts, overloaded),
@@ -119,7 +119,7 @@
     let job = Arc::new(Job {
         outgoing,
         gateway,
-        fleet,
+        snapshot,
         route,
         service,
         prompt: facts.prompt,
@@ -130,7 +130,7 @@
         last_event: facts.last_event,
         arrived,
     });
-    answer(job).await
+    run_job(job).await
 }
 
 /// Admits a caller's request.
@@ -163,16 +163,20 @@
 
 /// Returns why this gateway can't accept a handed-off request, if it can't, and removes the headers used between gateways.
 ///
-/// Both gateways must have the same route table: a caller must not be served by an older table than that of the gateway it connected
-/// to, nor by a newer one and then by the older one again.
-fn declines(gateway: &Shared, fleet: &RoutingSnapshot, headers: &mut HeaderMap) -> Option<Decline> {
+/// Both gateways must have the same route table: a caller must not be served by an older table than that of the gateway it
+/// connected to, nor by a newer one and then by the older one again.
+fn decline_reason(
+    gateway: &Shared,
+    snapshot: &RoutingSnapshot,
+    headers: &mut HeaderMap,
+) -> Option<Decline> {
     let table = headers.remove(TABLE_HEADER);
     let table = table.and_then(|table| table.to_str().ok()?.parse::<u64>().ok());
     if gateway.stops_at.get().is_some() {
         Some(Decline::Leaving)
     } else if gateway.routing.age() > MAX_STATE_AGE {
         Some(Decline::WithoutControl)
-    } else if table != Some(fleet.table_number()) {
+    } else if table != Some(snapshot.table_number()) {
         Some(Decline::OtherTable)
     } else {
         None
@@ -200,8 +204,12 @@
 }
 
 /// Looks up the route, the service and the team of a request.
-fn look_up(fleet: &RoutingSnapshot, parts: &Parts, facts: &RequestFacts) -> Result<Match, Refusal> {
-    let lookup = fleet.lookup.as_ref().ok_or(Refusal::NoTable)?;
+fn look_up(
+    snapshot: &RoutingSnapshot,
+    parts: &Parts,
+    facts: &RequestFacts,
+) -> Result<Match, Refusal> {
+    let lookup = snapshot.lookup.as_ref().ok_or(Refusal::NoTable)?;
     let host = host_of(parts).ok_or(Refusal::NoRoute)?;
     let route = lookup
         .route(host, parts.uri.path())
@@ -235,11 +243,11 @@
 }
 
 async fn read_body(
-    fleet: &RoutingSnapshot,
+    snapshot: &RoutingSnapshot,
     body: Incoming,
     ends_at: Instant,
 ) -> Result<Bytes, Refusal> {
-    let lookup = fleet.lookup.as_ref().ok_or(Refusal::NoTable)?;
+    let lookup = snapshot.lookup.as_ref().ok_or(Refusal::NoTable)?;
     let limit = lookup.table().limits.max_body_bytes;
     let limit = usize::try_from(limit).unwrap_or(usize::MAX);
     let whole = timeout_at(ends_at, Limited::new(body, limit).collect()).await;
@@ -258,7 +266,7 @@
     ends_at: Instant,
 ) -> Outgoing {
     let mut headers = parts.headers;
-    strip_connection(&mut headers);
+    strip_hop_by_hop(&mut headers);
     // The body was buffered and is sent with its exact length, however it was framed on arrival.
     headers.remove(http::header::CONTENT_LENGTH);
     headers.remove(http::header::EXPECT);
@@ -286,7 +294,7 @@
 
 fn refuse_early(
     gateway: &Shared,
-    fleet: &RoutingSnapshot,
+    snapshot: &RoutingSnapshot,
     facts: &RequestFacts,
     parts: &Parts,
     refusal: Refusal,
@@ -301,7 +309,7 @@
         outcome = refusal.name(),
         status = status,
         path = parts.uri.path(),
-        table = fleet.table_number(),
+        table = snapshot.table_number(),
         table_age_ms = gateway.routing.age().as_millis()
     );
     refusal.response()
@@ -361,7 +369,7 @@
     refusal.response()
 }
 
-async fn answer(job: Arc<Job>) -> Response<AnswerBody> {
+async fn run_job(job: Arc<Job>) -> Response<AnswerBody> {
     let mut history = History::default();
     if job.outlasts_stop() {
         history.record_cause("this instance stops before the answer would end");
@@ -372,7 +380,7 @@
     }
     job.gateway.record_request(&job.service);
     loop {
-        let answer = match job.attempts(&mut history, job.last_event).await {
+        let answer = match job.run_attempts(&mut history, job.last_event).await {
             JobOutcome::Answered(answer) => answer,
             JobOutcome::Refused(refusal) => return refuse(&job, &mut history, refusal),
         };
@@ -383,7 +391,7 @@
         }
         history.status = answer.response.status().as_u16();
         if is_read_whole(answer.response.body()) {
-            match whole(&job, &mut history, *answer).await {
+            match buffered_answer(&job, &mut history, *answer).await {
                 Ok(response) => return response,
                 Err(ReadError::Broken) if job.is_idempotent() && job.may_retry(&history) => {
                     history.record_possible_run("the answer broke off");
@@ -392,12 +400,12 @@
                 Err(ReadError::TimedOut) => return refuse(&job, &mut history, Refusal::TimedOut),
             }
         } else {
-            return stream(job, history, answer);
+            return streamed_answer(job, history, answer);
         }
     }
 }
 
-async fn whole(
+async fn buffered_answer(
     job: &Job,
     history: &mut History,
     answer: Answer,
@@ -419,11 +427,11 @@
     let body = body?;
     if head.status.is_success() {
         in_use.record_first_chunk();
-        job.completed(history);
+        job.record_completed(history);
     }
     drop(in_use);
     connection.keep();
-    strip_connection(&mut head.headers);
+    strip_hop_by_hop(&mut head.headers);
     history.record_chunk(job);
     job.gateway.metrics.record_end(job, outcome_of(head.status));
     history.log(job, outcome_of(head.status));
@@ -438,13 +446,13 @@
     }
 }
 
-fn stream(job: Arc<Job>, history: History, answer: Box<Answer>) -> Response<AnswerBody> {
+fn streamed_answer(job: Arc<Job>, history: History, answer: Box<Answer>) -> Response<AnswerBody> {
     let (chunks, body) = AnswerBody::chunks();
     let mut response = Response::new(body);
     *response.status_mut() = answer.response.status();
     let mut headers = answer.response.headers().clone();
     let is_events = is_event_stream(&headers);
-    strip_connection(&mut headers);
+    strip_hop_by_hop(&mut headers);
     *response.headers_mut() = headers;
     tokio::spawn(streaming::run(job, history, answer, chunks, is_events));
     response
--- a/crates/gateway/src/streaming.rs
+++ b/crates/gateway/src/streaming.rs
@@ -49,7 +49,7 @@
     is_events: bool,
 ) {
     let mut batch = Batch::new(job.origin.batch_interval());
-    let mut splitter = is_events.then(|| EventSplitter::after(job.last_event));
+    let mut splitter = is_events.then(|| EventSplitter::resume_after(job.last_event));
     let mut answer = answer;
     let ended = loop {
         let passing = pass_on(
@@ -68,7 +68,7 @@
             history.record_cause("the endpoint broke the answer off");
             break ended;
         };
-        splitter.drop_rest();
+        splitter.discard_partial();
         history.record_cause("the endpoint broke the answer off");
         // Each event that the caller has may represent finished work, so a stream can only be resumed after a known event id.
         let resumed = job.resume(&mut history, splitter.last_id());
@@ -81,7 +81,7 @@
         // A disconnected caller is noticed when the end is sent.
         let _sent_or_left = chunks.send(held).await;
     }
-    let _told_or_left = match ended {
+    let _sent_or_left = match ended {
         StreamEnd::Complete => chunks.end().await,
         StreamEnd::Broken | StreamEnd::TimedOut => chunks.break_off().await,
         StreamEnd::CallerLeft => Ok(()),
@@ -105,7 +105,7 @@
     } = *answer;
     // If only the close of the connection marks the end, a crash of the endpoint looks the same.
     let proves_completion =
-        response.status().is_success() && headers::has_own_end(response.headers());
+        response.status().is_success() && headers::is_self_delimited(response.headers());
     let mut body = response.into_body();
     let mut has_begun = false;
     let may_rerun = splitter.is_some() && job.outgoing.may_rerun;
@@ -157,14 +157,14 @@
         }
     }
     // A stream that ends in the middle of an event was truncated.
-    if splitter.is_some_and(|splitter| splitter.is_inside()) {
+    if splitter.is_some_and(|splitter| splitter.has_partial()) {
         in_use.record_broken(&job.outgoing);
         return StreamEnd::Broken;
     }
     drop(in_use);
     connection.keep();
     if proves_completion {
-        job.completed(history);
+        job.record_completed(history);
     }
     StreamEnd::Complete
 }
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-use hinge_routing::{RequestKey, Suspects as Known};
+use hinge_routing::{RequestKey, Suspects as SuspectTable};
 use hinge_schema::routing::SuspectList;
 use hinge_telemetry::log::Part;
 use hinge_telemetry::metrics::Registry;
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Evidence {
     /// The admission beside it reports that nothing listens at its address.
-    AdmissionSays,
+    AdmissionReport,
     /// A new connection is refused.
     ConnectionRefused,
     /// Another endpoint, or another incarnation of it, listens at its address.
@@ -42,7 +42,7 @@
 impl fmt::Display for Evidence {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::AdmissionSays => "admission",
+            Self::AdmissionReport => "admission",
             Self::ConnectionRefused => "connection_refused",
             Self::Replaced => "replaced",
             Self::KnownBefore => "known_before",
@@ -53,27 +53,27 @@
 /// The requests during which endpoints have ended.
 #[derive(Debug)]
 pub(crate) struct Suspects {
-    known: Mutex<Known>,
+    table: Mutex<SuspectTable>,
     /// Whether any request is suspected; if none is, no request key has to be computed.
     has_any: AtomicBool,
     /// Observations that control has not acknowledged yet.
     pub(crate) pending_reports: PendingReports,
     ends: Counter,
-    turned_away: Counter,
+    rejections: Counter,
     held: Gauge,
 }
 
 impl Suspects {
     pub(crate) fn register(registry: &Registry) -> Self {
         Self {
-            known: Mutex::default(),
+            table: Mutex::default(),
             has_any: AtomicBool::new(false),
             pending_reports: PendingReports::default(),
             ends: registry.counter(
                 "gateway_ended_under",
                 "Requests whose endpoint ended while it worked on them.",
             ),
-            turned_away: registry.counter(
+            rejections: registry.counter(
                 "gateway_turned_away",
                 "Requests that were turned away since endpoints ended under them.",
             ),
@@ -85,7 +85,7 @@
     }
 
     /// Records that an endpoint ended while it worked on a request.
-    pub(crate) fn ended_under(
+    pub(crate) fn record_end(
         &self,
         request: &BrokenRequest,
         endpoint: &Endpoint,
@@ -93,9 +93,9 @@
     ) {
         self.ends.inc();
         let end = (request.key, endpoint.incarnation);
-        let ends = self.change(|known| {
-            known.record(known.version(), &[end], &[]);
-            known.crash_count(&request.key)
+        let ends = self.update(|table| {
+            table.record(table.version(), &[end], &[]);
+            table.crash_count(&request.key)
         });
         self.pending_reports.add_end(end);
         warn!(
@@ -111,7 +111,7 @@
     }
 
     /// Records that an endpoint has completed a request.
-    pub(crate) fn completed(&self, outgoing: &Outgoing) {
+    pub(crate) fn record_completed(&self, outgoing: &Outgoing) {
         if !self.has_any.load(Ordering::Acquire) {
             return;
         }
@@ -119,7 +119,7 @@
         if self.lock().crash_count(&request) == 0 {
             return;
         }
-        self.change(|known| known.record(known.version(), &[], &[request]));
+        self.update(|table| table.record(table.version(), &[], &[request]));
         self.pending_reports.add_completed(request);
     }
 
@@ -130,7 +130,7 @@
 
     /// Counts a request that is rejected because it is held.
     pub(crate) fn record_rejection(&self) {
-        self.turned_away.inc();
+        self.rejections.inc();
     }
 
     /// Returns the version of control's list that was applied last.
@@ -145,21 +145,21 @@
 
     /// Applies a list from control or from another gateway.
     pub(crate) fn apply(&self, list: &SuspectList) {
-        self.change(|known| known.apply(list));
+        self.update(|table| table.apply(list));
     }
 
-    fn change<T>(&self, act: impl FnOnce(&mut Known) -> T) -> T {
-        let mut known = self.lock();
-        let result = act(&mut known);
-        self.has_any.store(!known.is_empty(), Ordering::Release);
-        let held = i64::try_from(known.held().len()).unwrap_or(i64::MAX);
+    fn update<T>(&self, act: impl FnOnce(&mut SuspectTable) -> T) -> T {
+        let mut table = self.lock();
+        let result = act(&mut table);
+        self.has_any.store(!table.is_empty(), Ordering::Release);
+        let held = i64::try_from(table.held().len()).unwrap_or(i64::MAX);
         if self.held.set(held) != held {
             warn!(
                 Part::Gateway,
                 "The held requests have changed.",
                 held = held,
-                version = known.version(),
-                newest = known
+                version = table.version(),
+                newest = table
                     .newest_held()
                     .map_or_else(String::new, |request| request.to_string())
             );
@@ -167,7 +167,7 @@
         result
     }
 
-    fn lock(&self) -> MutexGuard<'_, Known> {
-        self.known.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, SuspectTable> {
+        self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/gateway/tests/events.rs
+++ b/crates/gateway/tests/events.rs
@@ -36,16 +36,16 @@
         let event = Bytes::from(events(1));
         assert_eq!(splitter.push(&event).expect("it is short"), event);
         assert_eq!(splitter.last_id(), Some(1));
-        assert!(!splitter.is_inside());
+        assert!(!splitter.has_partial());
     }
     an_unfinished_event_is_held_back => {
-        let mut splitter = EventSplitter::after(Some(4));
+        let mut splitter = EventSplitter::resume_after(Some(4));
         let out = splitter.push(&Bytes::from("id: 5\ndata: a\n\nid: 6\nda")).expect("it is short");
         assert_eq!(out, Bytes::from_static(b"id: 5\ndata: a\n\n"));
         assert_eq!(splitter.last_id(), Some(5));
-        assert!(splitter.is_inside());
-        splitter.drop_rest();
-        assert!(!splitter.is_inside());
+        assert!(splitter.has_partial());
+        splitter.discard_partial();
+        assert!(!splitter.has_partial());
     }
     an_event_that_exceeds_the_limit_is_an_error => {
         let mut splitter = EventSplitter::default();
