--- a/crates/daemon/src/roles/gateway.rs
+++ b/crates/daemon/src/roles/gateway.rs
@@ -39,7 +39,7 @@
             .zip(given.handoff_last_port)
             .map(|(first, last)| first..=last),
         admission_port: given.admission_port,
-        budget: RetryBudgetRules {
+        retry_budget: RetryBudgetRules {
             retry_permille: given.retry_permille,
             burst_retries: given.retry_burst,
             window: Duration::from_millis(given.retry_window_ms),
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -20,7 +20,7 @@
 
 /// A caller's request as it is sent to endpoints.
 #[derive(Debug)]
-pub(crate) struct Outgoing {
+pub(crate) struct OutgoingRequest {
     pub(crate) method: Method,
     pub(crate) uri: Uri,
     /// Headers of the caller, without hop-by-hop headers.
@@ -38,7 +38,7 @@
     pub(crate) key: OnceLock<RequestKey>,
 }
 
-impl Outgoing {
+impl OutgoingRequest {
     /// Returns the key that is the same at every gateway and for every attempt of the caller.
     pub(crate) fn key(&self) -> RequestKey {
         let path = self.uri.path_and_query().map_or("/", |path| path.as_str());
@@ -93,7 +93,7 @@
 pub(crate) async fn send(
     dialect: &dyn Dialect,
     endpoint: &Arc<Endpoint>,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
     last_event: Option<u64>,
     fetch_from: Option<SocketAddr>,
     grant: Option<Grant>,
@@ -152,7 +152,7 @@
 fn request(
     dialect: &dyn Dialect,
     endpoint: &Endpoint,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
     last_event: Option<u64>,
     fetch_from: Option<SocketAddr>,
 ) -> Request<Full<Bytes>> {
@@ -197,7 +197,7 @@
 fn evaluate(
     dialect: &dyn Dialect,
     endpoint: &Arc<Endpoint>,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
     sender: Sender,
     response: Response<Incoming>,
     mut in_use: EndpointUse,
--- a/crates/gateway/src/endpoint.rs
+++ b/crates/gateway/src/endpoint.rs
@@ -17,7 +17,7 @@
 use tokio::time::{Instant, sleep};
 
 use crate::admission::{AdmissionClient, Grant};
-use crate::attempt::Outgoing;
+use crate::attempt::OutgoingRequest;
 use crate::dialect::EndpointLoad;
 use crate::notices::Notices;
 use crate::pool::{self, MAX_IDLE, Pool};
@@ -438,7 +438,7 @@
     }
 
     /// Records that the answer to the request broke off or can no longer arrive.
-    pub(crate) fn record_broken(&self, outgoing: &Outgoing) {
+    pub(crate) fn record_broken(&self, outgoing: &OutgoingRequest) {
         self.endpoint.record_broken(BrokenRequest {
             key: outgoing.key(),
             request_id: outgoing.request_id.clone().unwrap_or_default(),
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -77,7 +77,7 @@
     /// Port of the admissions beside the model engines; `None` without admissions.
     pub admission_port: Option<u16>,
     /// Budget of retries for each service.
-    pub budget: RetryBudgetRules,
+    pub retry_budget: RetryBudgetRules,
     /// Weights for choosing an endpoint.
     pub choice: ChoiceRules,
     /// Largest backlog, in prompt tokens, at which an engine still takes a request that another one refused.
@@ -105,8 +105,8 @@
     /// When a planned stop cuts off requests that still run; set once the stop begins.
     pub(crate) stops_at: OnceLock<Instant>,
     overload: Mutex<OverloadControl>,
-    budget_rules: RetryBudgetRules,
-    budgets: Mutex<HashMap<Box<str>, RetryBudget>>,
+    retry_budget_rules: RetryBudgetRules,
+    retry_budgets: Mutex<HashMap<Box<str>, RetryBudget>>,
     /// By service.
     team_usage: Mutex<HashMap<Box<str>, Arc<TeamUsage>>>,
     cached_prefixes: Mutex<CachedPrefixes>,
@@ -180,11 +180,14 @@
         act: impl FnOnce(&mut RetryBudget, Duration) -> T,
     ) -> T {
         let now = self.began.elapsed();
-        let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
-        if !budgets.contains_key(service) {
-            budgets.insert(service.into(), RetryBudget::new(self.budget_rules));
+        let mut retry_budgets = self
+            .retry_budgets
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        if !retry_budgets.contains_key(service) {
+            retry_budgets.insert(service.into(), RetryBudget::new(self.retry_budget_rules));
         }
-        let budget = budgets
+        let budget = retry_budgets
             .get_mut(service)
             .expect("the budget was just inserted");
         act(budget, now)
@@ -247,8 +250,8 @@
             is_paused: watch::Sender::new(false),
             stops_at: OnceLock::new(),
             overload: Mutex::new(OverloadControl::new(settings.overload)),
-            budget_rules: settings.budget,
-            budgets: Mutex::default(),
+            retry_budget_rules: settings.retry_budget,
+            retry_budgets: Mutex::default(),
             team_usage: Mutex::default(),
             cached_prefixes: Mutex::default(),
             handoffs: Handoffs::new(key.clone()),
--- a/crates/gateway/src/handoff.rs
+++ b/crates/gateway/src/handoff.rs
@@ -24,7 +24,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::{Instant, timeout, timeout_at};
 
-use crate::attempt::{ExchangeOutcome, Outgoing, exchange};
+use crate::attempt::{ExchangeOutcome, OutgoingRequest, exchange};
 use crate::body::{AnswerBody, BrokenOff};
 use crate::gateway::Shared;
 use crate::headers::{closes_connection, strip_hop_by_hop};
@@ -244,7 +244,7 @@
 pub(crate) async fn hand_off(
     shared: &Arc<Shared>,
     table: u64,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
     overloaded: &Overloaded,
 ) -> Option<Response<AnswerBody>> {
     // During a planned stop a handed-off request might outlast this gateway, which passes its answer on.
@@ -280,7 +280,7 @@
     None
 }
 
-async fn send(in_use: PeerUse, table: u64, outgoing: &Outgoing) -> OfferOutcome {
+async fn send(in_use: PeerUse, table: u64, outgoing: &OutgoingRequest) -> OfferOutcome {
     let shared = Arc::clone(&in_use.shared);
     let pool = shared.handoffs.pool(in_use.address);
     let Some(sender) = shared.handoffs.connect(in_use.address, &pool).await else {
@@ -313,7 +313,7 @@
     OfferOutcome::Answered(Response::from_parts(head, AnswerBody::HandedOff(body)))
 }
 
-fn request(shared: &Shared, table: u64, outgoing: &Outgoing) -> Request<Full<Bytes>> {
+fn request(shared: &Shared, table: u64, outgoing: &OutgoingRequest) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(outgoing.body.clone()));
     *request.method_mut() = outgoing.method.clone();
     *request.uri_mut() = outgoing.uri.clone();
@@ -325,7 +325,12 @@
     request
 }
 
-fn log_handoff(outgoing: &Outgoing, address: SocketAddr, offered: usize, overloaded: &Overloaded) {
+fn log_handoff(
+    outgoing: &OutgoingRequest,
+    address: SocketAddr,
+    offered: usize,
+    overloaded: &Overloaded,
+) {
     info!(
         Part::Gateway,
         "Handed off.",
@@ -340,7 +345,7 @@
     );
 }
 
-fn log_failure(outgoing: &Outgoing, address: SocketAddr, refusal: Refusal) {
+fn log_failure(outgoing: &OutgoingRequest, address: SocketAddr, refusal: Refusal) {
     warn!(
         Part::Gateway,
         "A request that was handed off has no answer.",
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 
 use crate::admission::AskOutcome;
-use crate::attempt::{self, Answer, AttemptOutcome, Outgoing};
+use crate::attempt::{self, Answer, AttemptOutcome, OutgoingRequest};
 use crate::endpoint::Endpoint;
 use crate::gateway::Shared;
 use crate::history::History;
@@ -59,7 +59,7 @@
     pub(crate) snapshot: Arc<RoutingSnapshot>,
     pub(crate) route: Route,
     pub(crate) service: Box<str>,
-    pub(crate) outgoing: Outgoing,
+    pub(crate) outgoing: OutgoingRequest,
     pub(crate) prompt: Option<Prompt>,
     pub(crate) last_event: Option<u64>,
     /// Description of the service's model engines, if its endpoints are engines.
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -16,7 +16,7 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::answer::{ReadError, is_read_whole, read_whole};
-use crate::attempt::{Answer, Outgoing};
+use crate::attempt::{Answer, OutgoingRequest};
 use crate::body::AnswerBody;
 use crate::dialect::RequestFacts;
 use crate::gateway::Shared;
@@ -91,7 +91,7 @@
         Ok(body) => body,
         Err(refusal) => return refuse_early(&gateway, &snapshot, &facts, &parts, refusal),
     };
-    let outgoing = Outgoing {
+    let outgoing = OutgoingRequest {
         may_rerun: may_run_again(&route),
         ..outgoing(parts, body, &facts, team, ends_at)
     };
@@ -264,13 +264,13 @@
     facts: &RequestFacts,
     team: Option<Box<str>>,
     ends_at: Instant,
-) -> Outgoing {
+) -> OutgoingRequest {
     let mut headers = parts.headers;
     strip_hop_by_hop(&mut headers);
     // The body was buffered and is sent with its exact length, however it was framed on arrival.
     headers.remove(http::header::CONTENT_LENGTH);
     headers.remove(http::header::EXPECT);
-    Outgoing {
+    OutgoingRequest {
         method: parts.method,
         uri: origin_form(&parts.uri),
         headers,
@@ -351,7 +351,11 @@
 }
 
 /// Refuses a held request before it uses any of its team's share.
-fn refuse_held(gateway: &Shared, route: &Route, outgoing: &Outgoing) -> Response<AnswerBody> {
+fn refuse_held(
+    gateway: &Shared,
+    route: &Route,
+    outgoing: &OutgoingRequest,
+) -> Response<AnswerBody> {
     let refusal = Refusal::Held;
     gateway.metrics.record_refused(refusal.name());
     gateway.routing.suspects.record_rejection();
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -14,7 +14,7 @@
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::gauge::Gauge;
 
-use crate::attempt::Outgoing;
+use crate::attempt::OutgoingRequest;
 use crate::endpoint::Endpoint;
 use crate::suspect_reports::PendingReports;
 
@@ -111,7 +111,7 @@
     }
 
     /// Records that an endpoint has completed a request.
-    pub(crate) fn record_completed(&self, outgoing: &Outgoing) {
+    pub(crate) fn record_completed(&self, outgoing: &OutgoingRequest) {
         if !self.has_any.load(Ordering::Acquire) {
             return;
         }
@@ -124,7 +124,7 @@
     }
 
     /// Returns whether a request is held, so that it must be rejected.
-    pub(crate) fn is_held(&self, outgoing: &Outgoing) -> bool {
+    pub(crate) fn is_held(&self, outgoing: &OutgoingRequest) -> bool {
         self.has_any.load(Ordering::Acquire) && self.lock().is_held(&outgoing.key())
     }
 
