--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -12,34 +12,34 @@
 use hyper::body::Incoming;
 use tokio::time::{Instant, timeout_at};
 
-use crate::admit::Place;
-use crate::dialect::{Dialect, Forward, Word};
-use crate::endpoint::{Endpoint, Use};
+use crate::admission::Grant;
+use crate::dialect::{Dialect, Disposition, ForwardFacts};
+use crate::endpoint::{Endpoint, EndpointUse};
 use crate::headers;
 use crate::pool::{self, Sender};
 
-/// Holds a caller's request as it is sent to endpoints.
+/// A caller's request as it is sent to endpoints.
 #[derive(Debug)]
-pub(crate) struct Outgoing {
+pub(crate) struct OutgoingRequest {
     pub(crate) method: Method,
     pub(crate) uri: Uri,
-    /// Headers of the caller, without those of its connection.
+    /// Headers of the caller, without hop-by-hop headers.
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
     pub(crate) request_id: Option<Box<str>>,
     pub(crate) team: Option<Box<str>>,
-    /// Prompt tokens that an endpoint has to read.
+    /// Prompt tokens that an endpoint has to prefill.
     pub(crate) prompt_tokens: u32,
-    /// Whether the request may run again where its answer is lost.
-    pub(crate) may_go_on: bool,
-    /// When the caller no longer waits, or the route's timeout is over.
+    /// Whether the request may run again when its answer is lost.
+    pub(crate) may_rerun: bool,
+    /// The earlier of the caller's deadline and the route's timeout.
     pub(crate) ends_at: Instant,
-    /// Made when it is asked for first.
+    /// Computed on first use.
     pub(crate) key: OnceLock<RequestKey>,
 }
 
-impl Outgoing {
-    /// Returns what names the request at every gateway and over all attempts of its caller.
+impl OutgoingRequest {
+    /// Returns the key that is the same at every gateway and for every attempt of the caller.
     pub(crate) fn key(&self) -> RequestKey {
         let path = self.uri.path_and_query().map_or("/", |path| path.as_str());
         let team = self.team.as_deref();
@@ -48,15 +48,15 @@
     }
 }
 
-/// Holds an endpoint's answer whose head has come.
+/// An endpoint's answer, of which the head has arrived.
 #[derive(Debug)]
 pub(crate) struct Answer {
     pub(crate) response: Response<Incoming>,
     pub(crate) connection: Connection,
-    pub(crate) in_use: Use,
+    pub(crate) in_use: EndpointUse,
 }
 
-/// Holds the connection of an answer until it is read whole.
+/// The connection of an answer that is still being read.
 #[derive(Debug)]
 pub(crate) struct Connection {
     endpoint: Arc<Endpoint>,
@@ -66,7 +66,7 @@
 }
 
 impl Connection {
-    /// Keeps the connection for another request, now that its answer is read whole.
+    /// Returns the connection to the pool once its answer is read whole.
     pub(crate) fn keep(self) {
         if !self.closes && !self.endpoint.is_draining() {
             self.endpoint.pool.keep(self.sender, self.keep_alive);
@@ -74,18 +74,18 @@
     }
 }
 
-/// Says what became of an attempt.
+/// The outcome of one attempt.
 #[derive(Debug)]
-pub(crate) enum Attempt {
+pub(crate) enum AttemptOutcome {
     /// The endpoint answers.
     Answered(Box<Answer>),
     /// No byte of the request was sent.
     NotSent,
-    /// The endpoint says that it did not run the request.
+    /// The endpoint reports that it did not run the request.
     NotRun(StatusCode),
     /// The request may have run, and there is no answer.
     Unknown(&'static str),
-    /// The time is over; the request may have run.
+    /// The deadline has passed; the request may have run.
     TimedOut,
 }
 
@@ -93,62 +93,66 @@
 pub(crate) async fn send(
     dialect: &dyn Dialect,
     endpoint: &Arc<Endpoint>,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
     last_event: Option<u64>,
     fetch_from: Option<SocketAddr>,
-    place: Option<Place>,
-) -> Attempt {
-    let mut in_use = endpoint.begin(outgoing.prompt_tokens, place);
+    grant: Option<Grant>,
+) -> AttemptOutcome {
+    let mut in_use = endpoint.begin_request(outgoing.prompt_tokens, grant);
     let kept = endpoint.pool.take();
     let is_kept = kept.is_some();
     let sender = match kept {
         Some(sender) => sender,
-        None => match timeout_at(outgoing.ends_at, pool::connect(endpoint.described.address)).await
+        None => match timeout_at(
+            outgoing.ends_at,
+            pool::connect(endpoint.description.address),
+        )
+        .await
         {
             Ok(Ok(sender)) => sender,
             Ok(Err(cause)) => {
-                endpoint.not_connected(&cause);
-                in_use.failed(&cause.to_string());
-                return Attempt::NotSent;
+                endpoint.record_connect_failure(&cause);
+                in_use.record_failure(&cause.to_string());
+                return AttemptOutcome::NotSent;
             }
-            Err(_elapsed) => return Attempt::NotSent,
+            Err(_elapsed) => return AttemptOutcome::NotSent,
         },
     };
     let request = request(dialect, endpoint, outgoing, last_event, fetch_from);
     let sent = tokio::select! {
         biased;
         sent = timeout_at(outgoing.ends_at, exchange(sender, request)) => sent,
-        cause = in_use.lost(outgoing.may_go_on) => {
-            in_use.broke(outgoing);
-            in_use.failed(cause);
-            return Attempt::Unknown(cause);
+        cause = in_use.wait_until_lost(outgoing.may_rerun) => {
+            in_use.record_broken(outgoing);
+            in_use.record_failure(cause);
+            return AttemptOutcome::Unknown(cause);
         }
     };
     let (sender, response) = match sent {
         Err(_elapsed) => {
-            return Attempt::TimedOut;
+            return AttemptOutcome::TimedOut;
         }
-        Ok(Exchanged::Answered(sender, response)) => (sender, response),
-        Ok(Exchanged::NotSent) => {
-            // A kept connection that the endpoint closed says nothing about the endpoint.
+        Ok(ExchangeOutcome::Answered(sender, response)) => (sender, response),
+        Ok(ExchangeOutcome::NotSent) => {
+            // An endpoint closes idle connections as a matter of course, so a pooled one that fails is no fault of it.
             if !is_kept {
-                in_use.failed("the connection closed before the request was sent");
+                in_use.record_failure("the connection closed before the request was sent");
             }
-            return Attempt::NotSent;
+            return AttemptOutcome::NotSent;
         }
-        Ok(Exchanged::Lost) => {
-            in_use.broke(outgoing);
-            in_use.failed("the connection broke");
-            return Attempt::Unknown("the connection broke");
+        Ok(ExchangeOutcome::Lost) => {
+            in_use.record_broken(outgoing);
+            in_use.record_failure("the connection broke");
+            return AttemptOutcome::Unknown("the connection broke");
         }
     };
-    judge(dialect, endpoint, outgoing, sender, response, in_use)
+    evaluate(dialect, endpoint, outgoing, sender, response, in_use)
 }
 
 fn request(
     dialect: &dyn Dialect,
     endpoint: &Endpoint,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
     last_event: Option<u64>,
     fetch_from: Option<SocketAddr>,
 ) -> Request<Full<Bytes>> {
@@ -156,8 +160,8 @@
     *request.method_mut() = outgoing.method.clone();
     *request.uri_mut() = outgoing.uri.clone();
     *request.headers_mut() = outgoing.headers.clone();
-    let forward = Forward {
-        endpoint: &endpoint.described.id,
+    let forward = ForwardFacts {
+        endpoint: &endpoint.description.id,
         team: outgoing.team.as_deref(),
         remaining: outgoing.ends_at.saturating_duration_since(Instant::now()),
         last_event,
@@ -167,8 +171,8 @@
     request
 }
 
-/// Says what became of a request on one connection.
-pub(crate) enum Exchanged {
+/// The outcome of a request on one connection.
+pub(crate) enum ExchangeOutcome {
     Answered(Sender, Response<Incoming>),
     /// No byte of it was sent.
     NotSent,
@@ -177,72 +181,72 @@
 }
 
 /// Sends a request on a connection, and waits for the head of its answer.
-pub(crate) async fn exchange(mut sender: Sender, request: Request<Full<Bytes>>) -> Exchanged {
+pub(crate) async fn exchange(mut sender: Sender, request: Request<Full<Bytes>>) -> ExchangeOutcome {
     if sender.ready().await.is_err() {
-        return Exchanged::NotSent;
+        return ExchangeOutcome::NotSent;
     }
     match sender.try_send_request(request).await {
-        Ok(response) => Exchanged::Answered(sender, response),
+        Ok(response) => ExchangeOutcome::Answered(sender, response),
         Err(mut error) => match error.take_message() {
-            Some(_unsent) => Exchanged::NotSent,
-            None => Exchanged::Lost,
+            Some(_unsent) => ExchangeOutcome::NotSent,
+            None => ExchangeOutcome::Lost,
         },
     }
 }
 
-fn judge(
+fn evaluate(
     dialect: &dyn Dialect,
     endpoint: &Arc<Endpoint>,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
     sender: Sender,
     response: Response<Incoming>,
-    mut in_use: Use,
-) -> Attempt {
+    mut in_use: EndpointUse,
+) -> AttemptOutcome {
     let status = response.status();
     let headers = response.headers();
     let facts = dialect.read_answer(outgoing.request_id.as_deref(), status, headers);
-    // Bytes that answer another request, or that nobody signed, say nothing of this one; the connection is dropped.
+    // The answer to another request says nothing about this one; the connection is dropped.
     if !facts.is_ours {
-        in_use.failed("the answer belongs to another request");
-        return Attempt::Unknown("the answer belongs to another request");
+        in_use.record_failure("the answer belongs to another request");
+        return AttemptOutcome::Unknown("the answer belongs to another request");
     }
-    if facts.word == Word::IsAnother {
-        in_use.is_gone();
-        return Attempt::NotRun(status);
+    if facts.disposition == Disposition::WrongEndpoint {
+        in_use.record_replaced();
+        return AttemptOutcome::NotRun(status);
     }
     if let Some(load) = facts.load {
-        in_use.saw_load(load);
+        in_use.record_load(load);
     }
-    if let Some(rest) = facts.rest {
-        in_use.asks_for_rest(rest);
+    if let Some(backoff) = facts.backoff {
+        in_use.record_backoff(backoff);
     }
     if facts.is_leaving {
-        in_use.says_that_it_leaves();
+        in_use.record_leaving();
     }
-    if facts.word == Word::NotRun {
-        in_use.answered();
-        return Attempt::NotRun(status);
+    if facts.disposition == Disposition::NotRun {
+        in_use.record_answer();
+        return AttemptOutcome::NotRun(status);
     }
     if status.is_success() && !facts.is_signed {
-        in_use.failed("the answer is not signed");
-        return Attempt::Unknown("the answer is not signed");
+        in_use.record_failure("the answer is not signed");
+        return AttemptOutcome::Unknown("the answer is not signed");
     }
     if headers.contains_key(CONTENT_ENCODING) {
-        in_use.failed("the answer has an encoding that nobody asked for");
-        return Attempt::Unknown("the answer has an encoding that nobody asked for");
+        in_use.record_failure("the answer has an encoding that nobody asked for");
+        return AttemptOutcome::Unknown("the answer has an encoding that nobody asked for");
     }
     if status.is_server_error() {
-        in_use.failed("the endpoint failed the request");
+        in_use.record_failure("the endpoint failed the request");
     } else {
-        in_use.answered();
+        in_use.record_answer();
     }
     let connection = Connection {
         endpoint: Arc::clone(endpoint),
         sender,
-        keep_alive: headers::keep_alive(headers),
-        closes: headers::closes(headers),
+        keep_alive: headers::keep_alive_time(headers),
+        closes: headers::closes_connection(headers),
     };
-    Attempt::Answered(Box::new(Answer {
+    AttemptOutcome::Answered(Box::new(Answer {
         response,
         connection,
         in_use,
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -1,72 +1,72 @@
-//! Cuts a stream of server-sent events into whole events.
+//! Splits a stream of server-sent events into whole events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event that is held until its end, in bytes; the events of engines have some hundred.
+/// Largest event that is buffered until its end, in bytes; the events of engines have a few hundred.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Says that an event is too long to be held.
+/// The error of an event that is too long to be buffered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EventTooLong;
 
-/// Holds the bytes of an event that has not ended, and the number of the last one that has.
+/// A splitter that buffers the unfinished event and tracks the id of the last whole one.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    rest: BytesMut,
+    partial: BytesMut,
     last_id: Option<u64>,
 }
 
 impl EventSplitter {
-    /// Starts after an event that the caller already has, if any.
+    /// Creates a splitter for a stream that continues after an event the caller has received, if any.
     #[must_use]
-    pub fn after(last_id: Option<u64>) -> Self {
+    pub fn resume_after(last_id: Option<u64>) -> Self {
         Self {
-            rest: BytesMut::new(),
+            partial: BytesMut::new(),
             last_id,
         }
     }
 
-    /// Returns the number of the last whole event.
+    /// Returns the id of the last whole event.
     #[must_use]
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Returns whether an event has begun and not ended.
+    /// Returns whether an unfinished event is buffered.
     #[must_use]
-    pub fn is_inside(&self) -> bool {
-        !self.rest.is_empty()
+    pub fn has_partial(&self) -> bool {
+        !self.partial.is_empty()
     }
 
-    /// Forgets an event that will not end, because its stream broke.
-    pub fn drop_rest(&mut self) {
-        self.rest.clear();
+    /// Discards the unfinished event of a stream that broke off.
+    pub fn discard_partial(&mut self) {
+        self.partial.clear();
     }
 
-    /// Takes in bytes, and returns the events that are whole now, as they came.
+    /// Adds bytes, and returns the bytes of the events that are now whole, unchanged.
     ///
     /// # Errors
     ///
-    /// Returns an error when an event does not end within a megabyte.
+    /// Returns an error when an event does not end within 1 MiB.
     pub fn push(&mut self, bytes: &Bytes) -> Result<Bytes, EventTooLong> {
-        if self.rest.is_empty() && bytes.ends_with(b"\n\n") {
-            self.note_ids(bytes);
+        if self.partial.is_empty() && bytes.ends_with(b"\n\n") {
+            self.record_ids(bytes);
             return Ok(bytes.clone());
         }
-        self.rest.extend_from_slice(bytes);
-        let Some(end) = end_of_events(&self.rest) else {
-            return if self.rest.len() > MAX_EVENT_BYTES {
+        self.partial.extend_from_slice(bytes);
+        let Some(end) = end_of_events(&self.partial) else {
+            return if self.partial.len() > MAX_EVENT_BYTES {
                 Err(EventTooLong)
             } else {
                 Ok(Bytes::new())
             };
         };
-        let whole = self.rest.split_to(end).freeze();
-        self.note_ids(&whole);
+        let whole = self.partial.split_to(end).freeze();
+        self.record_ids(&whole);
         Ok(whole)
     }
 
-    fn note_ids(&mut self, events: &[u8]) {
+    fn record_ids(&mut self, events: &[u8]) {
         let lines = events.split(|byte| *byte == b'\n');
         let ids = lines.filter_map(|line| line.strip_prefix(b"id:"));
         if let Some(id) = ids.filter_map(parse_number).next_back() {
@@ -75,10 +75,10 @@
     }
 }
 
-/// Returns the place after the last empty line.
+/// Returns the index after the last empty line.
 fn end_of_events(bytes: &[u8]) -> Option<usize> {
-    let place = bytes.windows(2).rposition(|pair| pair == b"\n\n")?;
-    Some(place + 2)
+    let index = bytes.windows(2).rposition(|pair| pair == b"\n\n")?;
+    Some(index + 2)
 }
 
 fn parse_number(text: &[u8]) -> Option<u64> {
--- a/crates/gateway/src/story.rs
+++ b/crates/gateway/src/history.rs
@@ -1,4 +1,4 @@
-//! Holds what has happened to a request, and writes the line of its end.
+//! The history of a request, which is logged when the request ends.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,65 +13,67 @@
 use crate::job::Job;
 use crate::refusal::Refusal;
 
-/// Holds what has happened to a request so far.
+/// What has happened to a request so far.
 #[derive(Debug, Default)]
-pub(crate) struct Story {
-    /// Endpoints that were sent the request; one that starts again under its id is another one.
+pub(crate) struct History {
+    /// Endpoints that were sent the request; a restarted endpoint counts as another one.
     pub(crate) tried: SmallVec<[Arc<Endpoint>; 2]>,
-    /// Endpoints whose admission has refused.
+    /// Endpoints whose admission refused the request.
     pub(crate) refused: SmallVec<[Arc<Endpoint>; 2]>,
-    /// Endpoints whose admission said that its engine is gone.
+    /// Endpoints whose admission reported that the engine is gone.
     pub(crate) gone: SmallVec<[Arc<Endpoint>; 2]>,
-    /// When the first admission that refused expects room.
+    /// Retry delay given by the last admission that refused, or by the endpoints' requested pauses.
     pub(crate) retry_after: Option<Duration>,
-    /// Engine from which the last one that was sent the request copies the shared parts.
+    /// Engine from which the last endpoint fetches the cached prompt prefix.
     pub(crate) fetched_from: Option<SocketAddr>,
     pub(crate) waited_ms: u64,
     pub(crate) ahead_tokens: u32,
     /// Attempts that reached an endpoint.
     pub(crate) attempts: u32,
-    /// Attempts of which no byte was sent, though a place was granted or none was needed.
+    /// Attempts of which no byte was sent, although a slot was granted or none was needed.
     pub(crate) not_sent: u32,
     pub(crate) running: u32,
     pub(crate) load_age_ms: u128,
     pub(crate) candidates: usize,
-    /// Whether an endpoint may have run the request, so that nobody may say that it did not.
+    /// Whether an endpoint may have run the request; then a refusal must not claim that it did not run.
     pub(crate) may_have_run: bool,
-    pub(crate) first_piece: Option<Duration>,
+    pub(crate) first_chunk: Option<Duration>,
     pub(crate) status: u16,
     pub(crate) cause: &'static str,
 }
 
-impl Story {
-    /// Notes a piece that is passed on.
-    pub(crate) fn note_piece(&mut self, job: &Job) {
-        if self.first_piece.is_none() {
+impl History {
+    /// Records a chunk that is passed on.
+    pub(crate) fn record_chunk(&mut self, job: &Job) {
+        if self.first_chunk.is_none() {
             let time = job.arrived.elapsed();
-            self.first_piece = Some(time);
-            job.gateway.metrics.first_piece(job, time.as_secs_f64());
+            self.first_chunk = Some(time);
+            job.gateway
+                .metrics
+                .record_first_chunk(job, time.as_secs_f64());
         }
     }
 
-    /// Notes why an answer did not come to its end.
-    pub(crate) fn note_cause(&mut self, cause: &'static str) {
+    /// Records why an answer is incomplete.
+    pub(crate) fn record_cause(&mut self, cause: &'static str) {
         self.cause = cause;
     }
 
-    /// Notes that all endpoints rest, and for how long at least.
-    pub(crate) fn note_rest(&mut self, shortest: Option<Duration>) {
-        if let Some(rest) = shortest {
+    /// Records that all endpoints have asked for a pause, with the shortest time left.
+    pub(crate) fn record_backoff(&mut self, shortest: Option<Duration>) {
+        if let Some(backoff) = shortest {
             self.cause = "all endpoints rest";
-            self.retry_after = Some(rest);
+            self.retry_after = Some(backoff);
         }
     }
 
-    /// Notes that an endpoint ran the request, and that its answer is not passed on.
-    pub(crate) fn note_run(&mut self, cause: &'static str) {
+    /// Records that an endpoint may have run the request although its answer is not passed on.
+    pub(crate) fn record_possible_run(&mut self, cause: &'static str) {
         self.may_have_run = true;
         self.cause = cause;
     }
 
-    /// Returns the refusal of a request for which no endpoint is left.
+    /// Returns the refusal of a request for which no endpoint is available.
     pub(crate) fn refusal(&self, retry_after: Duration) -> Refusal {
         if self.may_have_run {
             Refusal::Unknown
@@ -80,9 +82,9 @@
         }
     }
 
-    /// Returns the refusal of a request that is sent to no endpoint any more.
-    pub(crate) fn held(&mut self, job: &Job) -> Refusal {
-        job.gateway.held.suspects.note_turned_away();
+    /// Returns the refusal of a held request.
+    pub(crate) fn held_refusal(&mut self, job: &Job) -> Refusal {
+        job.gateway.routing.suspects.record_rejection();
         self.cause = "the request is held";
         if self.may_have_run {
             Refusal::Unknown
@@ -91,10 +93,10 @@
         }
     }
 
-    /// Writes the line of the request's end.
-    pub(crate) fn tell(&self, job: &Job, outcome: &str) {
+    /// Logs the request at its end.
+    pub(crate) fn log(&self, job: &Job, outcome: &str) {
         let (prompt_tokens, answer_tokens) = tokens_of(job.prompt.as_ref());
-        // Lines of failures are the last ones that are dropped when nobody takes them.
+        // When the log falls behind, lines of failures are dropped last.
         let level = match outcome {
             "unknown" | "broken_off" | "timed_out" => Level::Warn,
             _ => Level::Info,
@@ -124,27 +126,27 @@
             candidates = self.candidates,
             running = self.running,
             load_age_ms = self.load_age_ms,
-            table = job.fleet.table_number(),
-            table_age_ms = job.gateway.held.age().as_millis(),
-            list = job.fleet.endpoints_version(),
-            first_ms = self.first_piece.map_or(0, |time| time.as_millis()),
+            table = job.snapshot.table_number(),
+            table_age_ms = job.gateway.routing.age().as_millis(),
+            list = job.snapshot.endpoints_version(),
+            first_ms = self.first_chunk.map_or(0, |time| time.as_millis()),
             ms = job.arrived.elapsed().as_millis()
         );
     }
 }
 
-/// Returns the tokens of a request's prompt, and the most of its answer; none of a plain one.
+/// Returns the tokens of the prompt and the maximum of the answer; zeros for a plain request.
 pub(crate) fn tokens_of(prompt: Option<&Prompt>) -> (u32, u32) {
     prompt.map_or((0, 0), |prompt| {
         (prompt.prompt_tokens, prompt.max_answer_tokens)
     })
 }
 
-/// Returns the ids of some endpoints, for a log line.
+/// Returns the ids of endpoints, joined by commas.
 fn ids_of(endpoints: &[Arc<Endpoint>]) -> String {
     let ids: SmallVec<[&str; 2]> = endpoints
         .iter()
-        .map(|endpoint| &*endpoint.described.id)
+        .map(|endpoint| &*endpoint.description.id)
         .collect();
     ids.join(",")
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,42 +1,42 @@
-//! Runs the gateway role: it takes requests by host and path, and passes them to endpoints that have no sidecar.
+//! The gateway role: routes requests by host and path to endpoints that have no sidecar.
 //!
-//! The gateway knows no names on the wire. A [`Dialect`] decodes a request's headers into [`Facts`] once, and writes
-//! those that go to the endpoint. Routes, teams and endpoints come from control, and are held by version: a gateway
-//! never steps back to an older one.
+//! The gateway knows no header names. A [`Dialect`] decodes a request's headers into [`RequestFacts`] once, and writes the
+//! headers for the endpoint. Routes, teams and endpoints come from control and are versioned: a gateway never goes back to
+//! an older version.
 
-mod admit;
+mod admission;
+mod admission_stream;
 mod answer;
-mod apart;
 mod attempt;
 mod batch;
 mod body;
 mod connections;
+mod dedicated_thread;
 mod dialect;
-mod door;
 mod endpoint;
 mod events;
-mod fleet;
 mod follow;
 mod gateway;
 mod handoff;
 mod headers;
+mod history;
 mod job;
-mod line;
-mod load;
-mod meet;
+mod listener;
 mod metrics;
-mod neighbours;
+mod notices;
+mod overload;
+mod peer_discovery;
+mod peer_updates;
 mod pool;
-mod pump;
 mod refusal;
-mod said;
+mod routing_state;
 mod serve;
-mod story;
+mod streaming;
+mod suspect_reports;
 mod suspects;
 mod takeover;
-mod teams;
-mod tell;
+mod team_usage;
 
-pub use dialect::{AnswerFacts, Dialect, Facts, Forward, Load, Word};
+pub use dialect::{AnswerFacts, Dialect, Disposition, EndpointLoad, ForwardFacts, RequestFacts};
 pub use events::EventSplitter;
 pub use gateway::{Gateway, GatewaySettings};
--- /dev/null
+++ b/crates/gateway/src/routing_state.rs
@@ -0,0 +1,224 @@
+//! The routes and endpoints that a gateway has received from control.
+
+use std::collections::{HashMap, HashSet};
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex, PoisonError};
+use std::time::Duration;
+
+use arc_swap::ArcSwap;
+use hinge_routing::{Address, RouteIndex};
+use hinge_schema::routing::{EndpointList, EndpointState, RouteTable, RoutesUpdate, WatchRoutes};
+use hinge_telemetry::info;
+use hinge_telemetry::log::Part;
+use tokio::time::Instant;
+
+use crate::admission::{AdmissionAccess, AdmissionClient};
+use crate::endpoint::Endpoint;
+use crate::notices::NoticeTable;
+use crate::suspects::{Evidence, Suspects};
+
+/// An immutable snapshot of the routes and endpoints.
+#[derive(Debug, Default)]
+pub(crate) struct RoutingSnapshot {
+    pub(crate) lookup: Option<Arc<RouteIndex>>,
+    /// Latest list of endpoints from control, if any.
+    list: Option<Arc<EndpointList>>,
+    by_id: HashMap<Box<str>, Arc<Endpoint>>,
+    by_service: HashMap<Box<str>, Vec<Arc<Endpoint>>>,
+}
+
+impl RoutingSnapshot {
+    /// Returns the endpoints of a service that take requests.
+    pub(crate) fn of_service(&self, service: &str) -> &[Arc<Endpoint>] {
+        self.by_service.get(service).map_or(&[], Vec::as_slice)
+    }
+
+    /// Returns the version of the endpoint list; 0 without a list.
+    pub(crate) fn endpoints_version(&self) -> u64 {
+        self.list.as_ref().map_or(0, |list| list.version)
+    }
+
+    /// Returns the number of the route table in force; 0 without a table.
+    pub(crate) fn table_number(&self) -> u64 {
+        self.lookup
+            .as_ref()
+            .map_or(0, |lookup| lookup.table().number)
+    }
+}
+
+/// The newest routes and endpoints; an update with an older version is ignored.
+#[derive(Debug)]
+pub(crate) struct RoutingState {
+    current: ArcSwap<RoutingSnapshot>,
+    writer: Mutex<()>,
+    /// How to reach the admissions beside the endpoints; `None` without admissions.
+    admission_access: Option<AdmissionAccess>,
+    pub(crate) suspects: Arc<Suspects>,
+    notices: NoticeTable,
+    /// Control instances that receive this gateway's reports: the followed one, or several while none is followed.
+    pub(crate) control: ArcSwap<Vec<Address>>,
+    /// All known control instances.
+    pub(crate) known_control: ArcSwap<Vec<Address>>,
+    began: Instant,
+    /// When control last confirmed that this state is current, in milliseconds since `began`.
+    confirmed_ms: AtomicU64,
+}
+
+impl RoutingState {
+    /// Creates a state without routes and endpoints.
+    pub(crate) fn new(admission_access: Option<AdmissionAccess>, suspects: Suspects) -> Self {
+        Self {
+            current: ArcSwap::default(),
+            writer: Mutex::default(),
+            admission_access,
+            suspects: Arc::new(suspects),
+            notices: NoticeTable::default(),
+            control: ArcSwap::default(),
+            known_control: ArcSwap::default(),
+            began: Instant::now(),
+            confirmed_ms: AtomicU64::new(0),
+        }
+    }
+
+    /// Records that control has just sent everything newer, or confirmed that nothing is.
+    pub(crate) fn confirm(&self) {
+        let now_ms = u64::try_from(self.began.elapsed().as_millis()).unwrap_or(u64::MAX);
+        self.confirmed_ms.store(now_ms, Ordering::Relaxed);
+    }
+
+    /// Returns the time since control last confirmed the state, or since the start if it never has.
+    pub(crate) fn age(&self) -> Duration {
+        let confirmed = Duration::from_millis(self.confirmed_ms.load(Ordering::Relaxed));
+        self.began.elapsed().saturating_sub(confirmed)
+    }
+
+    /// Returns the current snapshot, without a lock.
+    pub(crate) fn current(&self) -> Arc<RoutingSnapshot> {
+        self.current.load_full()
+    }
+
+    /// Puts a newer route table in force; an older one is ignored.
+    pub(crate) fn apply_table(&self, table: RouteTable) {
+        let _writer = self.writer.lock().unwrap_or_else(PoisonError::into_inner);
+        let current = self.current();
+        if table.number <= current.table_number() {
+            return;
+        }
+        info!(
+            Part::Gateway,
+            "A route table is in force.",
+            number = table.number,
+            before = current.table_number(),
+            routes = table.routes.len(),
+            teams = table.teams.len()
+        );
+        self.current.store(Arc::new(RoutingSnapshot {
+            lookup: Some(Arc::new(RouteIndex::new(table))),
+            list: current.list.clone(),
+            by_id: current.by_id.clone(),
+            by_service: current.by_service.clone(),
+        }));
+    }
+
+    /// Applies the newer parts of an update, and returns whether there is a route table now.
+    pub(crate) fn apply(&self, update: RoutesUpdate) -> bool {
+        if let Some(table) = update.table {
+            self.apply_table(table);
+        }
+        if let Some(list) = update.endpoints {
+            self.apply_endpoints(list);
+        }
+        if let Some(list) = update.suspects {
+            self.suspects.apply(&list);
+        }
+        self.current().table_number() > 0
+    }
+
+    /// Returns everything that is newer than the versions in a query.
+    pub(crate) fn changes_since(&self, query: &WatchRoutes) -> RoutesUpdate {
+        let current = self.current();
+        let lookup = current.lookup.as_ref();
+        let newer = lookup.filter(|_| current.table_number() > query.table_number);
+        let list = current.list.as_ref();
+        let list = list.filter(|list| list.version > query.endpoints_version);
+        RoutesUpdate {
+            table: newer.map(|lookup| lookup.table().clone()),
+            endpoints: list.map(|list| EndpointList::clone(list)),
+            suspects: query
+                .suspects_version
+                .and_then(|version| self.suspects.changes_since(version)),
+            control: Vec::new(),
+            gateways: Vec::new(),
+        }
+    }
+
+    fn new_endpoint(&self, description: hinge_schema::routing::Endpoint) -> Endpoint {
+        let admission_access = self.admission_access.as_ref();
+        let admission = admission_access
+            .map(|access| AdmissionClient::new(description.address, access.clone()));
+        let notices = self.notices.of(&description);
+        Endpoint::new(description, admission, Arc::clone(&self.suspects), notices)
+    }
+
+    /// Applies a newer list of endpoints; an older one is ignored.
+    pub(crate) fn apply_endpoints(&self, list: EndpointList) {
+        let _writer = self.writer.lock().unwrap_or_else(PoisonError::into_inner);
+        let current = self.current();
+        if list.version <= current.endpoints_version() {
+            return;
+        }
+        self.notices.retain_listed(&list.endpoints);
+        let mut by_id = HashMap::new();
+        let mut by_service: HashMap<Box<str>, Vec<Arc<Endpoint>>> = HashMap::new();
+        let mut ready = 0_usize;
+        for description in list.endpoints.iter().cloned() {
+            let is_ready = description.state == EndpointState::Ready;
+            let known = current.by_id.get(&description.id);
+            let known = known.filter(|known| known.is_same_incarnation(&description));
+            let endpoint = known
+                .cloned()
+                .unwrap_or_else(|| Arc::new(self.new_endpoint(description)));
+            if is_ready && !endpoint.is_draining() {
+                ready += 1;
+                let service = endpoint.description.service.clone();
+                by_service
+                    .entry(service)
+                    .or_default()
+                    .push(Arc::clone(&endpoint));
+            } else if !is_ready {
+                endpoint.record_planned_stop();
+            }
+            by_id.insert(endpoint.description.id.clone(), endpoint);
+        }
+        let addresses: HashSet<SocketAddr> = by_id
+            .values()
+            .map(|endpoint| endpoint.description.address)
+            .collect();
+        for (id, endpoint) in &current.by_id {
+            match by_id.get(id) {
+                None if addresses.contains(&endpoint.description.address) => {
+                    endpoint.record_ended(Evidence::Replaced);
+                    endpoint.drain();
+                }
+                None => endpoint.record_planned_stop(),
+                Some(next) if !Arc::ptr_eq(next, endpoint) => endpoint.record_restart(),
+                Some(_same) => {}
+            }
+        }
+        info!(
+            Part::Gateway,
+            "The endpoints have changed.",
+            version = list.version,
+            before = current.endpoints_version(),
+            listed = by_id.len(),
+            ready = ready
+        );
+        self.current.store(Arc::new(RoutingSnapshot {
+            lookup: current.lookup.clone(),
+            list: Some(Arc::new(list)),
+            by_id,
+            by_service,
+        }));
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/streaming.rs
@@ -0,0 +1,193 @@
+//! Streams the chunks of an answer to the caller, and resumes a broken stream at another endpoint if the route allows it.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use http_body_util::BodyExt;
+use hyper::body::Incoming;
+use tokio::time::{Instant, timeout_at};
+
+use crate::attempt::Answer;
+use crate::batch::Batch;
+use crate::body::ChunkSender;
+use crate::events::EventSplitter;
+use crate::headers;
+use crate::history::History;
+use crate::job::Job;
+
+/// Grace period after the deadline until a stream is cut off. An endpoint knows the deadline and ends by itself; this catches one
+/// that doesn't.
+const DEADLINE_GRACE: Duration = Duration::from_millis(100);
+
+/// How a stream ended.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum StreamEnd {
+    Complete,
+    CallerLeft,
+    Broken,
+    TimedOut,
+}
+
+impl StreamEnd {
+    pub(crate) fn name(self) -> &'static str {
+        match self {
+            Self::Complete => "complete",
+            Self::CallerLeft => "caller_left",
+            Self::Broken => "broken_off",
+            Self::TimedOut => "timed_out",
+        }
+    }
+}
+
+/// Streams an answer until its end, and logs the request.
+pub(crate) async fn run(
+    job: Arc<Job>,
+    mut history: History,
+    answer: Box<Answer>,
+    chunks: ChunkSender,
+    is_events: bool,
+) {
+    let mut batch = Batch::new(job.origin.batch_interval());
+    let mut splitter = is_events.then(|| EventSplitter::resume_after(job.last_event));
+    let mut answer = answer;
+    let ended = loop {
+        let passing = pass_on(
+            &job,
+            &mut history,
+            answer,
+            &chunks,
+            splitter.as_mut(),
+            &mut batch,
+        );
+        let ended = passing.await;
+        if ended != StreamEnd::Broken {
+            break ended;
+        }
+        let Some(splitter) = splitter.as_mut() else {
+            history.record_cause("the endpoint broke the answer off");
+            break ended;
+        };
+        splitter.discard_partial();
+        history.record_cause("the endpoint broke the answer off");
+        // Each event that the caller has may represent finished work, so a stream can only be resumed after a known event id.
+        let resumed = job.resume(&mut history, splitter.last_id());
+        let Some(next) = resumed.await else {
+            break ended;
+        };
+        answer = next;
+    };
+    if let Some(held) = batch.take() {
+        // A disconnected caller is noticed when the end is sent.
+        let _sent_or_left = chunks.send(held).await;
+    }
+    let _sent_or_left = match ended {
+        StreamEnd::Complete => chunks.end().await,
+        StreamEnd::Broken | StreamEnd::TimedOut => chunks.break_off().await,
+        StreamEnd::CallerLeft => Ok(()),
+    };
+    job.gateway.metrics.record_end(&job, ended.name());
+    history.log(&job, ended.name());
+}
+
+async fn pass_on(
+    job: &Job,
+    history: &mut History,
+    answer: Box<Answer>,
+    chunks: &ChunkSender,
+    mut splitter: Option<&mut EventSplitter>,
+    batch: &mut Batch,
+) -> StreamEnd {
+    let Answer {
+        response,
+        connection,
+        mut in_use,
+    } = *answer;
+    // If only the close of the connection marks the end, a crash of the endpoint looks the same.
+    let proves_completion =
+        response.status().is_success() && headers::is_self_delimited(response.headers());
+    let mut body = response.into_body();
+    let mut has_begun = false;
+    let may_rerun = splitter.is_some() && job.outgoing.may_rerun;
+    let ends_at = job.outgoing.ends_at + DEADLINE_GRACE;
+    loop {
+        let next = tokio::select! {
+            biased;
+            () = chunks.closed() => return StreamEnd::CallerLeft,
+            next = next_chunk(&mut body, ends_at) => next,
+            _cause = in_use.wait_until_lost(may_rerun) => NextChunk::Broken,
+            () = batch.due() => NextChunk::Due,
+        };
+        let chunk = match next {
+            NextChunk::Data(data) => match splitter.as_mut() {
+                Some(splitter) => match splitter.push(&data) {
+                    Ok(whole) => whole,
+                    Err(_too_long) => return StreamEnd::Broken,
+                },
+                None => data,
+            },
+            NextChunk::End => break,
+            NextChunk::Broken => {
+                in_use.record_broken(&job.outgoing);
+                return StreamEnd::Broken;
+            }
+            NextChunk::TimedOut => return StreamEnd::TimedOut,
+            NextChunk::Due => {
+                let held = batch.take().unwrap_or_default();
+                if chunks.send(held).await.is_err() {
+                    return StreamEnd::CallerLeft;
+                }
+                continue;
+            }
+        };
+        if chunk.is_empty() {
+            continue;
+        }
+        if !has_begun {
+            has_begun = true;
+            in_use.record_first_chunk();
+            job.record_cached(in_use.endpoint());
+        }
+        history.record_chunk(job);
+        let Some(chunk) = batch.push(chunk) else {
+            continue;
+        };
+        if chunks.send(chunk).await.is_err() {
+            return StreamEnd::CallerLeft;
+        }
+    }
+    // A stream that ends in the middle of an event was truncated.
+    if splitter.is_some_and(|splitter| splitter.has_partial()) {
+        in_use.record_broken(&job.outgoing);
+        return StreamEnd::Broken;
+    }
+    drop(in_use);
+    connection.keep();
+    if proves_completion {
+        job.record_completed(history);
+    }
+    StreamEnd::Complete
+}
+
+enum NextChunk {
+    Data(Bytes),
+    End,
+    Broken,
+    TimedOut,
+    /// The held bytes of the batch are due.
+    Due,
+}
+
+async fn next_chunk(body: &mut Incoming, ends_at: Instant) -> NextChunk {
+    loop {
+        return match timeout_at(ends_at, body.frame()).await {
+            Err(_elapsed) => NextChunk::TimedOut,
+            Ok(None) => NextChunk::End,
+            Ok(Some(Err(_broken))) => NextChunk::Broken,
+            Ok(Some(Ok(frame))) => match frame.into_data() {
+                Ok(data) => NextChunk::Data(data),
+                Err(_trailers) => continue,
+            },
+        };
+    }
+}
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -1,12 +1,12 @@
-//! Follows which requests endpoints end under, and turns those away that end one after the other.
+//! Tracks requests during which endpoints end, and rejects a request under which several endpoints have ended.
 //!
-//! Control keeps the list. What this gateway sees is told to control, and counts here at once.
+//! Control keeps the list. What this gateway observes is reported to control, and takes effect here at once.
 
 use std::fmt;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-use hinge_routing::{RequestKey, Suspects as Known};
+use hinge_routing::{RequestKey, Suspects as SuspectTable};
 use hinge_schema::routing::SuspectList;
 use hinge_telemetry::log::Part;
 use hinge_telemetry::metrics::Registry;
@@ -14,26 +14,26 @@
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::gauge::Gauge;
 
-use crate::attempt::Outgoing;
+use crate::attempt::OutgoingRequest;
 use crate::endpoint::Endpoint;
-use crate::tell::Untold;
+use crate::suspect_reports::PendingReports;
 
-/// Names a request whose answer broke off.
+/// A request whose answer broke off.
 #[derive(Debug, Clone)]
 pub(crate) struct BrokenRequest {
     pub(crate) key: RequestKey,
-    /// Number of the caller's attempt.
+    /// Id of the caller's attempt.
     pub(crate) request_id: Box<str>,
 }
 
-/// Says how the end of an endpoint shows; a broken connection alone doesn't prove it.
+/// The evidence that an endpoint has ended; a broken connection alone proves nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Evidence {
-    /// The admission beside it says that nothing listens at its address.
-    AdmissionSays,
+    /// The admission beside it reports that nothing listens at its address.
+    AdmissionReport,
     /// A new connection is refused.
     ConnectionRefused,
-    /// Another endpoint, or another start of it, is at its address.
+    /// Another endpoint, or another incarnation of it, listens at its address.
     Replaced,
     /// Its end was known when the answer broke off.
     KnownBefore,
@@ -42,7 +42,7 @@
 impl fmt::Display for Evidence {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::AdmissionSays => "admission",
+            Self::AdmissionReport => "admission",
             Self::ConnectionRefused => "connection_refused",
             Self::Replaced => "replaced",
             Self::KnownBefore => "known_before",
@@ -50,30 +50,30 @@
     }
 }
 
-/// Holds the requests that endpoints have ended under.
+/// The requests during which endpoints have ended.
 #[derive(Debug)]
 pub(crate) struct Suspects {
-    known: Mutex<Known>,
-    /// Whether any request is suspected, so that an ordinary day pays for no key.
-    are_some: AtomicBool,
-    /// What control is told of it.
-    pub(crate) untold: Untold,
+    table: Mutex<SuspectTable>,
+    /// Whether any request is suspected; if none is, no request key has to be computed.
+    has_any: AtomicBool,
+    /// Observations that control has not acknowledged yet.
+    pub(crate) pending_reports: PendingReports,
     ends: Counter,
-    turned_away: Counter,
+    rejections: Counter,
     held: Gauge,
 }
 
 impl Suspects {
     pub(crate) fn register(registry: &Registry) -> Self {
         Self {
-            known: Mutex::default(),
-            are_some: AtomicBool::new(false),
-            untold: Untold::default(),
+            table: Mutex::default(),
+            has_any: AtomicBool::new(false),
+            pending_reports: PendingReports::default(),
             ends: registry.counter(
                 "gateway_ended_under",
                 "Requests whose endpoint ended while it worked on them.",
             ),
-            turned_away: registry.counter(
+            rejections: registry.counter(
                 "gateway_turned_away",
                 "Requests that were turned away since endpoints ended under them.",
             ),
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Notes that an endpoint ended while it worked on a request.
-    pub(crate) fn ended_under(
+    /// Records that an endpoint ended while it worked on a request.
+    pub(crate) fn record_end(
         &self,
         request: &BrokenRequest,
         endpoint: &Endpoint,
@@ -93,73 +93,73 @@
     ) {
         self.ends.inc();
         let end = (request.key, endpoint.incarnation);
-        let ends = self.change(|known| {
-            known.record(known.version(), &[end], &[]);
-            known.crash_count(&request.key)
+        let ends = self.update(|table| {
+            table.record(table.version(), &[end], &[]);
+            table.crash_count(&request.key)
         });
-        self.untold.add_end(end);
+        self.pending_reports.add_end(end);
         warn!(
             Part::Gateway,
             "An endpoint ended under a request.",
             id = request.request_id,
             request = request.key,
             ends = ends,
-            endpoint = endpoint.described.id,
-            born_unix_ms = endpoint.described.born_unix_ms.unwrap_or_default(),
+            endpoint = endpoint.description.id,
+            born_unix_ms = endpoint.description.born_unix_ms.unwrap_or_default(),
             evidence = evidence
         );
     }
 
-    /// Notes that an endpoint has answered a request to its end.
-    pub(crate) fn completed(&self, outgoing: &Outgoing) {
-        if !self.are_some.load(Ordering::Acquire) {
+    /// Records that an endpoint has completed a request.
+    pub(crate) fn record_completed(&self, outgoing: &OutgoingRequest) {
+        if !self.has_any.load(Ordering::Acquire) {
             return;
         }
         let request = outgoing.key();
         if self.lock().crash_count(&request) == 0 {
             return;
         }
-        self.change(|known| known.record(known.version(), &[], &[request]));
-        self.untold.add_completed(request);
+        self.update(|table| table.record(table.version(), &[], &[request]));
+        self.pending_reports.add_completed(request);
     }
 
-    /// Returns whether a request is to be turned away.
-    pub(crate) fn is_held(&self, outgoing: &Outgoing) -> bool {
-        self.are_some.load(Ordering::Acquire) && self.lock().is_held(&outgoing.key())
+    /// Returns whether a request is held, so that it must be rejected.
+    pub(crate) fn is_held(&self, outgoing: &OutgoingRequest) -> bool {
+        self.has_any.load(Ordering::Acquire) && self.lock().is_held(&outgoing.key())
     }
 
-    /// Counts a request that is turned away.
-    pub(crate) fn note_turned_away(&self) {
-        self.turned_away.inc();
+    /// Counts a request that is rejected because it is held.
+    pub(crate) fn record_rejection(&self) {
+        self.rejections.inc();
     }
 
-    /// Returns the version of control's list that is known.
+    /// Returns the version of control's list that was applied last.
     pub(crate) fn version(&self) -> u64 {
         self.lock().version()
     }
 
-    /// Returns what is known and newer than a version.
-    pub(crate) fn newer_than(&self, version: u64) -> Option<SuspectList> {
+    /// Returns the changes since a version, if there are any.
+    pub(crate) fn changes_since(&self, version: u64) -> Option<SuspectList> {
         self.lock().changes_since(version)
     }
 
-    /// Takes in what control, or another gateway, tells.
-    pub(crate) fn take_in(&self, list: &SuspectList) {
-        self.change(|known| known.apply(list));
+    /// Applies a list from control or from another gateway.
+    pub(crate) fn apply(&self, list: &SuspectList) {
+        self.update(|table| table.apply(list));
     }
 
-    fn change<T>(&self, act: impl FnOnce(&mut Known) -> T) -> T {
-        let mut known = self.lock();
-        let result = act(&mut known);
-        self.are_some.store(!known.is_empty(), Ordering::Release);
-        let held = i64::try_from(known.held().len()).unwrap_or(i64::MAX);
+    fn update<T>(&self, act: impl FnOnce(&mut SuspectTable) -> T) -> T {
+        let mut table = self.lock();
+        let result = act(&mut table);
+        self.has_any.store(!table.is_empty(), Ordering::Release);
+        let held = i64::try_from(table.held().len()).unwrap_or(i64::MAX);
         if self.held.set(held) != held {
             warn!(
                 Part::Gateway,
                 "The held requests have changed.",
                 held = held,
-                version = known.version(),
-                newest = known
+                version = table.version(),
+                newest = table
                     .newest_held()
                     .map_or_else(String::new, |request| request.to_string())
             );
@@ -167,7 +167,7 @@
         result
     }
 
-    fn lock(&self) -> MutexGuard<'_, Known> {
-        self.known.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, SuspectTable> {
+        self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
