--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -1,4 +1,4 @@
-//! Holds what every role needs before it starts: logs, metrics, the cluster key and the admin paths.
+//! What every role needs before it starts: logs, metrics, the cluster key and the admin server.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -17,10 +17,10 @@
 use crate::reload;
 use crate::signals::Signals;
 
-/// Holds what every role needs.
+/// The state that every role shares: settings, keys, metrics, readiness and signals.
 #[derive(Debug)]
 pub(crate) struct Context {
-    /// Settings file, for reading it again.
+    /// Path of the settings file, for reloads; none when built-in settings are used.
     pub(crate) settings_file: Option<PathBuf>,
     pub(crate) settings: Settings,
     pub(crate) key: ClusterKey,
@@ -28,12 +28,12 @@
     pub(crate) registry: Arc<Registry>,
     pub(crate) readiness: Arc<Readiness>,
     pub(crate) signals: Signals,
-    /// Number that this process draws at its start.
+    /// Number that tells this process from earlier processes of the same instance.
     pub(crate) incarnation: u64,
 }
 
 impl Context {
-    /// Reads the cluster key and creates the parts that no role can do without.
+    /// Creates the context of a role, with the cluster key from its settings or from its key file.
     pub(crate) fn open(settings: Settings, signals: Signals) -> Result<Self> {
         if let Some(key) = &settings.cluster_key {
             let key = ClusterKey::derive(key.as_bytes());
@@ -41,7 +41,7 @@
         }
         let Some(path) = &settings.cluster_key_file else {
             bail!(
-                "the setting `cluster_key_file` is missing: processes prove to each other that they know this key"
+                "the setting `cluster_key_file` is missing: processes use this key to authenticate each other"
             );
         };
         let secret = Secret::read(path).context("reading the cluster key")?;
@@ -49,7 +49,7 @@
         Ok(Self::with_key(settings, key, signals))
     }
 
-    /// Returns the context of a process whose settings stand in a file.
+    /// Returns the context with the path of the settings file that it was read from.
     pub(crate) fn with_file(self, settings_file: Option<PathBuf>) -> Self {
         Self {
             settings_file,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Reads the settings file again when it changes.
+    /// Starts to watch the settings file, and calls `apply` with each changed version.
     ///
     /// # Errors
     ///
@@ -67,10 +67,10 @@
         reload::spawn(path, held, &self.signals, apply)
     }
 
-    /// Creates the parts with a key that is known already.
+    /// Creates the context of a role with a given cluster key.
     pub(crate) fn with_key(settings: Settings, key: ClusterKey, signals: Signals) -> Self {
         let registry = Registry::new();
-        let key = key.with_traffic(count_traffic(&registry));
+        let key = key.with_traffic(register_traffic(&registry));
         Self {
             settings_file: None,
             client: Client::new(key.clone()),
@@ -78,12 +78,12 @@
             registry: Arc::new(registry),
             readiness: Arc::new(Readiness::new(&[Reason::Starting])),
             signals,
-            incarnation: draw_incarnation(),
+            incarnation: new_incarnation(),
             settings,
         }
     }
 
-    /// Starts the admin paths of a role: metrics, health, readiness.
+    /// Starts the admin server of a role: metrics, health, readiness and status.
     pub(crate) async fn bind_admin(&self, role: &str) -> Result<Admin> {
         let version = env!("CARGO_PKG_VERSION");
         self.registry.process_info(self.incarnation, role, version);
@@ -99,12 +99,12 @@
         Ok(admin)
     }
 
-    /// Returns the addresses of control or relay instances.
+    /// Returns the addresses of the control or relay instances that this process connects to.
     pub(crate) fn control_addresses(&self) -> Vec<Box<str>> {
         control_addresses(&self.settings)
     }
 
-    /// Returns the template of this process's announcement.
+    /// Returns the announcement of this process, without what only an endpoint announces.
     pub(crate) fn announce(&self, role: Role, peer_address: &str) -> Announce {
         let advertised = self
             .settings
@@ -130,7 +130,7 @@
     }
 }
 
-/// Returns the addresses of control or relay instances in settings.
+/// Returns the addresses of the control or relay instances that the settings name.
 pub(crate) fn control_addresses(settings: &Settings) -> Vec<Box<str>> {
     let addresses = settings.control_addresses.iter();
     addresses
@@ -138,11 +138,11 @@
         .collect()
 }
 
-/// Lease of processes that are no endpoints, in milliseconds; nobody routes to them, so they renew rarely.
+/// Lease of processes that have no endpoint; no request is routed to them, so they need to renew it only rarely.
 const DEFAULT_LEASE_MS: u64 = 6_000;
 
-/// Puts the counts of bytes between the fleet's processes on the metrics page.
-fn count_traffic(registry: &Registry) -> Traffic {
+/// Registers counters for the messages and bytes exchanged with peers.
+fn register_traffic(registry: &Registry) -> Traffic {
     let sockets = registry.counters::<[(&str, &str); 1]>(
         "peer_socket_bytes",
         "Bytes at the sockets of links to peers, without the headers of TCP and IP.",
@@ -167,8 +167,8 @@
     })
 }
 
-/// Draws a number that no earlier process of this instance had: it must rise, so it begins with the time.
-fn draw_incarnation() -> u64 {
+/// Returns a number greater than that of any earlier process of this instance: the microseconds since 1970.
+fn new_incarnation() -> u64 {
     let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
@@ -176,7 +176,7 @@
     micros.max(1)
 }
 
-/// Turns the level of the settings into that of the logs.
-pub(crate) fn start_logs(settings: &Settings) {
+/// Starts the log at the level that the settings name.
+pub(crate) fn start_log(settings: &Settings) {
     log::start(settings.log_level.into());
 }
--- a/crates/daemon/src/flags.rs
+++ b/crates/daemon/src/flags.rs
@@ -1,4 +1,4 @@
-//! Defines the command line.
+//! The command line of `sequoiahinge`.
 
 use std::path::PathBuf;
 use std::process;
@@ -6,7 +6,7 @@
 
 use gumdrop::Options;
 
-/// Names the role that this process plays.
+/// The role that this process runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RoleFlag {
     Entry,
@@ -31,7 +31,7 @@
         Self::Local,
     ];
 
-    /// Returns the word of the command line.
+    /// Returns the name of the role on the command line.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Entry => "entry",
@@ -59,53 +59,58 @@
     }
 }
 
-/// Holds the flags of `sequoiahinge`.
+/// Runs one role of a router fleet for model endpoints.
 #[derive(Debug, Options)]
 pub(crate) struct Flags {
-    /// Prints this help.
     #[options(help = "print this help and exit")]
     help: bool,
 
-    /// Role: `entry`, `sidecar`, `control`, `gateway`, `admission`, `relay`, `stand-in` or `local`.
+    /// Role to run.
     #[options(
         free,
         required,
-        help = "entry, sidecar, control, gateway, admission, relay, stand-in or local"
+        help = "role to run: entry, sidecar, control, gateway, admission, relay, stand-in or local"
     )]
     role: Option<RoleFlag>,
 
-    /// Settings file; `local` and `stand-in` have defaults.
-    #[options(meta = "FILE", help = "settings file, in TOML")]
+    /// Path of the settings file; without it, `local` and `stand-in` use built-in settings.
+    #[options(
+        meta = "FILE",
+        help = "settings file in TOML; optional for local and stand-in"
+    )]
     pub(crate) settings: Option<PathBuf>,
 
-    /// Checks the settings and exits; nothing is started.
-    #[options(no_short, help = "check the settings and exit")]
+    /// Checks the settings and exits without starting the role.
+    #[options(
+        no_short,
+        help = "check the settings and exit without starting the role"
+    )]
     pub(crate) check: bool,
 
-    /// Folder of the operators' files that `local` puts in force at the start.
+    /// Folder of the operators' files that `local` applies at startup.
     #[options(
         meta = "FOLDER",
-        help = "operators' folder that `local` applies at the start"
+        help = "folder of operators' files that local applies at startup"
     )]
     pub(crate) folder: Option<PathBuf>,
 }
 
 impl Flags {
-    /// Returns the role.
+    /// Returns the role named on the command line.
     ///
     /// # Panics
     ///
-    /// Panics when the parser let a command line without a role pass.
+    /// Panics when the parser has accepted a command line without a role.
     pub(crate) fn role(&self) -> RoleFlag {
         self.role.expect("the parser requires a role")
     }
 
-    /// Parses the command line; prints help or the mistake and exits where there is nothing to run.
+    /// Parses the command line; prints the help or the error and exits when there is nothing to run.
     pub(crate) fn parse() -> Self {
         let args: Vec<String> = std::env::args().skip(1).collect();
         if args.iter().any(|arg| arg == "--help" || arg == "-h") {
             println!(
-                "Usage: sequoiahinge ROLE [--settings FILE] [--check]\n\n{}",
+                "Usage: sequoiahinge ROLE [--settings FILE] [--folder FOLDER] [--check]\n\n{}",
                 Self::usage()
             );
             process::exit(0);
@@ -114,10 +119,10 @@
             Ok(flags) => flags,
             Err(error) => {
                 eprintln!(
-                    "sequoiahinge: {error}\n\nUsage: sequoiahinge ROLE [--settings FILE] [--check]\n\n{}",
+                    "sequoiahinge: {error}\n\nUsage: sequoiahinge ROLE [--settings FILE] [--folder FOLDER] [--check]\n\n{}",
                     Self::usage()
                 );
-                process::exit(i32::from(crate::EXIT_SETTINGS));
+                process::exit(i32::from(crate::EXIT_INVALID_SETTINGS));
             }
         }
     }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs one role of the fleet.
+//! The `sequoiahinge` daemon: runs one role of the fleet.
 
 mod context;
 mod flags;
@@ -14,33 +14,33 @@
 use crate::flags::{Flags, RoleFlag};
 use crate::signals::Signals;
 
-/// Exit code of settings that are not valid; 1 is any other failure.
-const EXIT_SETTINGS: u8 = 2;
+/// Exit code for an invalid command line or invalid settings; every other failure exits with 1.
+const EXIT_INVALID_SETTINGS: u8 = 2;
 
 fn main() -> ExitCode {
-    // Before anything else: until then a signal ends the process.
+    // Done before anything else, because until then a signal ends the process by default.
     let signals = match Signals::catch() {
         Ok(signals) => signals,
         Err(error) => {
-            eprintln!("sequoiahinge: catching signals: {error}");
+            eprintln!("sequoiahinge: cannot install signal handlers: {error}");
             return ExitCode::FAILURE;
         }
     };
     let flags = Flags::parse();
-    let settings = match load(&flags) {
+    let settings = match load_settings(&flags) {
         Ok(settings) => settings,
         Err(problems) => {
             eprintln!("{problems}");
-            return ExitCode::from(EXIT_SETTINGS);
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
         }
     };
     if flags.check {
         println!("The settings are valid.");
         return ExitCode::SUCCESS;
     }
-    let ended = roles::run(&flags, settings, &signals);
+    let result = roles::run(&flags, settings, &signals);
     hinge_telemetry::log::finish();
-    match ended {
+    match result {
         Ok(code) => code,
         Err(error) => {
             eprintln!("sequoiahinge: {error:#}");
@@ -49,7 +49,7 @@
     }
 }
 
-fn load(flags: &Flags) -> Result<Settings, String> {
+fn load_settings(flags: &Flags) -> Result<Settings, String> {
     match (&flags.settings, flags.role()) {
         (Some(path), _) => settings::load(path).map_err(|error| error.to_string()),
         (None, RoleFlag::Local | RoleFlag::StandIn) => {
--- a/crates/daemon/src/reload.rs
+++ b/crates/daemon/src/reload.rs
@@ -1,4 +1,4 @@
-//! Reads the settings file again when it changes, with or without a signal.
+//! Reloads the settings file when it changes or when SIGHUP is received.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -12,36 +12,38 @@
 
 use crate::signals::Signals;
 
-/// Time between two looks at the file, for changes that no signal tells of.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+/// Time between two reads of the file, to notice changes that no signal announces.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Watches the settings file until the process ends, and hands each new content to `apply`.
+/// Watches the settings file until the process ends, and calls `apply` with each changed version.
 ///
-/// A signal that came before, since the process started, makes it read the file at once.
+/// A SIGHUP that the process received before this call triggers a reload at once.
 ///
 /// # Errors
 ///
 /// Returns the system's error when the signal can't be watched.
 pub(crate) fn spawn(
     path: Option<PathBuf>,
-    held: Settings,
+    current: Settings,
     signals: &Signals,
     apply: impl Fn(&Settings) + Send + 'static,
 ) -> Result<()> {
-    let (mut hangup, mut came_before) = signals.watch_hangup().context("watching for SIGHUP")?;
+    let (mut hangup, mut already_received) = signals
+        .watch_hangup()
+        .context("installing the SIGHUP handler")?;
     tokio::spawn(async move {
-        let mut held = held;
+        let mut current = current;
         loop {
-            let by_signal = std::mem::take(&mut came_before)
+            let by_signal = std::mem::take(&mut already_received)
                 || tokio::select! {
                     _ = hangup.recv() => true,
-                    () = sleep(LOOK_EVERY) => false,
+                    () = sleep(POLL_INTERVAL) => false,
                 };
             let Some(path) = &path else {
                 continue;
             };
             match settings::load(path) {
-                Ok(new) if new == held => {
+                Ok(new) if new == current => {
                     if by_signal {
                         info!(Part::Daemon, "Reloaded settings without a change.");
                     }
@@ -54,7 +56,7 @@
                         control_addresses = new.control_addresses.len()
                     );
                     apply(&new);
-                    held = new;
+                    current = new;
                 }
                 Err(problems) => {
                     warn!(
--- a/crates/daemon/src/roles.rs
+++ b/crates/daemon/src/roles.rs
@@ -1,4 +1,4 @@
-//! Starts the role that the command line names, and stops it as planned.
+//! Runs the role that the command line names, until a planned stop.
 
 mod admission;
 mod control;
@@ -20,26 +20,26 @@
 use hinge_telemetry::readiness::{Readiness, Reason};
 use tokio::runtime::{Builder, Runtime};
 
-use crate::context::{Context, start_logs};
+use crate::context::{Context, start_log};
 use crate::flags::{Flags, RoleFlag};
 use crate::signals::Signals;
 
-/// Settings of the roles `local` and `stand-in` when no file is named.
+/// Built-in settings of the roles `local` and `stand-in`, used when no file is named.
 pub(crate) const LOCAL_SETTINGS: &str = include_str!("../../../examples/settings/local.toml");
 
-/// Threads of a process that only passes messages on; an entry uses one for each core.
-const FEW_THREADS: usize = 2;
+/// Threads of a role that mostly forwards messages; an entry uses one thread for each core.
+const FORWARDING_THREADS: usize = 2;
 
-/// Exit code of a planned stop that had to cut something off at its deadline.
-const EXIT_CUT: u8 = 3;
+/// Exit code of a planned stop that had to abort work at its deadline.
+const EXIT_STOP_ABORTED_WORK: u8 = 3;
 
-/// Runs a role until it is told to stop.
+/// Runs a role until it is asked to stop.
 ///
 /// # Errors
 ///
 /// Returns an error when the role can't start.
 pub(crate) fn run(flags: &Flags, settings: Settings, signals: &Signals) -> Result<ExitCode> {
-    start_logs(&settings);
+    start_log(&settings);
     info!(
         Part::Daemon,
         "Starting.",
@@ -56,45 +56,47 @@
     };
     let open: &dyn Fn(Settings) -> Result<Context> = &open;
     match flags.role() {
-        RoleFlag::Entry => all_cores()?.block_on(entry::run(open(settings)?)),
-        RoleFlag::Sidecar => few_threads()?.block_on(sidecar::run(open(settings)?)),
-        RoleFlag::Control => few_threads()?.block_on(control::run(open(settings)?)),
-        RoleFlag::Gateway => one_thread()?.block_on(gateway::run(open(settings)?)),
-        RoleFlag::Admission => one_thread()?.block_on(admission::run(open(settings)?)),
-        RoleFlag::Relay => few_threads()?.block_on(relay::run(open(settings)?)),
-        RoleFlag::StandIn => few_threads()?.block_on(stand_in::run(&settings, signals)),
-        RoleFlag::Local => all_cores()?.block_on(local::run(flags, settings, signals)),
+        RoleFlag::Entry => multi_core_runtime()?.block_on(entry::run(open(settings)?)),
+        RoleFlag::Sidecar => forwarding_runtime()?.block_on(sidecar::run(open(settings)?)),
+        RoleFlag::Control => forwarding_runtime()?.block_on(control::run(open(settings)?)),
+        RoleFlag::Gateway => single_thread_runtime()?.block_on(gateway::run(open(settings)?)),
+        RoleFlag::Admission => single_thread_runtime()?.block_on(admission::run(open(settings)?)),
+        RoleFlag::Relay => forwarding_runtime()?.block_on(relay::run(open(settings)?)),
+        RoleFlag::StandIn => forwarding_runtime()?.block_on(stand_in::run(&settings, signals)),
+        RoleFlag::Local => multi_core_runtime()?.block_on(local::run(flags, settings, signals)),
     }
 }
 
-fn all_cores() -> Result<Runtime> {
+fn multi_core_runtime() -> Result<Runtime> {
     Builder::new_multi_thread()
         .enable_all()
         .build()
-        .context("starting the threads")
+        .context("starting the runtime's threads")
 }
 
-/// A gateway on a small machine has a part of one core; a second thread would only add wake-ups.
-fn one_thread() -> Result<Runtime> {
+/// Returns a runtime on the current thread.
+///
+/// A gateway on a small machine gets a fraction of one core, where a second thread would only add wake-ups.
+fn single_thread_runtime() -> Result<Runtime> {
     Builder::new_current_thread()
         .enable_all()
         .build()
-        .context("starting the thread")
+        .context("starting the runtime")
 }
 
-fn few_threads() -> Result<Runtime> {
+fn forwarding_runtime() -> Result<Runtime> {
     Builder::new_multi_thread()
-        .worker_threads(FEW_THREADS)
+        .worker_threads(FORWARDING_THREADS)
         .enable_all()
         .build()
-        .context("starting the threads")
+        .context("starting the runtime's threads")
 }
 
-fn code_of(is_clean: bool) -> ExitCode {
+fn exit_code(is_clean: bool) -> ExitCode {
     if is_clean {
         ExitCode::SUCCESS
     } else {
-        ExitCode::from(EXIT_CUT)
+        ExitCode::from(EXIT_STOP_ABORTED_WORK)
     }
 }
 
@@ -102,8 +104,8 @@
     Duration::from_millis(time_ms)
 }
 
-/// Keeps the readiness in step with what the process has learnt of the fleet.
-fn follow_config(member: &Member, readiness: &std::sync::Arc<Readiness>) {
+/// Marks the process as not ready until it has a current configuration.
+fn await_first_config(member: &Member, readiness: &std::sync::Arc<Readiness>) {
     readiness.set(Reason::NoConfig);
     let (member, readiness) = (member.clone(), std::sync::Arc::clone(readiness));
     tokio::spawn(async move {
--- a/crates/daemon/src/roles/admission.rs
+++ b/crates/daemon/src/roles/admission.rs
@@ -1,4 +1,4 @@
-//! Runs the admission role.
+//! The admission role.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -10,26 +10,26 @@
 
 use crate::context::Context;
 
-/// Longest time of a planned stop; gateways that lose the admission send unasked, so nothing is cut.
+/// Limit on a planned stop; a gateway that loses the admission sends without asking it, so no request is cut.
 const STOP_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Runs an admission until it is told to stop.
+/// Runs an admission until it is asked to stop.
 pub(super) async fn run(context: Context) -> Result<ExitCode> {
-    let Some(given) = context.settings.admission.clone() else {
-        bail!("the table `admission` is missing: it tells the size of the engine");
+    let Some(section) = context.settings.admission.clone() else {
+        bail!("the table `admission` is missing: it states the capacity of the engine");
     };
-    // Nothing of this role can change while it runs; what is new holds from the next start on.
+    // No setting of this role can change at run time; a change takes effect at the next start.
     context.reload(|_settings| {})?;
     let admin = context.bind_admin("admission").await?;
     let address = context.settings.peer_listen.to_string();
     let limits = QueueLimits {
-        max_unread_tokens: given.max_unread_tokens,
-        max_running: given.slots,
-        kv_tokens: given.kv_tokens,
-        max_wait_permille: given.turn_permille,
+        max_unread_tokens: section.max_unread_tokens,
+        max_running: section.slots,
+        kv_tokens: section.kv_tokens,
+        max_wait_permille: section.turn_permille,
     };
-    let reports = given.engine.map(EngineReports::of);
-    let engine = reports.map(|reports| (reports, super::millis(given.report_interval_ms)));
+    let reports = section.engine.map(EngineReports::of);
+    let engine = reports.map(|reports| (reports, super::millis(section.report_interval_ms)));
     let server = Server::bind(&address, limits, &context.key, &context.registry, engine)
         .await
         .with_context(|| format!("binding the address for gateways {address}"))?;
@@ -38,5 +38,5 @@
     context.readiness.set(Reason::Leaving);
     let is_clean = server.stop(STOP_TIMEOUT).await;
     admin.stop().await;
-    Ok(super::code_of(is_clean))
+    Ok(super::exit_code(is_clean))
 }
--- a/crates/daemon/src/roles/control.rs
+++ b/crates/daemon/src/roles/control.rs
@@ -1,4 +1,4 @@
-//! Runs the control role.
+//! The control role.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -11,10 +11,10 @@
 
 use crate::context::Context;
 
-/// Longest time of a planned stop: handing over leadership takes a few heartbeats, and no request runs here.
+/// Limit on a planned stop: a leadership transfer takes a few heartbeats, and control runs no requests.
 const STOP_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Runs a control instance until it is told to stop.
+/// Runs a control instance until it is asked to stop.
 pub(super) async fn run(context: Context) -> Result<ExitCode> {
     let is_diskless = context.settings.control.diskless;
     if context.settings.data_folder.is_none() && !is_diskless {
@@ -25,14 +25,14 @@
     if is_diskless {
         info!(
             Part::Control,
-            "This instance has no disk: it follows those that have one, and has no vote beside them."
+            "This instance has no disk: it follows the instances that have one, and does not vote while they do."
         );
     }
     let operators = match &context.settings.control.operator_keys_file {
         Some(path) => OperatorKeys::read(path).context("reading the operators' keys")?,
         None => OperatorKeys::default(),
     };
-    // Nothing of this role can change while it runs; what is new holds from the next start on.
+    // No setting of this role can change at run time; a change takes effect at the next start.
     context.reload(|_settings| {})?;
     let admin = context.bind_admin("control").await?;
     let control = open(&context, operators).await?;
@@ -43,7 +43,7 @@
     context.readiness.set(Reason::Leaving);
     let stopped = control.stop(STOP_TIMEOUT).await;
     admin.stop().await;
-    Ok(super::code_of(stopped.calls_ended && stopped.log_ended))
+    Ok(super::exit_code(stopped.calls_ended && stopped.log_ended))
 }
 
 /// Opens a control instance.
@@ -67,16 +67,17 @@
 }
 
 fn settings(context: &Context) -> ControlSettings {
-    let given = &context.settings.control;
+    let section = &context.settings.control;
     let common = &context.settings;
-    let own_address = common.peer_advertise.unwrap_or(common.peer_listen);
-    let has_names = given.founders.is_empty();
-    let instance = if has_names {
+    let advertised_address = common.peer_advertise.unwrap_or(common.peer_listen);
+    let has_named_peers = section.founders.is_empty();
+    let instance = if has_named_peers {
         common.instance.clone()
     } else {
-        own_address.to_string().into()
+        advertised_address.to_string().into()
     };
-    let bootstrap = given.bootstrap && (has_names || given.founders.contains(&own_address));
+    let bootstrap =
+        section.bootstrap && (has_named_peers || section.founders.contains(&advertised_address));
     ControlSettings {
         advertise: common
             .peer_advertise
@@ -84,12 +85,12 @@
         data_folder: common.data_folder.clone(),
         peers: peers(context),
         bootstrap,
-        tolerated_losses: given.tolerated_losses,
-        election_timeout: super::millis(given.election_timeout_ms),
-        heartbeat: super::millis(given.heartbeat_ms),
-        snapshot_every_entries: given.snapshot_every_entries,
-        max_log_bytes: usize::try_from(given.max_log_bytes).unwrap_or(usize::MAX),
-        watch_timeout: super::millis(given.watch_timeout_ms),
+        tolerated_losses: section.tolerated_losses,
+        election_timeout: super::millis(section.election_timeout_ms),
+        heartbeat: super::millis(section.heartbeat_ms),
+        snapshot_every_entries: section.snapshot_every_entries,
+        max_log_bytes: usize::try_from(section.max_log_bytes).unwrap_or(usize::MAX),
+        watch_timeout: super::millis(section.watch_timeout_ms),
         ..ControlSettings::new(
             &instance,
             &common.cluster_id,
@@ -98,14 +99,14 @@
     }
 }
 
-/// Returns the control instances of the first start, by their names or by their addresses.
+/// Returns the control instances of the first start, named by their instance or else by their address.
 fn peers(context: &Context) -> Vec<Peer> {
-    let given = &context.settings.control;
-    let named = given.peers.iter().map(|peer| Peer {
+    let section = &context.settings.control;
+    let named = section.peers.iter().map(|peer| Peer {
         instance: peer.instance.clone(),
         address: peer.address.to_string().into(),
     });
-    let founders = given.founders.iter().map(|address| Peer {
+    let founders = section.founders.iter().map(|address| Peer {
         instance: address.to_string().into(),
         address: address.to_string().into(),
     });
--- a/crates/daemon/src/roles/entry.rs
+++ b/crates/daemon/src/roles/entry.rs
@@ -1,4 +1,4 @@
-//! Runs the entry role.
+//! The entry role.
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -11,9 +11,9 @@
 
 use crate::context::Context;
 
-/// Runs an entry until it is told to stop.
+/// Runs an entry until it is asked to stop.
 pub(super) async fn run(context: Context) -> Result<ExitCode> {
-    // Nothing of this role can change while it runs; what is new holds from the next start on.
+    // No setting of this role can change at run time; a change takes effect at the next start.
     context.reload(|_settings| {})?;
     let admin = context.bind_admin("entry").await?;
     let (entry, _member) = bind(&context).await?;
@@ -23,10 +23,10 @@
         .drain(super::millis(context.settings.entry.drain_timeout_ms))
         .await;
     admin.stop().await;
-    Ok(super::code_of(report.is_clean()))
+    Ok(super::exit_code(report.is_clean()))
 }
 
-/// Binds an entry that announces itself, and returns what it knows of the fleet as well.
+/// Binds an entry that announces itself to control; returns it with its membership client.
 pub(super) async fn bind(context: &Context) -> Result<(Entry, Member)> {
     let announce = context.announce(Role::Entry, "");
     let member = Member::spawn(
@@ -34,7 +34,7 @@
         announce,
         context.control_addresses(),
     );
-    super::follow_config(&member, &context.readiness);
+    super::await_first_config(&member, &context.readiness);
     let entry = Entry::bind(
         settings(context),
         member.clone(),
@@ -51,15 +51,15 @@
 }
 
 fn settings(context: &Context) -> EntrySettings {
-    let given = &context.settings.entry;
+    let section = &context.settings.entry;
     EntrySettings {
-        callers_listen: given.callers_listen.to_string().into(),
+        callers_listen: section.callers_listen.to_string().into(),
         peer_listen: context.settings.peer_listen.to_string().into(),
-        max_header_bytes: given.max_header_bytes as usize,
-        max_body_bytes: given.max_body_bytes,
-        body_timeout: super::millis(given.body_timeout_ms),
-        max_waiting_requests: given.max_waiting_requests,
-        max_waiting_bytes: given.max_waiting_bytes,
+        max_header_bytes: section.max_header_bytes as usize,
+        max_body_bytes: section.max_body_bytes,
+        body_timeout: super::millis(section.body_timeout_ms),
+        max_waiting_requests: section.max_waiting_requests,
+        max_waiting_bytes: section.max_waiting_bytes,
         ..EntrySettings::default()
     }
 }
--- a/crates/daemon/src/roles/gateway.rs
+++ b/crates/daemon/src/roles/gateway.rs
@@ -1,4 +1,4 @@
-//! Runs the gateway role.
+//! The gateway role.
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -13,13 +13,15 @@
 
 use crate::context::{Context, control_addresses};
 
-/// Each of two waits for the rest of an answer that an engine no longer works on; a lost packet is sent again in it.
+/// Length of each of two waits for the rest of an answer that the engine no longer works on.
+///
+/// It is long enough for TCP to retransmit a lost packet.
 const LOST_GRACE: Duration = Duration::from_millis(200);
 
-/// Runs a gateway until it is told to stop.
+/// Runs a gateway until it is asked to stop.
 pub(super) async fn run(context: Context) -> Result<ExitCode> {
-    let Some(given) = context.settings.gateway.clone() else {
-        bail!("the table `gateway` is missing: it names the addresses that a gateway binds");
+    let Some(section) = context.settings.gateway.clone() else {
+        bail!("the table `gateway` is missing: it names the addresses that the gateway binds");
     };
     let control = context.control_addresses();
     if control.is_empty() {
@@ -31,25 +33,25 @@
     let settings = GatewaySettings {
         instance: context.settings.instance.clone(),
         data_center: context.settings.data_center.clone(),
-        listen: given.listen,
-        ready_listen: given.ready_listen,
+        listen: section.listen,
+        ready_listen: section.ready_listen,
         control,
-        handoff_ports: given
+        handoff_ports: section
             .handoff_first_port
-            .zip(given.handoff_last_port)
+            .zip(section.handoff_last_port)
             .map(|(first, last)| first..=last),
-        admission_port: given.admission_port,
+        admission_port: section.admission_port,
         retry_budget: RetryBudgetRules {
-            retry_permille: given.retry_permille,
-            burst_retries: given.retry_burst,
-            window: Duration::from_millis(given.retry_window_ms),
+            retry_permille: section.retry_permille,
+            burst_retries: section.retry_burst,
+            window: Duration::from_millis(section.retry_window_ms),
         },
         choice: ChoiceRules {
-            missing_token_us: given.missing_token_us,
+            missing_token_us: section.missing_token_us,
             ..ChoiceRules::default()
         },
-        max_spill_tokens: given.max_spill_tokens,
-        max_connections: given.max_connections,
+        max_spill_tokens: section.max_spill_tokens,
+        max_connections: section.max_connections,
         lost_grace: LOST_GRACE,
         overload: OverloadRules::default(),
     };
@@ -72,11 +74,11 @@
     hinge_telemetry::info!(Part::Gateway, "Stopping as planned.");
     let is_clean = gateway
         .drain(
-            super::millis(given.rotation_ms),
-            super::millis(given.stop_timeout_ms),
+            super::millis(section.rotation_ms),
+            super::millis(section.stop_timeout_ms),
         )
         .await;
     hinge_telemetry::info!(Part::Gateway, "Stopped.", clean = is_clean);
     admin.stop().await;
-    Ok(super::code_of(is_clean))
+    Ok(super::exit_code(is_clean))
 }
--- a/crates/daemon/src/roles/local.rs
+++ b/crates/daemon/src/roles/local.rs
@@ -1,4 +1,4 @@
-//! Runs every role as tasks of one process, with a stand-in endpoint.
+//! The local role: a control instance, an entry, sidecars and a stand-in endpoint in one process.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -19,55 +19,55 @@
 use crate::flags::Flags;
 use crate::signals::Signals;
 
-/// Longest wait for one answer of control.
+/// Timeout of one call to control.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Wait before control is asked again while it elects itself.
-const RETRY: Duration = Duration::from_millis(50);
+/// Wait between two attempts while control elects itself and the fleet starts.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Longest time until the configuration is in force.
+/// Limit on the time until the configuration is in force.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Longest time of a planned stop.
+/// Limit on the planned stop of each role.
 const STOP_TIMEOUT: Duration = Duration::from_secs(30);
 
 const OPERATOR: &str = "local";
 
-/// Pool of the stand-in as a model engine, in the built-in folder.
+/// Pool that the stand-in serves as a model engine, in the built-in folder.
 const MODEL_POOL: &str = "forecast";
 
-/// Pool of the stand-in as a plain service, in the built-in folder.
+/// Pool that the stand-in serves as a plain service, in the built-in folder.
 const SERVICE_POOL: &str = "surf-api";
 
 /// Runs all roles until the process is told to stop.
 pub(super) async fn run(flags: &Flags, settings: Settings, signals: &Signals) -> Result<ExitCode> {
-    let secret = draw_secret();
+    let secret = random_secret();
     let key = ClusterKey::derive(secret.as_bytes());
     let mut context = Context::with_key(settings, key, signals.clone());
     let admin = context.bind_admin("local").await?;
 
     let operators = OperatorKeys::parse(&format!("{OPERATOR} = \"{secret}\""))?;
-    let part = |settings| Context::with_key(settings, context.key.clone(), signals.clone());
-    let control_context = part(alone(&context.settings));
+    let role_context = |settings| Context::with_key(settings, context.key.clone(), signals.clone());
+    let control_context = role_context(single_control_settings(&context.settings));
     let control = control::open(&control_context, operators).await?;
     context.settings.control_addresses = vec![control.local_address()];
 
     let stand_in = stand_in::bind(&context.settings).await?;
-    let endpoint = guarded(
+    let endpoint = sidecar_settings(
         &context.settings,
         stand_in.local_address(),
         EndpointKind::Model,
         MODEL_POOL,
     );
-    let sidecar_context = part(renamed(&context.settings, "sidecar"));
+    let sidecar_context = role_context(instance_settings(&context.settings, "sidecar"));
     let sidecar = sidecar::bind(&sidecar_context, &endpoint).await?;
-    let service = guarded(
+    let service = sidecar_settings(
         &context.settings,
         stand_in.local_address(),
         EndpointKind::Service,
         SERVICE_POOL,
     );
-    let service_context = part(renamed(&context.settings, "service"));
+    let service_context = role_context(instance_settings(&context.settings, "service"));
     let service = sidecar::bind(&service_context, &service).await?;
     let (entry, member) = entry::bind(&context).await?;
 
@@ -77,7 +77,7 @@
         apply(&control_address, &secret, files).await?;
         wait_until_ready(&context, &member).await
     };
-    // The terminal may be closed at any time; there are no settings to read again.
+    // A closed terminal (SIGHUP) stops the process: the local role reloads no settings.
     let stop = signals.stop_or_hangup_requested();
     tokio::pin!(stop);
     tokio::select! {
@@ -96,16 +96,16 @@
     admin.stop().await;
     let is_clean =
         entry_report.is_clean() && sidecar_report.is_clean() && service_report.is_clean();
-    Ok(super::code_of(is_clean))
+    Ok(super::exit_code(is_clean))
 }
 
-fn draw_secret() -> String {
+fn random_secret() -> String {
     let mut rng = rand::rng();
     format!("{:032x}{:032x}", rng.random::<u128>(), rng.random::<u128>())
 }
 
-/// Returns the settings under another instance's name, with addresses that the system chooses.
-fn renamed(settings: &Settings, instance: &str) -> Settings {
+/// Returns the settings for another instance of this process, with ports that the system chooses.
+fn instance_settings(settings: &Settings, instance: &str) -> Settings {
     let any_port = std::net::SocketAddr::from(([127, 0, 0, 1], 0));
     Settings {
         instance: format!("{}-{instance}", settings.instance).into(),
@@ -115,9 +115,9 @@
     }
 }
 
-/// Returns the settings of a control instance that is a quorum by itself and keeps its log in memory.
-fn alone(settings: &Settings) -> Settings {
-    let mut settings = renamed(settings, "control");
+/// Returns the settings of a control instance that is the only voter and keeps its log in memory.
+fn single_control_settings(settings: &Settings) -> Settings {
+    let mut settings = instance_settings(settings, "control");
     settings.control.bootstrap = true;
     settings.control.peers = vec![ControlPeer {
         instance: settings.instance.clone(),
@@ -127,7 +127,7 @@
     settings
 }
 
-fn guarded(
+fn sidecar_settings(
     settings: &Settings,
     endpoint: std::net::SocketAddr,
     kind: EndpointKind,
@@ -169,7 +169,7 @@
     Ok(files.collect())
 }
 
-/// Puts the files in force, as an operator would.
+/// Applies the files as the first configuration, through the operators' API.
 async fn apply(control: &str, secret: &str, files: Vec<ConfigFile>) -> Result<()> {
     let client = Client::new(ClusterKey::derive(secret.as_bytes()));
     let change = Apply {
@@ -185,7 +185,7 @@
         apply_until_answered(&client, control, &change),
     )
     .await;
-    match applied.context("control accepted nothing in time")? {
+    match applied.context("control did not answer the first configuration in time")? {
         ApplyReply::Accepted(_) => Ok(()),
         ApplyReply::Invalid(invalid) => {
             let lines: Vec<String> = invalid
@@ -205,22 +205,22 @@
             .call(control, "/v1/operator/apply", change, CALL_TIMEOUT)
             .await;
         match reply {
-            Ok(ApplyReply::Unavailable(_)) | Err(_) => tokio::time::sleep(RETRY).await,
+            Ok(ApplyReply::Unavailable(_)) | Err(_) => tokio::time::sleep(RETRY_INTERVAL).await,
             Ok(reply) => return reply,
         }
     }
 }
 
-/// Waits until the entry holds the configuration and knows the endpoints of both pools, so that the first request is served.
+/// Waits until the entry has the configuration and knows the endpoints of both pools, so that it can serve a first request.
 async fn wait_until_ready(context: &Context, member: &Member) -> Result<()> {
     let ready = async {
         while !context.readiness.is_ready() || !knows_endpoints(member) {
-            tokio::time::sleep(RETRY).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
     };
     tokio::time::timeout(START_TIMEOUT, ready)
         .await
-        .context("the entry did not get its configuration in time")
+        .context("the entry did not become ready in time")
 }
 
 fn knows_endpoints(member: &Member) -> bool {
--- a/crates/daemon/src/roles/relay.rs
+++ b/crates/daemon/src/roles/relay.rs
@@ -1,4 +1,4 @@
-//! Runs the relay role.
+//! The relay role.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -10,12 +10,12 @@
 
 use crate::context::Context;
 
-/// Longest time of a planned stop: a relay only holds open watches.
+/// Limit on a planned stop; only open watch calls have to end.
 const STOP_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Runs a relay until it is told to stop.
+/// Runs a relay until it is asked to stop.
 pub(super) async fn run(context: Context) -> Result<ExitCode> {
-    // Nothing of this role can change while it runs; what is new holds from the next start on.
+    // No setting of this role can change at run time; a change takes effect at the next start.
     context.reload(|_settings| {})?;
     let admin = context.bind_admin("relay").await?;
     let relay = Relay::open(settings(&context), context.key.clone())
@@ -27,7 +27,7 @@
     context.readiness.set(Reason::Leaving);
     let is_clean = relay.stop(STOP_TIMEOUT).await;
     admin.stop().await;
-    Ok(super::code_of(is_clean))
+    Ok(super::exit_code(is_clean))
 }
 
 fn settings(context: &Context) -> RelaySettings {
--- a/crates/daemon/src/signals.rs
+++ b/crates/daemon/src/signals.rs
@@ -1,4 +1,4 @@
-//! Catches the signals of a planned stop and of changed settings, from the first line of the program on.
+//! Handlers for the stop and reload signals, installed at the very start of the process.
 
 use std::io;
 use std::sync::Arc;
@@ -8,7 +8,9 @@
 use signal_hook::flag;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Keeps the signals that came before a role waited for them; by default they would end the process.
+/// The signals received so far, so that none that arrives before a role waits for it is lost.
+///
+/// Without handlers, each of these signals would end the process.
 #[derive(Debug, Clone)]
 pub(crate) struct Signals {
     stop: Arc<AtomicBool>,
@@ -16,11 +18,11 @@
 }
 
 impl Signals {
-    /// Catches the signals until the process ends.
+    /// Installs the handlers for the rest of the process's life.
     ///
     /// # Errors
     ///
-    /// Returns the system's error when they can't be caught.
+    /// Returns the system's error when a handler can't be installed.
     pub(crate) fn catch() -> io::Result<Self> {
         let signals = Self {
             stop: Arc::default(),
@@ -33,12 +35,12 @@
         Ok(signals)
     }
 
-    /// Returns whether the platform or an operator has asked the process to stop.
+    /// Returns whether SIGTERM or SIGINT has been received.
     pub(crate) fn is_stop_requested(&self) -> bool {
         self.stop.load(Ordering::Acquire)
     }
 
-    /// Waits until the platform or an operator asks the process to stop, or returns at once where one has.
+    /// Waits for SIGTERM or SIGINT; returns at once when one has already been received.
     ///
     /// # Errors
     ///
@@ -46,7 +48,7 @@
     pub(crate) async fn stop_requested(&self) -> io::Result<()> {
         let mut terminate = signal(SignalKind::terminate())?;
         let mut interrupt = signal(SignalKind::interrupt())?;
-        // A signal is in the flag, or in a stream that was there before the flag is read.
+        // The streams exist before the flag is read, so a signal is seen in one or the other.
         if self.is_stop_requested() {
             return Ok(());
         }
@@ -57,14 +59,14 @@
         Ok(())
     }
 
-    /// Waits like [`Signals::stop_requested`], and takes the loss of the terminal for such a request as well.
+    /// Waits like [`Signals::stop_requested`], and treats SIGHUP (the terminal was closed) as a stop request as well.
     ///
     /// # Errors
     ///
     /// Returns the system's error when the signals can't be watched.
     pub(crate) async fn stop_or_hangup_requested(&self) -> io::Result<()> {
-        let (mut hangup, came_before) = self.watch_hangup()?;
-        if came_before {
+        let (mut hangup, already_received) = self.watch_hangup()?;
+        if already_received {
             return Ok(());
         }
         tokio::select! {
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Watches for word of changed settings, and returns whether one came before.
+    /// Returns a stream of SIGHUP signals, and whether one was received before the stream existed.
     ///
     /// # Errors
     ///
--- a/crates/daemon/tests/processes/caller.rs
+++ b/crates/daemon/tests/processes/caller.rs
@@ -1,4 +1,4 @@
-//! Calls an entry as a user's program would.
+//! An HTTP client that calls an entry as a user's program would.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -15,16 +15,16 @@
 
 use crate::process::{LONGEST_STEP, POLL};
 
-/// Names a request that may run once only.
+/// Header with the idempotency key of a request that may run only once.
 pub(crate) const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// Holds what a caller got.
+/// The answer that a caller received.
 #[derive(Debug)]
 pub(crate) struct Answer {
     pub(crate) status: StatusCode,
     pub(crate) request_id: String,
     pub(crate) text: String,
-    /// Whether the body ended as HTTP says it must.
+    /// Whether the body ended properly, rather than with a broken connection.
     pub(crate) is_ended: bool,
 }
 
@@ -41,7 +41,7 @@
         self.field("outcome")
     }
 
-    /// Returns a text of a refusal, whether it came in place of the answer or as the last event of a broken one.
+    /// Returns a text field of a refusal, sent either as the whole answer or as the last event of a broken stream.
     pub(crate) fn field(&self, name: &str) -> Option<String> {
         let json = self.text.rsplit("event: error\ndata: ").next()?;
         let value: serde_json::Value = serde_json::from_str(json.trim()).ok()?;
@@ -49,7 +49,7 @@
     }
 }
 
-/// Calls one entry.
+/// A client of one entry, with a team's key.
 #[derive(Debug, Clone)]
 pub(crate) struct Caller {
     http: Client<HttpConnector, Full<Bytes>>,
@@ -66,29 +66,29 @@
         }
     }
 
-    /// Asks for a streamed answer of this many tokens, and reads it to its end.
+    /// Requests a streamed answer of this many tokens, and reads it to its end.
     pub(crate) async fn stream(&self, tokens: usize) -> Answer {
         self.stream_with(tokens, &[]).await
     }
 
-    /// Asks for a streamed answer with further headers, and reads it to its end.
+    /// Requests a streamed answer with additional headers, and reads it to its end.
     pub(crate) async fn stream_with(&self, tokens: usize, headers: &[(&str, &str)]) -> Answer {
         let (status, request_id, body) = self.begin_stream_with(tokens, headers).await;
         read_to_end(status, request_id, body).await
     }
 
-    /// Repeats a request that did not run, as the refusal tells, until the fleet has started and one is answered.
+    /// Repeats a streamed request until its outcome is no longer `not_run`, which means that the fleet serves.
     pub(crate) async fn until_served(&self) {
-        until_run(|| self.stream(1)).await;
+        repeat_until_run(|| self.stream(1)).await;
     }
 
-    /// Repeats a call of the plain service that did not run, until one is answered.
+    /// Repeats a call of the plain service until its outcome is no longer `not_run`.
     pub(crate) async fn until_posted(&self) {
-        until_run(|| self.post_with(&[("x-idempotent", "true")])).await;
+        repeat_until_run(|| self.post_with(&[("x-idempotent", "true")])).await;
     }
 
     /// Sends small requests until an endpoint has got one of them.
-    pub(crate) async fn until_reached(&self, stand_in: &StandIn) {
+    pub(crate) async fn until_endpoint_reached(&self, stand_in: &StandIn) {
         let begun = stand_in.record().begun();
         let reaching = async {
             while stand_in.record().begun() == begun {
@@ -100,19 +100,20 @@
             .expect("the endpoint is reached in time");
     }
 
-    /// Asks for a streamed answer, and returns once its head has come.
+    /// Requests a streamed answer, and returns once its head is received.
     pub(crate) async fn begin_stream(&self, tokens: usize) -> (StatusCode, String, Incoming) {
         self.begin_stream_with(tokens, &[]).await
     }
 
-    /// Asks for a streamed answer with further headers, and returns once its head has come.
+    /// Requests a streamed answer with additional headers, and returns once its head is received.
     pub(crate) async fn begin_stream_with(
         &self,
         tokens: usize,
         headers: &[(&str, &str)],
     ) -> (StatusCode, String, Incoming) {
         static PROMPTS: AtomicU64 = AtomicU64::new(0);
-        // Equal prompts would all go to the endpoint that has their prefix; one under a key must be the same at a resend.
+        // Equal prompts would all be routed to the endpoint that caches their prefix, so each prompt differs; a prompt with an
+        // idempotency key stays the same, because a resend must not change the request.
         let is_keyed = headers.iter().any(|(name, _)| *name == IDEMPOTENCY_KEY);
         let prompt = if is_keyed {
             0
@@ -125,7 +126,7 @@
         self.send("/v1/chat/completions", body, headers).await
     }
 
-    /// Calls the plain service under a key, which makes the call one that may run once only.
+    /// Calls the plain service with an idempotency key, so that the call may run only once.
     pub(crate) async fn post_once(&self, idempotency_key: &str) -> Answer {
         self.post_with(&[(IDEMPOTENCY_KEY, idempotency_key)]).await
     }
@@ -138,14 +139,14 @@
         read_to_end(status, request_id, body).await
     }
 
-    /// Resends a call under a key until the outcome of its first run is told, and returns the answer.
-    pub(crate) async fn post_until_told(&self, idempotency_key: &str) -> Answer {
+    /// Resends a call with an idempotency key until the outcome of its first run is reported, and returns that answer.
+    pub(crate) async fn post_until_outcome_known(&self, idempotency_key: &str) -> Answer {
         let telling = async {
             loop {
                 let answer = self.post_once(idempotency_key).await;
                 let reason = answer.field("reason").unwrap_or_default();
-                let is_told = ["already_finished", "already_failed"].contains(&&*reason);
-                if is_told || answer.outcome().as_deref() != Some("not_run") {
+                let is_known = ["already_finished", "already_failed"].contains(&&*reason);
+                if is_known || answer.outcome().as_deref() != Some("not_run") {
                     return answer;
                 }
                 tokio::time::sleep(POLL).await;
@@ -181,7 +182,7 @@
     }
 }
 
-async fn until_run<F: Future<Output = Answer>>(ask: impl Fn() -> F) {
+async fn repeat_until_run<F: Future<Output = Answer>>(ask: impl Fn() -> F) {
     let running = async {
         while ask().await.outcome().as_deref() == Some("not_run") {
             tokio::time::sleep(POLL).await;
--- a/crates/daemon/tests/processes/fleet.rs
+++ b/crates/daemon/tests/processes/fleet.rs
@@ -1,4 +1,4 @@
-//! Starts, stops and kills processes of one fleet.
+//! Settings, addresses and processes of one fleet.
 
 use std::fmt::Write as _;
 use std::fs;
@@ -17,7 +17,7 @@
 use crate::process::{self, LONGEST_STEP, Process};
 use crate::reserve::reserve;
 
-/// Below the ports that the system gives out by itself.
+/// First port of a fleet; it lies below the range from which the system assigns ports.
 const FIRST_PORT: u16 = 10_000;
 
 const CLUSTER_SECRET: &str = "cluster-secret-of-the-tests";
@@ -25,11 +25,11 @@
 /// Names of the operators.
 const OPERATORS: [&str; 2] = ["tester", "rival"];
 
-fn secret_of(operator: &str) -> String {
+fn operator_secret(operator: &str) -> String {
     format!("operator-secret-of-{operator}")
 }
 
-/// Holds the files and addresses of one fleet.
+/// The settings files and the addresses of one fleet.
 #[derive(Debug)]
 pub(crate) struct Fleet {
     folder: TempDir,
@@ -43,13 +43,13 @@
     pub(crate) fn new(control_instances: usize) -> Self {
         let folder = tempfile::tempdir().expect("a folder can be made");
         let fleet = Self {
-            host: own_host(),
+            host: unique_loopback_address(),
             next_port: AtomicU16::new(FIRST_PORT),
             control: Vec::new(),
             folder,
         };
         fleet.write_secret("cluster.key", CLUSTER_SECRET);
-        let operators = OPERATORS.map(|name| format!("{name} = \"{}\"\n", secret_of(name)));
+        let operators = OPERATORS.map(|name| format!("{name} = \"{}\"\n", operator_secret(name)));
         fleet.write_secret("operators.toml", &operators.concat());
         let control = (0..control_instances)
             .map(|_| fleet.free_address())
@@ -64,7 +64,7 @@
             .collect()
     }
 
-    /// Starts one control instance, on the data folder that it had.
+    /// Starts one control instance, with the data folder of its former run if there was one.
     pub(crate) fn start_control_instance(&self, idx: usize) -> Process {
         let mut section = format!(
             "data_folder = \"{}\"\n[control]\nbootstrap = true\noperator_keys_file = \"{}\"\n",
@@ -86,7 +86,7 @@
     }
 
     /// Deletes the data folder of a control instance that does not run.
-    pub(crate) fn lose_folder(&self, idx: usize) {
+    pub(crate) fn delete_data_folder(&self, idx: usize) {
         fs::remove_dir_all(self.path(&format!("data-{idx}"))).expect("the folder can be deleted");
     }
 
@@ -133,17 +133,17 @@
             name,
             &format!(
                 "{}[entry]\ncallers_listen = \"{listen}\"\n",
-                self.member_lines()
+                self.member_settings()
             ),
         )
     }
 
-    /// Starts a sidecar with four slots beside an endpoint; one of them is for urgent requests.
+    /// Starts a sidecar with four slots for an endpoint, one of them reserved for urgent requests.
     pub(crate) fn start_sidecar(&self, name: &str, pool: &str, endpoint: SocketAddr) -> Process {
         self.start_sidecar_with(name, pool, endpoint, "")
     }
 
-    /// Starts a sidecar with further settings.
+    /// Starts a sidecar with additional settings in its section.
     pub(crate) fn start_sidecar_with(
         &self,
         name: &str,
@@ -157,25 +157,29 @@
         self.start(
             "sidecar",
             name,
-            &format!("{}{section}", self.member_lines()),
+            &format!("{}{section}", self.member_settings()),
         )
     }
 
-    /// Binds a stand-in within the test.
+    /// Binds a stand-in endpoint in the process of the test.
     pub(crate) async fn stand_in(&self, settings: StandInSettings) -> StandIn {
         StandIn::bind(settings).await.expect("a free port exists")
     }
 
-    /// Puts the example folder in force, and returns its version.
+    /// Applies the example folder as an operator, and returns its version.
     pub(crate) async fn apply_example(&self) -> u64 {
         let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/folder");
         let files = folder::read(&path).expect("the example folder is readable");
         self.operator(0).apply("example", 0, files).await
     }
 
-    /// Returns an operator, one of [`OPERATORS`].
+    /// Returns the client of an operator, by its index in [`OPERATORS`].
     pub(crate) fn operator(&self, idx: usize) -> Operator {
-        Operator::new(OPERATORS[idx], &secret_of(OPERATORS[idx]), &self.control)
+        Operator::new(
+            OPERATORS[idx],
+            &operator_secret(OPERATORS[idx]),
+            &self.control,
+        )
     }
 
     fn start(&self, role: &str, name: &str, settings: &str) -> Process {
@@ -188,8 +192,8 @@
         process::spawn(role, file)
     }
 
-    /// Returns the settings of an entry or a sidecar; its address outlives a restart.
-    fn member_lines(&self) -> String {
+    /// Returns the settings that an entry and a sidecar have in common; the address stays the same over a restart.
+    fn member_settings(&self) -> String {
         let quoted: Vec<String> = self
             .control
             .iter()
@@ -224,8 +228,8 @@
     }
 }
 
-/// Returns a loopback host that only this fleet uses, so that a port that is free now stays free.
-fn own_host() -> Ipv4Addr {
+/// Returns a loopback address that only this fleet uses, so that a port that is free now stays free.
+fn unique_loopback_address() -> Ipv4Addr {
     static FLEETS: AtomicU32 = AtomicU32::new(0);
     let fleet = FLEETS.fetch_add(1, Ordering::Relaxed);
     let [_, _, high, low] = std::process::id().to_be_bytes();
--- a/crates/daemon/tests/processes/main.rs
+++ b/crates/daemon/tests/processes/main.rs
@@ -1,21 +1,21 @@
-//! Starts the real binary as separate processes on loopback, and checks the promises at the callers' end by counting.
+//! End-to-end tests: real processes on loopback, checked by counting what callers receive and what endpoints run.
 //!
-//! Every wait is for a condition, bounded only by a timeout far beyond what any machine needs; none is a sleep whose length
-//! decides the verdict.
+//! Every wait is for a condition, with a timeout far longer than any machine needs; no test result depends on the length of
+//! a sleep.
 
 mod caller;
 mod configuration;
-mod endpoint;
-mod faults;
+mod endpoint_faults;
 mod fleet;
 mod flood;
-mod keys;
-mod leaving;
-mod lost;
+mod idempotency_keys;
 mod operator;
+mod planned_stop;
 mod process;
+mod process_faults;
+mod process_loss;
 mod reload;
 mod reserve;
+mod running_fleet;
 mod signals;
-mod started;
 mod whole_path;
--- a/crates/daemon/tests/processes/operator.rs
+++ b/crates/daemon/tests/processes/operator.rs
@@ -1,4 +1,4 @@
-//! Calls control as an operator.
+//! A client of the operators' API.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,10 +10,10 @@
 
 use crate::process::{LONGEST_STEP, POLL};
 
-/// Longest wait for one answer; a frozen instance gives none.
+/// Timeout of one call, since a frozen instance never answers.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Calls control with an operator's key.
+/// A client that calls control with an operator's key.
 #[derive(Debug)]
 pub(crate) struct Operator {
     name: &'static str,
@@ -93,7 +93,7 @@
             .await
     }
 
-    /// Returns the version that one control instance gives as current, if it gives any.
+    /// Returns the current version according to one control instance, or none when it can't say.
     pub(crate) async fn version_at(&self, idx: usize) -> Option<u64> {
         let ask = AskFolder { config_version: 0 };
         let path = "/v1/operator/folder";
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Waits until control gives a status that fits.
-    pub(crate) async fn until_status(&self, fits: impl Fn(&Status) -> bool) -> Status {
+    /// Waits until control returns a status for which `is_wanted` holds.
+    pub(crate) async fn until_status(&self, is_wanted: impl Fn(&Status) -> bool) -> Status {
         let ask = AskStatus {
             wait_ms: 0,
             wait_version: 0,
@@ -119,7 +119,7 @@
                 let path = "/v1/operator/status";
                 let reply = self.client.call(address, path, &ask, CALL_TIMEOUT).await;
                 if let Ok(StatusReply::Status(status)) = reply {
-                    if fits(&status) {
+                    if is_wanted(&status) {
                         return status;
                     }
                     last = Some(status);
@@ -132,29 +132,29 @@
         status.unwrap_or_else(|_elapsed| panic!("the status never fitted; the last is {last:?}"))
     }
 
-    /// Returns which control instance leads.
+    /// Returns the index of the control instance that leads.
     pub(crate) async fn leader(&self) -> usize {
-        let names = |instance: &str| instance.strip_prefix("control-")?.parse().ok();
+        let index_of = |instance: &str| instance.strip_prefix("control-")?.parse().ok();
         let status = self
             .until_status(|status| status.control.iter().any(|one| one.leader))
             .await;
         let leader = status.control.iter().find(|one| one.leader);
         leader
-            .and_then(|one| names(&one.instance))
+            .and_then(|one| index_of(&one.instance))
             .expect("the leader has a name of the tests")
     }
 }
 
 /// Returns a file with one more team, whose key is the text `demo-key-new`.
-pub(crate) fn new_team() -> Vec<ConfigFile> {
+pub(crate) fn new_team_file() -> Vec<ConfigFile> {
     vec![ConfigFile {
         name: "40-new.toml".into(),
         text: format!("[teams.new]\nshare = 1\nkey_sha256 = [\"{NEW_KEY_SHA256}\"]\n").into(),
     }]
 }
 
-/// Returns a small file that says something else for each number.
-pub(crate) fn numbered(name: &str, number: u64) -> Vec<ConfigFile> {
+/// Returns a small file whose content differs for each number.
+pub(crate) fn numbered_file(name: &str, number: u64) -> Vec<ConfigFile> {
     vec![ConfigFile {
         name: format!("{name}.toml").into(),
         text: format!("[teams.small-school]\nmax_waiting = {}\n", number + 1).into(),
--- a/crates/daemon/tests/processes/process.rs
+++ b/crates/daemon/tests/processes/process.rs
@@ -1,10 +1,10 @@
-//! Names the binary that these tests start.
+//! Starts the binary under test.
 
 use std::path::{Path, PathBuf};
 
 pub(crate) use hinge_fakes::process::{LONGEST_STEP, POLL, Process};
 
-/// Starts a process with a role and a settings file.
+/// Starts a process in a role, with a settings file.
 pub(crate) fn spawn(role: &str, settings: PathBuf) -> Process {
     Process::spawn(
         Path::new(env!("CARGO_BIN_EXE_sequoiahinge")),
--- a/crates/daemon/tests/processes/faults.rs
+++ b/crates/daemon/tests/processes/process_faults.rs
@@ -1,4 +1,4 @@
-//! Kills and freezes processes under requests.
+//! Tests that kill or freeze a sidecar, or resend a key through another entry, while requests run.
 
 use futures::future::join;
 use hinge_cases::async_cases;
@@ -52,7 +52,7 @@
         assert!(!answer.is_ended || answer.text.contains("\"outcome\":\"unknown\""), "{answer:?}");
     }
 
-    requests_pass_a_frozen_sidecar_by => {
+    requests_avoid_a_frozen_sidecar => {
         let fleet = Fleet::new(1);
         let _control = fleet.start_control();
         let stand_in = fleet.stand_in(StandInSettings::default()).await;
--- a/crates/daemon/tests/processes/reload.rs
+++ b/crates/daemon/tests/processes/reload.rs
@@ -1,4 +1,4 @@
-//! Checks that changed settings are read again, and that three control instances found a fleet from addresses alone.
+//! Tests of reloaded settings, and of control instances that found a fleet from a list of addresses alone.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -56,7 +56,7 @@
         for instance in &mut control {
             instance.logged("Counting for the quorum.").await;
         }
-        // One that comes back with an empty folder takes its place again without an operator.
+        // An instance that returns with an empty data folder becomes a voter again without an operator.
         control[2].kill().await;
         control[2] = start(2, "data-2-new", false);
         control[2].logged("Counting for the quorum.").await;
--- a/crates/daemon/tests/processes/reserve.rs
+++ b/crates/daemon/tests/processes/reserve.rs
@@ -1,4 +1,4 @@
-//! Reserves addresses for processes that are yet to start.
+//! Reserves addresses for processes that start later.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,11 +8,12 @@
 
 /// Binds an address without listening, so that a process which binds it with `SO_REUSEADDR`, as listeners do, still can.
 ///
-/// A listening probe would keep the address for as long as any child that another test starts meanwhile holds a copy of its socket.
+/// A listening socket would keep the address busy for as long as a child process that another test starts in the meantime
+/// holds an inherited copy of it.
 ///
 /// # Errors
 ///
-/// Returns the system's error where another process listens there.
+/// Returns the system's error when another process listens on the address.
 pub(crate) fn reserve(address: SocketAddr) -> io::Result<TcpSocket> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
--- a/crates/daemon/tests/processes/started.rs
+++ b/crates/daemon/tests/processes/running_fleet.rs
@@ -1,4 +1,4 @@
-//! Starts a whole fleet and waits until the example configuration is in force.
+//! A whole fleet of processes, with the example configuration in force.
 
 use hinge_fakes::stand_in::{StandIn, StandInSettings};
 
@@ -6,68 +6,68 @@
 use crate::fleet::Fleet;
 use crate::process::Process;
 
-/// Says what to start.
+/// The processes and endpoints of a fleet to start.
 #[derive(Debug, Default)]
-pub(crate) struct Plan<'a> {
+pub(crate) struct FleetLayout<'a> {
     pub(crate) control: usize,
     pub(crate) entries: usize,
     /// Pool and endpoint of each sidecar.
     pub(crate) sidecars: &'a [(&'a str, StandInSettings)],
-    /// Further settings of all sidecars.
+    /// Settings added to the section of every sidecar.
     pub(crate) sidecar_settings: &'a str,
 }
 
-/// Holds the processes of a fleet in which a configuration is in force.
+/// The processes of a fleet in which a configuration is in force.
 #[derive(Debug)]
-pub(crate) struct Started {
-    pub(crate) fleet: Fleet,
+pub(crate) struct RunningFleet {
+    pub(crate) setup: Fleet,
     pub(crate) control: Vec<Process>,
     pub(crate) entries: Vec<Process>,
     pub(crate) sidecars: Vec<Process>,
-    /// Endpoints, each beside the sidecar of the same index.
+    /// Endpoints, each served by the sidecar of the same index.
     pub(crate) stand_ins: Vec<StandIn>,
-    /// Version in force.
+    /// Version of the configuration in force.
     pub(crate) version: u64,
 }
 
-impl Started {
-    pub(crate) async fn open(plan: Plan<'_>) -> Self {
-        let fleet = Fleet::new(plan.control);
-        let control = fleet.start_control();
+impl RunningFleet {
+    pub(crate) async fn open(layout: FleetLayout<'_>) -> Self {
+        let setup = Fleet::new(layout.control);
+        let control = setup.start_control();
         let (mut sidecars, mut stand_ins) = (Vec::new(), Vec::new());
-        for (idx, (pool, settings)) in plan.sidecars.iter().enumerate() {
-            let stand_in = fleet.stand_in(settings.clone()).await;
+        for (idx, (pool, settings)) in layout.sidecars.iter().enumerate() {
+            let stand_in = setup.stand_in(settings.clone()).await;
             let name = format!("sidecar-{idx}");
             let endpoint = stand_in.local_address();
-            sidecars.push(fleet.start_sidecar_with(&name, pool, endpoint, plan.sidecar_settings));
+            sidecars.push(setup.start_sidecar_with(&name, pool, endpoint, layout.sidecar_settings));
             stand_ins.push(stand_in);
         }
-        let names = (0..plan.entries).map(|idx| format!("entry-{idx}"));
-        let entries = names.map(|name| fleet.start_entry(&name)).collect();
-        let version = fleet.apply_example().await;
-        let mut started = Self {
-            fleet,
+        let names = (0..layout.entries).map(|idx| format!("entry-{idx}"));
+        let entries = names.map(|name| setup.start_entry(&name)).collect();
+        let version = setup.apply_example().await;
+        let mut running = Self {
+            setup,
             control,
             entries,
             sidecars,
             stand_ins,
             version,
         };
-        started.in_force(version).await;
-        started
+        running.in_force(version).await;
+        running
     }
 
     /// Waits until a version is in force at every entry and sidecar.
     pub(crate) async fn in_force(&mut self, version: u64) {
-        for process in self.members() {
+        for process in self.entries_and_sidecars() {
             process.in_force(version).await;
         }
     }
 
-    /// Checks that no entry and no sidecar ever stepped back.
+    /// Checks that no entry and no sidecar ever went back to an older version.
     pub(crate) async fn assert_versions_rose(&mut self) {
-        for process in self.members() {
-            // Lines are written in their order, a moment after they came: with this one, all before it are there.
+        for process in self.entries_and_sidecars() {
+            // Log lines are written in order but with a delay: once this line is there, so are all earlier ones.
             process.hang_up();
             process.logged("Reloaded settings without a change.").await;
             let versions = process.versions();
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Kills every process, and then starts all of them again, each with the settings and the data folder that it had.
+    /// Kills every process, then restarts each with its former settings and data folder.
     pub(crate) async fn restart_all(&mut self) {
         let all = self.control.iter_mut().chain(&mut self.sidecars);
         let mut all: Vec<&mut Process> = all.chain(&mut self.entries).collect();
@@ -97,12 +97,12 @@
         }
     }
 
-    /// Returns a caller of an entry.
+    /// Returns a caller that sends its requests to an entry.
     pub(crate) async fn caller(&mut self, entry: usize, key: &'static str) -> Caller {
         Caller::new(self.entries[entry].address_after("callers=").await, key)
     }
 
-    /// Returns how many runs began at all endpoints.
+    /// Returns how many requests began to run, at all endpoints together.
     pub(crate) fn begun(&self) -> u32 {
         self.stand_ins
             .iter()
@@ -110,20 +110,20 @@
             .sum()
     }
 
-    fn members(&mut self) -> impl Iterator<Item = &mut Process> {
+    fn entries_and_sidecars(&mut self) -> impl Iterator<Item = &mut Process> {
         self.sidecars.iter_mut().chain(&mut self.entries)
     }
 }
 
-/// Returns an endpoint whose answers take a while.
-pub(crate) fn slow(tokens_per_second: u32) -> StandInSettings {
+/// Returns the settings of an endpoint that generates so many tokens a second.
+pub(crate) fn slow_endpoint(tokens_per_second: u32) -> StandInSettings {
     StandInSettings {
         tokens_per_second,
         ..StandInSettings::default()
     }
 }
 
-/// Returns an endpoint that answers at once.
-pub(crate) fn fast() -> StandInSettings {
+/// Returns the settings of an endpoint that answers at once.
+pub(crate) fn fast_endpoint() -> StandInSettings {
     StandInSettings::default()
 }
--- a/crates/daemon/tests/processes/signals.rs
+++ b/crates/daemon/tests/processes/signals.rs
@@ -1,4 +1,4 @@
-//! Checks that no signal is lost, and none ends a process in its own way, from the first steps of a start on.
+//! Tests that a signal at any step of a start is neither lost nor ends the process by the system's default.
 
 use std::fs::{self, File};
 use std::io::Write as _;
@@ -13,17 +13,17 @@
 
 const RELOADED: &str = "Reloaded settings without a change.";
 
-/// Describes a role: its settings, and the lines with which its start goes on.
+/// A role under test: its settings, and the log lines that mark the steps of its start.
 struct Role {
     name: &'static str,
     section: &'static str,
     steps: &'static [&'static str],
-    hangup: Hangup,
+    hangup: HangupEffect,
 }
 
-/// Says what a role does when it is hung up on.
+/// What a role does on SIGHUP.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Hangup {
+enum HangupEffect {
     Reloads,
     Stops,
 }
@@ -45,23 +45,23 @@
     }
 }
 
-/// Sends each signal while the process waits for its settings, and behind each line of its start.
-async fn keeps_signals(role: Role) {
+/// Sends each signal while the process waits for its settings, and after each log line of its start.
+async fn check_signals_during_start(role: Role) {
     for signal in Signal::BOTH {
-        signalled_before_the_settings_are_read(&role, signal).await;
+        check_signal_before_settings(&role, signal).await;
         for step in role.steps {
             let folder = tempfile::tempdir().expect("a folder can be made");
             let path = write_settings(&role, folder.path());
             let mut process = process::spawn(role.name, path);
             process.logged(step).await;
             signal.send(&process);
-            check_end(&role, signal, process).await;
+            check_effect(&role, signal, process).await;
         }
     }
 }
 
-/// Holds the process back at its settings with a pipe that nobody has written to.
-async fn signalled_before_the_settings_are_read(role: &Role, signal: Signal) {
+/// Sends a signal while the process blocks on its settings file, which is a pipe that nothing was written to.
+async fn check_signal_before_settings(role: &Role, signal: Signal) {
     let folder = tempfile::tempdir().expect("a folder can be made");
     let file = write_settings(role, folder.path());
     let text = fs::read_to_string(&file).expect("the settings can be read");
@@ -71,7 +71,7 @@
     let process = process::spawn(role.name, pipe.clone());
     let writer = {
         let pipe = pipe.clone();
-        // Opening it returns once the process reads.
+        // Opening the pipe for writing blocks until the process opens it for reading.
         tokio::task::spawn_blocking(move || File::options().write(true).open(pipe))
     };
     let mut writer = writer
@@ -79,16 +79,16 @@
         .expect("opening does not panic")
         .expect("the pipe can be opened");
     signal.send(&process);
-    // A later look finds an ordinary file.
+    // A reload then finds an ordinary file.
     fs::rename(&file, &pipe).expect("the pipe can be replaced");
     let _ended_already = writer.write_all(text.as_bytes());
     drop(writer);
-    check_end(role, signal, process).await;
+    check_effect(role, signal, process).await;
 }
 
-/// Checks that a signal does what it does at any other time.
-async fn check_end(role: &Role, signal: Signal, mut process: Process) {
-    if signal == Signal::HangUp && role.hangup == Hangup::Reloads {
+/// Checks that the signal has the same effect as after the start.
+async fn check_effect(role: &Role, signal: Signal, mut process: Process) {
+    if signal == Signal::HangUp && role.hangup == HangupEffect::Reloads {
         process.logged(RELOADED).await;
         process.terminate();
     }
@@ -110,74 +110,74 @@
 
 async_cases! { real
     a_gateway_that_is_signalled_as_it_starts_stops_or_reloads_as_planned => {
-        keeps_signals(Role {
+        check_signals_during_start(Role {
             name: "gateway",
             section: "[gateway]\nlisten = \"127.0.0.1:0\"\nready_listen = \"127.0.0.1:0\"\nrotation_ms = 0\n",
             steps: &["[daemon] Starting.", "[admin] Listening.", "[gateway] Listening."],
-            hangup: Hangup::Reloads,
+            hangup: HangupEffect::Reloads,
         })
         .await;
     }
     an_admission_that_is_signalled_as_it_starts_stops_or_reloads_as_planned => {
-        keeps_signals(Role {
+        check_signals_during_start(Role {
             name: "admission",
             section: "[admission]\nengine = \"127.0.0.1:1\"\n",
             steps: &["[daemon] Starting.", "[admin] Listening."],
-            hangup: Hangup::Reloads,
+            hangup: HangupEffect::Reloads,
         })
         .await;
     }
     a_control_instance_that_is_signalled_as_it_starts_stops_or_reloads_as_planned => {
-        keeps_signals(Role {
+        check_signals_during_start(Role {
             name: "control",
             section: "peer_listen = \"127.0.0.1:0\"\ndata_folder = \"DATA\"\n[control]\nbootstrap = true\n[[control.peers]]\ninstance = \"under-test\"\naddress = \"127.0.0.1:1\"\n",
             steps: &["[daemon] Starting.", "[admin] Listening.", "[control] Listening."],
-            hangup: Hangup::Reloads,
+            hangup: HangupEffect::Reloads,
         })
         .await;
     }
     an_entry_that_is_signalled_as_it_starts_stops_or_reloads_as_planned => {
-        keeps_signals(Role {
+        check_signals_during_start(Role {
             name: "entry",
             section: "[entry]\ncallers_listen = \"127.0.0.1:0\"\n",
             steps: &["[daemon] Starting.", "[admin] Listening.", "[entry] Listening."],
-            hangup: Hangup::Reloads,
+            hangup: HangupEffect::Reloads,
         })
         .await;
     }
     a_sidecar_that_is_signalled_as_it_starts_stops_or_reloads_as_planned => {
-        keeps_signals(Role {
+        check_signals_during_start(Role {
             name: "sidecar",
             section: "[sidecar]\nendpoint_address = \"127.0.0.1:1\"\npool = \"forecast\"\n",
             steps: &["[daemon] Starting.", "[admin] Listening.", "[sidecar] Listening."],
-            hangup: Hangup::Reloads,
+            hangup: HangupEffect::Reloads,
         })
         .await;
     }
     a_relay_that_is_signalled_as_it_starts_stops_or_reloads_as_planned => {
-        keeps_signals(Role {
+        check_signals_during_start(Role {
             name: "relay",
             section: "",
             steps: &["[daemon] Starting.", "[admin] Listening.", "[relay] Listening."],
-            hangup: Hangup::Reloads,
+            hangup: HangupEffect::Reloads,
         })
         .await;
     }
     a_stand_in_that_is_signalled_as_it_starts_stops_as_planned => {
-        keeps_signals(Role {
+        check_signals_during_start(Role {
             name: "stand-in",
             section: "[stand_in]\nlisten = \"127.0.0.1:0\"\n",
             steps: &["[daemon] Starting.", "Listening."],
-            hangup: Hangup::Stops,
+            hangup: HangupEffect::Stops,
         })
         .await;
     }
     all_roles_in_one_process_that_is_signalled_as_it_starts_stop_as_planned => {
-        keeps_signals(Role {
+        check_signals_during_start(Role {
             name: "local",
             section: "[entry]\ncallers_listen = \"127.0.0.1:0\"\n[sidecar]\nendpoint_address = \"127.0.0.1:1\"\npool = \"forecast\"\n",
             steps: &["[daemon] Starting.", "[admin] Listening.", "[control] Listening."],
-            hangup: Hangup::Stops,
+            hangup: HangupEffect::Stops,
         })
         .await;
     }
--- a/crates/daemon/tests/processes/whole_path.rs
+++ b/crates/daemon/tests/processes/whole_path.rs
@@ -1,4 +1,4 @@
-//! The whole path with every role as a process of its own.
+//! Tests of the whole request path, with every role in a process of its own.
 
 use futures::future::join_all;
 use hinge_cases::async_cases;
@@ -7,10 +7,10 @@
 use crate::caller::{Caller, read_to_end};
 use crate::fleet::Fleet;
 
-/// Slow enough that a stop falls into the middle of the answers.
+/// Slow enough that the stop comes while answers are still streamed.
 const TOKENS_PER_SECOND: u32 = 40;
 
-fn slow() -> StandInSettings {
+fn slow_endpoint() -> StandInSettings {
     StandInSettings {
         tokens_per_second: TOKENS_PER_SECOND,
         ..StandInSettings::default()
@@ -37,8 +37,8 @@
     a_planned_stop_of_an_entry_or_a_sidecar_cuts_nothing => {
         let fleet = Fleet::new(1);
         let _control = fleet.start_control();
-        let stand_in = fleet.stand_in(slow()).await;
-        // A sidecar that kept a whole answer for a resume would not stop in time.
+        let stand_in = fleet.stand_in(slow_endpoint()).await;
+        // With this window, a sidecar that kept a completed answer for a resume would not stop in time.
         let window = "resume_window_ms = 120000";
         let mut first = fleet.start_sidecar_with("sidecar-1", "forecast", stand_in.local_address(), window);
         let mut second = fleet.start_sidecar("sidecar-2", "forecast", stand_in.local_address());
