--- a/crates/ctl/src/logs.rs
+++ b/crates/ctl/src/logs.rs
@@ -64,7 +64,7 @@
 fn read_line(process: &str, text: &str) -> Option<Logged> {
     let mut start = 0;
     loop {
-        if let Some(line) = Line::read(&text[start..]) {
+        if let Some(line) = Line::parse(&text[start..]) {
             let before = text[..start].trim();
             let process = if before.is_empty() { process } else { before };
             let level_at = start + line.time.len() + 1;
--- a/crates/ctl/src/story.rs
+++ b/crates/ctl/src/story.rs
@@ -183,7 +183,7 @@
         }
     }
     let from = earlier(&first.line.time, BEFORE);
-    for read in all.iter().filter(|read| &*read.line.part != ADMIN) {
+    for read in all.iter().filter(|read| &*read.line.component != ADMIN) {
         let is_in_time = *from <= *read.line.time && read.line.time <= last.line.time;
         let count = read.line.get("count").unwrap_or("some");
         let process = &read.process;
--- a/crates/telemetry/src/admin.rs
+++ b/crates/telemetry/src/admin.rs
@@ -1,4 +1,4 @@
-//! Serves `/metrics`, `/healthz`, `/readyz` and `/status` of one process.
+//! The admin server of a process: `/metrics`, `/healthz`, `/readyz` and `/status`.
 
 use std::fmt::{self, Debug};
 use std::io;
@@ -16,22 +16,24 @@
 use crate::metrics::Registry;
 use crate::readiness::Readiness;
 
-/// Longest head of a request, in bytes: a scraper's head is under 1 KiB.
+/// Size of the longest accepted request head; a scraper's head is under 1 KiB.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// Most headers of a request; hyper answers 431 above it.
+/// Most headers that a request may have; hyper answers 431 to more.
 const MAX_HEADERS: usize = 64;
 
-/// Longest time for a whole head, also between two requests on one connection: a slow sender may not hold a socket for ever.
+/// Timeout for receiving a whole head, which also limits the idle time between two requests on a connection.
+///
+/// Without it, a slow sender could hold a socket for ever.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Longest wait for running answers at the end; a metrics page takes milliseconds.
+/// Limit on the wait for unfinished responses during a stop; a metrics page takes milliseconds.
 const STOP_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Gives the value that `/status` shows.
+/// A function that returns the value of `status` in the `/status` page.
 pub type StatusSource = Arc<dyn Fn() -> serde_json::Value + Send + Sync>;
 
-/// Holds a running admin server.
+/// A running admin server.
 pub struct Admin {
     address: SocketAddr,
     stop: CancellationToken,
@@ -47,7 +49,7 @@
 }
 
 impl Admin {
-    /// Binds the address and serves from now on; `/status` shows the readiness alone.
+    /// Binds the address and starts to serve; `/status` shows only the readiness.
     ///
     /// # Errors
     ///
@@ -61,7 +63,7 @@
         Self::bind_with_status(address, metrics, readiness, status).await
     }
 
-    /// Binds the address and serves from now on; `/status` shows the value of `status` beside the readiness.
+    /// Binds the address and starts to serve; `/status` shows the readiness and the value of `status`.
     ///
     /// # Errors
     ///
@@ -76,7 +78,7 @@
         let address = listener.local_addr()?;
         let stop = CancellationToken::new();
         let router = routes(metrics, readiness, status);
-        let server = viz::Server::with_builder(listener, router, connections())
+        let server = viz::Server::with_builder(listener, router, connection_builder())
             .signal(stop.clone().cancelled_owned());
         let task = tokio::spawn(server.into_future());
         Ok(Self {
@@ -86,13 +88,13 @@
         })
     }
 
-    /// Returns the address in use, with the port that the system chose for port 0.
+    /// Returns the bound address, with the port that the system assigned for port 0.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops taking connections and lets running answers end, within a second.
+    /// Stops accepting connections, and gives unfinished responses a second to end.
     pub async fn stop(mut self) {
         self.stop.cancel();
         if tokio::time::timeout(STOP_TIMEOUT, &mut self.task)
@@ -110,9 +112,9 @@
     }
 }
 
-// HTTP/1 alone: the scrapers and balancers that ask here need no other, and one protocol has one set of bounds. No handler
-// reads a body, so hyper closes a connection whose body does not end at once.
-fn connections() -> Builder<TokioExecutor> {
+// HTTP/1 only: scrapers and load balancers need no other protocol, and one protocol needs one set of limits. No handler reads
+// a body, so hyper closes a connection whose body does not end at once.
+fn connection_builder() -> Builder<TokioExecutor> {
     let mut builder = Builder::new(TokioExecutor::new()).http1_only();
     builder
         .http1()
@@ -145,7 +147,7 @@
 
 fn metrics_page(metrics: &Registry) -> Response {
     match metrics.page() {
-        Ok(page) => with_type(
+        Ok(page) => with_content_type(
             "application/openmetrics-text; version=1.0.0; charset=utf-8",
             page,
         ),
@@ -158,23 +160,23 @@
     if reasons.is_empty() {
         return "ready\n".into_response();
     }
-    let words: Vec<_> = reasons.iter().map(|reason| reason.as_str()).collect();
-    let text = format!("not ready: {}\n", words.join(", "));
+    let reason_texts: Vec<_> = reasons.iter().map(|reason| reason.as_str()).collect();
+    let text = format!("not ready: {}\n", reason_texts.join(", "));
     (StatusCode::SERVICE_UNAVAILABLE, text).into_response()
 }
 
 fn status_page(readiness: &Readiness, status: &StatusSource) -> Response {
     let reasons = readiness.reasons();
-    let words: Vec<_> = reasons.iter().map(|reason| reason.as_str()).collect();
+    let reason_texts: Vec<_> = reasons.iter().map(|reason| reason.as_str()).collect();
     let page = serde_json::json!({
-        "ready": words.is_empty(),
-        "not_ready": words,
+        "ready": reason_texts.is_empty(),
+        "not_ready": reason_texts,
         "status": status(),
     });
-    with_type("application/json", page.to_string())
+    with_content_type("application/json", page.to_string())
 }
 
-fn with_type(content_type: &'static str, body: String) -> Response {
+fn with_content_type(content_type: &'static str, body: String) -> Response {
     let mut response = body.into_response();
     let value = viz::header::HeaderValue::from_static(content_type);
     response
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,8 +1,8 @@
-//! Provides the logs, the metrics page, and the health and readiness paths of every role.
+//! Logging, metrics, and the admin server with its health and readiness paths, for every role.
 
 pub mod admin;
-pub mod lines;
 pub mod log;
 pub mod metrics;
 pub mod parse;
 pub mod readiness;
+pub mod writer;
--- a/crates/telemetry/src/log.rs
+++ b/crates/telemetry/src/log.rs
@@ -1,4 +1,4 @@
-//! Writes log records: one line each, a fixed prefix for each part, a short sentence, then `key=value` pairs.
+//! The log: one line for each record, with the component in brackets, a short sentence and `key=value` pairs.
 //!
 //! ```
 //! use hinge_telemetry::log::{self, Level, Part};
@@ -17,15 +17,15 @@
 use spdlog::sink::WriteSink;
 use spdlog::{LevelFilter, Logger, Record, StringBuf};
 
-use crate::lines::{Lines, Weight};
+use crate::writer::{LineWriter, Priority};
 
-/// Longest text of one value, in bytes; what a caller sends may not fill the log.
+/// Length above which a value is cut, so that a caller's text can't flood the log.
 const MAX_VALUE_BYTES: usize = 512;
 
-/// Lines of this process; the logging library holds its logger in the same way, for the whole process.
-static LINES: OnceLock<Lines> = OnceLock::new();
+/// The writer of this process's log; the logging library has one global logger for each process as well.
+static LOG_WRITER: OnceLock<LineWriter> = OnceLock::new();
 
-/// Names the part of the program that writes a record.
+/// The component that writes a record.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Part {
     /// The admin server.
@@ -36,13 +36,13 @@
     Config,
     /// The control role.
     Control,
-    /// The daemon around the roles.
+    /// The process that runs a role.
     Daemon,
     /// The entry role.
     Entry,
     /// The gateway role.
     Gateway,
-    /// The links between processes.
+    /// The connections between processes.
     Link,
     /// The replicated log.
     Raft,
@@ -52,12 +52,12 @@
     Sidecar,
     /// The stand-in endpoint.
     StandIn,
-    /// The data folder.
+    /// The data folder of a control instance.
     Store,
 }
 
 impl Part {
-    /// Returns the fixed prefix, without its brackets.
+    /// Returns the name that a line shows in brackets.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -78,18 +78,18 @@
     }
 }
 
-/// Says how much a record matters.
+/// The severity of a record.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Level {
-    /// An operator must act.
+    /// A failure that an operator must act on.
     Error,
-    /// Something failed, and the fleet copes.
+    /// A failure that the fleet handles by itself.
     Warn,
     /// A change of state that an operator expects to see.
     Info,
-    /// Detail for a developer.
+    /// Details for developers.
     Debug,
-    /// Every step.
+    /// Every single step.
     Trace,
 }
 
@@ -106,9 +106,9 @@
         }
     }
 
-    /// Returns the level of a name.
+    /// Returns the level with a name, if there is one.
     #[must_use]
-    pub fn named(name: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         let levels = [
             Self::Error,
             Self::Warn,
@@ -142,43 +142,43 @@
     }
 }
 
-/// Holds a key and a value of a record.
+/// A key and a value of a record.
 pub type Pair<'a> = (&'static str, &'a dyn Display);
 
-/// Sends records of this level and above to standard output from now on.
+/// Starts to write records of this level and of higher severity to standard output.
 ///
 /// # Panics
 ///
-/// Panics when the system gives no thread, or the library refuses a sink, which it does for no setting used here.
+/// Panics when the system can't start a thread, or when the library rejects a sink, which the options used here never cause.
 pub fn start(level: Level) {
-    let lines = LINES.get_or_init(|| Lines::spawn(io::stdout()));
-    let sink = |weight, levels| {
+    let writer = LOG_WRITER.get_or_init(|| LineWriter::spawn(io::stdout()));
+    let sink = |priority, levels| {
         let sink = WriteSink::builder()
-            .target(lines.intake(weight))
+            .target(writer.sink(priority))
             .level_filter(levels)
-            .formatter(LineFormatter)
+            .formatter(RecordFormatter)
             .build_arc();
-        sink.expect("a sink with a target needs nothing that can fail")
+        sink.expect("a sink with a target is always valid")
     };
     let failures = LevelFilter::MoreSevereEqual(spdlog::Level::Warn);
     let ordinary = LevelFilter::MoreVerbose(spdlog::Level::Warn);
     let logger = Logger::builder()
-        .sink(sink(Weight::Failure, failures))
-        .sink(sink(Weight::Ordinary, ordinary))
+        .sink(sink(Priority::Failure, failures))
+        .sink(sink(Priority::Ordinary, ordinary))
         .level_filter(LevelFilter::MoreSevereEqual(level.inner()))
         .build_arc()
-        .expect("a logger without a name can't be refused");
+        .expect("a logger without a name is always valid");
     spdlog::set_default_logger(logger);
 }
 
-/// Writes the lines that are still kept; a process calls it before it exits.
+/// Writes the lines that are still buffered; a process calls it before it exits.
 pub fn finish() {
-    if let Some(lines) = LINES.get() {
-        lines.finish();
+    if let Some(writer) = LOG_WRITER.get() {
+        writer.finish();
     }
 }
 
-/// Returns the line that tells how many lines were dropped.
+/// Returns a line with the number of dropped lines.
 pub(crate) fn dropped_line(count: u64) -> String {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     let pairs: &[Pair<'_>] = &[("count", &count)];
@@ -191,7 +191,7 @@
     line(since_epoch.unwrap_or_default(), level, &text) + "\n"
 }
 
-/// Writes one record; the macros of this crate call it.
+/// Writes a record, on behalf of this crate's macros.
 pub fn write(part: Part, level: Level, sentence: &str, pairs: &[Pair<'_>]) {
     let logger: Arc<Logger> = spdlog::default_logger();
     if logger.should_log(level.inner()) {
@@ -200,7 +200,7 @@
     }
 }
 
-/// Returns one line without its time and level.
+/// Returns the text of a record without its time and level.
 #[must_use]
 pub fn body(part: Part, sentence: &str, pairs: &[Pair<'_>]) -> String {
     let mut text = String::with_capacity(64 + 24 * pairs.len());
@@ -208,21 +208,21 @@
     text.push_str(part.as_str());
     text.push_str("] ");
     escape(sentence, &mut text);
-    // One buffer for all values: a line has some twenty of them, and a small gateway writes hundreds of lines a second.
+    // One buffer is reused for all values: a line has about twenty, and a small gateway writes hundreds of lines a second.
     let mut plain = String::with_capacity(32);
     for (key, value) in pairs {
         text.push(' ');
         text.push_str(key);
         text.push('=');
         plain.clear();
-        // A string takes every write.
+        // Writing to a string never fails.
         let _written = write!(plain, "{value}");
         push_value(&plain, &mut text);
     }
     text
 }
 
-/// Returns one whole line, without its end, from the level's name and the text of [`body`].
+/// Returns a whole line, without a line end, from the name of its level and the text that [`body`] returned.
 #[must_use]
 pub fn line(since_epoch: Duration, level: &str, body: &str) -> String {
     format!("{} {level} {body}", rfc3339(since_epoch))
@@ -246,12 +246,12 @@
     }
 }
 
-// A caller's text may hold line ends or terminal sequences: written as they are, they would forge records. The characters that
-// change the direction of text are not control characters, and forge as well.
+// Escapes line ends and terminal sequences, because a caller's text could use them to forge records. Characters that change
+// the direction of text are not control characters, but can forge records too.
 fn escape(value: &str, text: &mut String) {
     for c in value.chars() {
-        let turns_text = matches!(c, '\u{2028}'..='\u{202e}' | '\u{2066}'..='\u{2069}');
-        if c.is_control() || turns_text || c == '\\' || c == '"' {
+        let changes_direction = matches!(c, '\u{2028}'..='\u{202e}' | '\u{2066}'..='\u{2069}');
+        if c.is_control() || changes_direction || c == '\\' || c == '"' {
             text.extend(c.escape_default());
         } else {
             text.push(c);
@@ -264,7 +264,7 @@
 pub fn rfc3339(since_epoch: Duration) -> String {
     let seconds = since_epoch.as_secs();
     let (days, second) = (seconds / 86_400, seconds % 86_400);
-    let (year, month, day) = civil(days);
+    let (year, month, day) = civil_date(days);
     format!(
         "{year:04}-{month:02}-{day:02}T{:02}:{:02}:{:02}.{:03}Z",
         second / 3_600,
@@ -274,8 +274,9 @@
     )
 }
 
-// Counts years from the first of March, so that the leap day ends a year; 400 years have 146,097 days.
-fn civil(days_since_1970: u64) -> (u64, u64, u64) {
+// Returns year, month and day. Years are counted from 1 March, so that a leap day is the last day of a year; 400 years have
+// 146,097 days.
+fn civil_date(days_since_1970: u64) -> (u64, u64, u64) {
     let days = days_since_1970 + 719_468;
     let (era, day_of_era) = (days / 146_097, days % 146_097);
     let year_of_era =
@@ -293,9 +294,9 @@
 }
 
 #[derive(Clone)]
-struct LineFormatter;
+struct RecordFormatter;
 
-impl Formatter for LineFormatter {
+impl Formatter for RecordFormatter {
     fn format(
         &self,
         record: &Record<'_>,
@@ -311,7 +312,7 @@
     }
 }
 
-/// Writes a record at a given level; `error!`, `warn!`, `info!` and `debug!` are shorter.
+/// Writes a record at a given level; `error!`, `warn!`, `info!` and `debug!` are the short forms.
 #[macro_export]
 macro_rules! record {
     ($level:expr, $part:expr, $sentence:expr $(, $key:ident = $value:expr)* $(,)?) => {
@@ -325,7 +326,7 @@
     ($($all:tt)*) => { $crate::record!($crate::log::Level::Error, $($all)*) };
 }
 
-/// Writes a record of a failure that the fleet copes with.
+/// Writes a record of a failure that the fleet handles by itself.
 #[macro_export]
 macro_rules! warn {
     ($($all:tt)*) => { $crate::record!($crate::log::Level::Warn, $($all)*) };
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Registers metrics, and renders them as the text page.
+//! The registry of metrics, and their text format for scrapers.
 
 use std::collections::HashSet;
 use std::fmt::{self, Debug};
@@ -12,23 +12,23 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::{Metric, Registry as Inner};
 
-/// Starts the name of every metric of the fleet.
+/// Prefix of the name of every metric.
 const PREFIX: &str = "hinge";
 
-/// Upper bounds for waits and answers, in seconds.
+/// Upper bounds of the buckets for latencies, in seconds.
 ///
-/// The finest steps lie around the targets of 76 ms between tokens and 0.43 s to the first token, so that a quantile near a
-/// target is read off with an error of a third at most; the last step is beyond the usual deadline of two minutes.
+/// The buckets are narrowest around the targets of 76 ms between tokens and 0.43 s to the first token, so that a quantile
+/// near a target has an error of at most a third. The last bound exceeds the usual deadline of two minutes.
 pub const LATENCY_SECONDS: &[f64] = &[
     0.001, 0.005, 0.02, 0.05, 0.076, 0.1, 0.2, 0.3, 0.43, 0.6, 1.0, 2.0, 5.0, 15.0, 60.0, 180.0,
 ];
 
-/// Names what the label set of a family must be able to do.
+/// The traits that the label set of a family must implement.
 pub trait Labels: Clone + Debug + Eq + Hash + EncodeLabelSet + Send + Sync + 'static {}
 
 impl<T: Clone + Debug + Eq + Hash + EncodeLabelSet + Send + Sync + 'static> Labels for T {}
 
-/// Makes the histograms of one family, all with the same bounds.
+/// A constructor of the histograms of one family, all with the same upper bounds.
 #[derive(Clone, Copy, Debug)]
 pub struct Buckets(&'static [f64]);
 
@@ -38,49 +38,52 @@
     }
 }
 
-/// Holds a family of histograms, one for each label set.
+/// A family of histograms, one for each label set.
 pub type HistogramFamily<L> = Family<L, Histogram, Buckets>;
 
-/// Most teams that have a label of their own in one process; with 1,500 teams at each of 1,600 sidecars a page for all would
-/// be too long.
+/// Most teams with a label of their own in one process; a metrics page with 1,500 teams, at each of 1,600 sidecars, would be
+/// too long.
 const MAX_TEAM_LABELS: usize = 64;
 
-/// Label of the teams beyond the bound.
-const OTHER_TEAMS: &str = "other";
+/// Label under which all teams beyond the limit are counted.
+const OTHER_TEAMS_LABEL: &str = "other";
 
-/// Bounds the teams that have a label of their own: the first ones that are seen, for as long as the process runs.
+/// The teams with a label of their own: those seen first, up to a limit, for as long as the process runs.
 #[derive(Debug, Default)]
 pub struct TeamLabels {
-    labelled: RwLock<HashSet<Arc<str>>>,
+    labelled_teams: RwLock<HashSet<Arc<str>>>,
 }
 
 impl TeamLabels {
     /// Returns the label under which a team is counted.
     #[must_use]
     pub fn label(&self, team: &str) -> Arc<str> {
-        let labelled = self.labelled.read().unwrap_or_else(PoisonError::into_inner);
-        if let Some(label) = labelled.get(team) {
+        let labelled_teams = self
+            .labelled_teams
+            .read()
+            .unwrap_or_else(PoisonError::into_inner);
+        if let Some(label) = labelled_teams.get(team) {
             return Arc::clone(label);
         }
-        let is_full = labelled.len() >= MAX_TEAM_LABELS;
-        drop(labelled);
+        let is_full = labelled_teams.len() >= MAX_TEAM_LABELS;
+        drop(labelled_teams);
         if is_full {
-            return OTHER_TEAMS.into();
+            return OTHER_TEAMS_LABEL.into();
         }
-        let mut labelled = self
-            .labelled
+        let mut labelled_teams = self
+            .labelled_teams
             .write()
             .unwrap_or_else(PoisonError::into_inner);
-        if !labelled.contains(team) && labelled.len() >= MAX_TEAM_LABELS {
-            return OTHER_TEAMS.into();
+        if !labelled_teams.contains(team) && labelled_teams.len() >= MAX_TEAM_LABELS {
+            return OTHER_TEAMS_LABEL.into();
         }
         let label: Arc<str> = team.into();
-        labelled.insert(Arc::clone(&label));
+        labelled_teams.insert(Arc::clone(&label));
         label
     }
 }
 
-/// Names a process.
+/// The labels that identify a process.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, EncodeLabelSet)]
 struct ProcessLabels {
     incarnation: u64,
@@ -88,7 +91,7 @@
     version: &'static str,
 }
 
-/// Holds the metrics of one process.
+/// The metrics of one process.
 #[derive(Debug)]
 pub struct Registry {
     inner: Mutex<Inner>,
@@ -144,7 +147,7 @@
         self.register(name, help, Family::new_with_constructor(Buckets(bounds)))
     }
 
-    /// Registers a gauge of 1 that names this process; a restart shows as another incarnation.
+    /// Registers a gauge of constant 1 whose labels identify this process; a restart changes its incarnation.
     pub fn process_info(&self, incarnation: u64, role: &str, version: &'static str) {
         let info = self.gauges("process_info", "The process behind this page.");
         let labels = ProcessLabels {
@@ -155,11 +158,11 @@
         info.get_or_create(&labels).set(1);
     }
 
-    /// Returns the text page.
+    /// Returns the metrics page as text.
     ///
     /// # Errors
     ///
-    /// Returns an error when a metric or a label can't be written as text.
+    /// Returns an error when a metric or a label can't be encoded as text.
     pub fn page(&self) -> Result<String, fmt::Error> {
         let mut page = String::new();
         let inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
@@ -168,7 +171,7 @@
     }
 
     fn register<M: Metric + Clone>(&self, name: &str, help: &str, metric: M) -> M {
-        // The library adds the full stop itself.
+        // The library appends a full stop to the help text.
         let help = help.trim_end_matches('.');
         let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
         inner.register(name, help, metric.clone());
--- a/crates/telemetry/src/parse.rs
+++ b/crates/telemetry/src/parse.rs
@@ -1,36 +1,36 @@
-//! Reads the lines back that [`crate::log`] writes.
+//! A parser for the lines that [`crate::log`] writes.
 
 use crate::log::Level;
 
-/// Holds one line of a log, taken apart.
+/// A parsed log line.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Line {
-    /// Time as it was written; such times order like their text.
+    /// Time as text; the text sorts in the order of time.
     pub time: Box<str>,
-    /// Level.
+    /// Severity.
     pub level: Level,
-    /// Part of the program, without its brackets.
-    pub part: Box<str>,
+    /// Component that wrote the line, without its brackets.
+    pub component: Box<str>,
     /// Sentence, with its full stop.
     pub sentence: Box<str>,
-    /// Keys and values, in their order.
+    /// Keys and values, in the order in which they were written.
     pub pairs: Vec<(Box<str>, Box<str>)>,
 }
 
 impl Line {
-    /// Takes a line apart; none when it was not written by a process of the fleet.
+    /// Parses a line; returns none for a line that no process of the fleet wrote.
     #[must_use]
-    pub fn read(text: &str) -> Option<Self> {
+    pub fn parse(text: &str) -> Option<Self> {
         let (time, rest) = text.trim_end().split_once(' ')?;
         let (level, rest) = rest.split_once(" [")?;
-        let (part, rest) = rest.split_once("] ")?;
+        let (component, rest) = rest.split_once("] ")?;
         let (sentence, pairs) = split_sentence(rest);
         Some(Self {
             time: time.into(),
-            level: Level::named(level)?,
-            part: part.into(),
+            level: Level::from_name(level)?,
+            component: component.into(),
             sentence: unescape(sentence),
-            pairs: read_pairs(pairs)?,
+            pairs: parse_pairs(pairs)?,
         })
     }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// Splits the sentence from the first pair: a word with an equals sign, which no sentence has.
+/// Splits a text before its first pair, which begins with the only word that has an equals sign; no sentence contains one.
 fn split_sentence(text: &str) -> (&str, &str) {
     let Some(equals) = text.find('=') else {
         return (text, "");
@@ -55,7 +55,7 @@
     }
 }
 
-fn read_pairs(mut text: &str) -> Option<Vec<(Box<str>, Box<str>)>> {
+fn parse_pairs(mut text: &str) -> Option<Vec<(Box<str>, Box<str>)>> {
     let mut pairs = Vec::new();
     while !text.is_empty() {
         let (key, rest) = text.split_once('=')?;
@@ -66,24 +66,24 @@
     Some(pairs)
 }
 
-/// Splits a value, quoted or not, from what follows it.
+/// Splits a value, quoted or not, from the rest of the text.
 fn split_value(text: &str) -> Option<(&str, &str)> {
     let Some(quoted) = text.strip_prefix('"') else {
         return Some(text.split_once(' ').unwrap_or((text, "")));
     };
     let mut is_escaped = false;
-    for (place, c) in quoted.char_indices() {
+    for (offset, c) in quoted.char_indices() {
         match c {
             _ if is_escaped => is_escaped = false,
             '\\' => is_escaped = true,
-            '"' => return Some((&quoted[..place], &quoted[place + 1..])),
+            '"' => return Some((&quoted[..offset], &quoted[offset + 1..])),
             _ => {}
         }
     }
     None
 }
 
-/// Undoes the escapes of characters that would forge a line; what is no escape stays as it is.
+/// Replaces the escape sequences of [`crate::log`] by their characters.
 fn unescape(text: &str) -> Box<str> {
     let mut plain = String::with_capacity(text.len());
     let mut rest = text;
@@ -97,9 +97,9 @@
     plain.into()
 }
 
-/// Reads one escape, behind its backslash, and returns it with what follows.
+/// Parses the escape sequence after a backslash, and returns its character with the rest of the text.
 fn unescape_first(text: &str) -> (char, &str) {
-    if let Some((c, after)) = unescape_number(text) {
+    if let Some((c, after)) = unescape_code_point(text) {
         return (c, after);
     }
     let mut chars = text.chars();
@@ -113,8 +113,8 @@
     (c, chars.as_str())
 }
 
-/// Reads the number of a character, written as `u{1b}`.
-fn unescape_number(text: &str) -> Option<(char, &str)> {
+/// Parses the code point of a character, written as `u{1b}`.
+fn unescape_code_point(text: &str) -> Option<(char, &str)> {
     let (digits, after) = text.strip_prefix("u{")?.split_once('}')?;
     let number = u32::from_str_radix(digits, 16).ok()?;
     Some((char::from_u32(number)?, after))
--- a/crates/telemetry/src/readiness.rs
+++ b/crates/telemetry/src/readiness.rs
@@ -1,17 +1,17 @@
-//! Holds the reasons why a process may not take work yet.
+//! Whether a process is ready for work, and the reasons why it is not.
 
 use std::sync::atomic::{AtomicU8, Ordering};
 
-/// Names a reason why a process is not ready.
+/// A reason why a process is not ready.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Reason {
     /// The process has not bound its addresses yet.
     Starting,
-    /// The process holds no current configuration yet.
+    /// The process has no current configuration yet.
     NoConfig,
     /// The process has not learnt the members of its pools yet.
     NoMembers,
-    /// The process holds no lease from control.
+    /// The process has no lease from control.
     NoLease,
     /// The endpoint does not answer.
     EndpointDown,
@@ -19,7 +19,7 @@
     NoQuorum,
     /// The process is in a planned stop.
     Leaving,
-    /// The process has as much work as it can bear.
+    /// The process is at its capacity.
     Full,
 }
 
@@ -56,14 +56,14 @@
     }
 }
 
-/// Holds whether a process is ready, as one atomic set of reasons against it.
+/// The readiness of a process, as an atomic set of the reasons why it is not ready.
 #[derive(Debug)]
 pub struct Readiness {
     bits: AtomicU8,
 }
 
 impl Readiness {
-    /// Returns a readiness with the given reasons against it.
+    /// Returns a readiness with the given reasons set.
     #[must_use]
     pub fn new(reasons: &[Reason]) -> Self {
         let bits = reasons.iter().fold(0, |bits, reason| bits | reason.bit());
@@ -77,12 +77,12 @@
         self.bits.fetch_or(reason.bit(), Ordering::AcqRel);
     }
 
-    /// Takes a reason away.
+    /// Removes a reason.
     pub fn clear(&self, reason: Reason) {
         self.bits.fetch_and(!reason.bit(), Ordering::AcqRel);
     }
 
-    /// Adds the reason when `holds`, and takes it away otherwise.
+    /// Adds the reason when `holds` is true, and removes it otherwise.
     pub fn update(&self, reason: Reason, holds: bool) {
         if holds {
             self.set(reason);
@@ -91,13 +91,13 @@
         }
     }
 
-    /// Returns whether no reason is left.
+    /// Returns whether no reason is set.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.bits.load(Ordering::Acquire) == 0
     }
 
-    /// Returns the reasons that hold now, read at one moment.
+    /// Returns the reasons that are set, from one atomic read.
     #[must_use]
     pub fn reasons(&self) -> Vec<Reason> {
         let bits = self.bits.load(Ordering::Acquire);
--- a/crates/telemetry/tests/admin.rs
+++ b/crates/telemetry/tests/admin.rs
@@ -1,4 +1,4 @@
-//! Checks the pages of the admin server, and that slow or long senders are cut off.
+//! Tests of the admin server's pages, and of its limits on slow senders and long requests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,13 +18,13 @@
         .expect("a free port can be bound")
 }
 
-// Sends the text and returns what comes until the server closes.
+// Sends the text, and returns what the server sends until it closes the connection.
 async fn send(admin: &Admin, text: &str) -> String {
     let mut stream = TcpStream::connect(admin.address())
         .await
         .expect("the admin server listens");
     let mut answer = Vec::new();
-    // The server may close before it has read all, which is what some cases ask for.
+    // Errors are ignored: in some cases the server closes the connection before it has read everything.
     let _ = stream.write_all(text.as_bytes()).await;
     let _ = stream.read_to_end(&mut answer).await;
     String::from_utf8(answer).expect("answers are text")
@@ -36,7 +36,7 @@
 }
 
 async_cases! {
-    a_process_with_a_reason_is_alive_but_not_ready => {
+    a_process_that_is_not_ready_is_still_alive => {
         let readiness = Arc::new(Readiness::new(&[Reason::NoConfig, Reason::NoLease]));
         let admin = start(&readiness, &Arc::default()).await;
         assert!(get(&admin, "/healthz").await.starts_with("HTTP/1.1 200"));
@@ -51,7 +51,7 @@
         assert!(get(&admin, "/status").await.ends_with(r#"{"not_ready":["leaving"],"ready":false,"status":null}"#));
         admin.stop().await;
     }
-    the_page_shows_every_kind_of_metric => {
+    the_metrics_page_shows_every_type_of_metric => {
         let metrics = Arc::new(Registry::new());
         metrics.counter("refused", "Refused requests.").inc_by(3);
         metrics.gauge("waiting", "Waiting requests.").set(4);
@@ -70,13 +70,13 @@
             assert!(page.contains(line), "{line} is not in {page}");
         }
     }
-    the_page_names_its_process => {
+    the_metrics_page_identifies_its_process => {
         let metrics = Registry::new();
         metrics.process_info(7, "entry", "1.2.3");
         let page = metrics.page().expect("the page can be written");
         assert!(page.contains("hinge_process_info{incarnation=\"7\",role=\"entry\",version=\"1.2.3\"} 1"), "{page}");
     }
-    the_labels_of_teams_are_bounded_and_stay => {
+    team_labels_are_limited_and_stable => {
         let labels = TeamLabels::default();
         let names = (0..100).map(|number| format!("team-{number}")).collect::<Vec<_>>();
         for _ in 0..2 {
@@ -85,25 +85,25 @@
             assert_eq!(&*labels.label("team-99"), "other");
         }
     }
-    a_sender_that_never_ends_its_head_is_cut_off => {
+    a_connection_whose_head_never_ends_is_closed => {
         let admin = start(&Arc::new(Readiness::new(&[])), &Arc::default()).await;
         let start = Instant::now();
         send(&admin, "GET /healthz HTTP/1.1\r\nhost:").await;
         assert!(start.elapsed() < Duration::from_secs(20), "on virtual time, only the timeout passes");
     }
-    a_connection_that_stays_idle_is_cut_off => {
+    an_idle_connection_is_closed => {
         let admin = start(&Arc::new(Readiness::new(&[])), &Arc::default()).await;
         let answer = send(&admin, "GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n").await;
         assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     }
-    a_long_head_is_refused => {
+    a_head_that_is_too_long_is_rejected => {
         let admin = start(&Arc::new(Readiness::new(&[])), &Arc::default()).await;
         let head = format!("GET /healthz HTTP/1.1\r\nhost: a\r\nlong: {}\r\n\r\n", "x".repeat(17_000));
         let answer = send(&admin, &head).await;
-        // The answer is 431, unless the server's close overtakes it because unread bytes are left.
+        // The answer is 431, unless the connection is reset first because the server closed it with unread bytes.
         assert!(!answer.contains("200 OK"), "{answer}");
     }
-    a_body_that_never_ends_is_cut_off => {
+    a_connection_whose_body_never_ends_is_closed => {
         let admin = start(&Arc::new(Readiness::new(&[])), &Arc::default()).await;
         let head = "GET /healthz HTTP/1.1\r\nhost: a\r\ncontent-length: 1000000000\r\n\r\nx";
         let answer = send(&admin, head).await;
--- a/crates/telemetry/tests/parse.rs
+++ b/crates/telemetry/tests/parse.rs
@@ -1,4 +1,4 @@
-//! Checks that lines are read back as they were written.
+//! Tests that lines are parsed as they were written.
 
 use std::fmt::Display;
 use std::time::Duration;
@@ -8,31 +8,31 @@
 use hinge_telemetry::parse::Line;
 use quickcheck::quickcheck;
 
-fn is_read_back(value: &str) -> bool {
+fn round_trips(value: &str) -> bool {
     let pairs: [(&'static str, &dyn Display); 2] = [("id", &value), ("ms", &12)];
     let text = line(
         Duration::ZERO,
         "warn",
         &body(Part::Gateway, "Request.", &pairs),
     );
-    let read = Line::read(&text).expect("it was written by this crate");
+    let parsed = Line::parse(&text).expect("it was written by this crate");
     let is_whole = value.len() <= 512;
-    read.level == Level::Warn
-        && &*read.part == "gateway"
-        && &*read.sentence == "Request."
-        && (!is_whole || read.get("id") == Some(value))
-        && read.get("ms") == Some("12")
+    parsed.level == Level::Warn
+        && &*parsed.component == "gateway"
+        && &*parsed.sentence == "Request."
+        && (!is_whole || parsed.get("id") == Some(value))
+        && parsed.get("ms") == Some("12")
 }
 
-fn reads_back(value: &str) {
-    assert!(is_read_back(value), "{value:?}");
+fn assert_round_trip(value: &str) {
+    assert!(round_trips(value), "{value:?}");
 }
 
-fn is_no_line(text: &str) {
-    assert_eq!(Line::read(text), None);
+fn assert_no_line(text: &str) {
+    assert_eq!(Line::parse(text), None);
 }
 
-cases! { reads_back:
+cases! { assert_round_trip:
     a_plain_value => "4e10f670df98758e",
     an_empty_value => "",
     a_value_with_spaces => "the admission refused",
@@ -43,24 +43,24 @@
     a_value_with_a_terminal_sequence => "\u{1b}[31m",
 }
 
-cases! { is_no_line:
+cases! { assert_no_line:
     nothing => "",
     text_of_another_program => "thread 'main' panicked at src/main.rs",
     an_unknown_level => "1970-01-01T00:00:00.000Z loud [gateway] Request. id=1",
-    an_open_quote => "1970-01-01T00:00:00.000Z info [gateway] Request. id=\"1",
+    an_unterminated_quote => "1970-01-01T00:00:00.000Z info [gateway] Request. id=\"1",
 }
 
 cases! {
     a_sentence_alone_has_no_pairs => {
         let text = "1970-01-01T00:00:00.000Z info [raft] Leading now.";
-        let read = Line::read(text).expect("it is a line");
-        assert_eq!(&*read.sentence, "Leading now.");
-        assert!(read.pairs.is_empty());
+        let parsed = Line::parse(text).expect("it is a line");
+        assert_eq!(&*parsed.sentence, "Leading now.");
+        assert!(parsed.pairs.is_empty());
     }
 }
 
 quickcheck! {
-    fn any_value_is_read_back(value: String) -> bool {
-        is_read_back(&value)
+    fn any_value_round_trips(value: String) -> bool {
+        round_trips(&value)
     }
 }
