--- a/crates/admission/src/server.rs
+++ b/crates/admission/src/server.rs
@@ -9,7 +9,7 @@
 use hinge_link::{ClusterKey, FrameReader, FrameSender, Limits, ServerHandle, exchange};
 use hinge_schema::routing::{AskLoad, EngineLoad, TeamUse};
 use hinge_telemetry::info;
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use hinge_telemetry::metrics::Registry;
 use prometheus_client::metrics::counter::Counter;
 use tokio::sync::watch;
@@ -183,7 +183,7 @@
             tasks.push(tokio::spawn(polling));
         }
         info!(
-            Part::Admission,
+            Component::Admission,
             "Listening.",
             address = handle.local_address()
         );
@@ -266,7 +266,7 @@
         };
         if engine_state != previous_state {
             info!(
-                Part::Admission,
+                Component::Admission,
                 "The engine's answers have changed.",
                 engine = engine_state,
                 before = previous_state
@@ -293,7 +293,7 @@
         )
     };
     info!(
-        Part::Admission,
+        Component::Admission,
         "Engine.",
         active = report.active,
         queued = report.queued,
--- a/crates/admission/src/session.rs
+++ b/crates/admission/src/session.rs
@@ -9,7 +9,7 @@
     AdmitAsk, AdmitLost, AdmitVerdict, AskNumber, EngineLoad, FromAdmission, ToAdmission,
 };
 use hinge_telemetry::info;
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use tokio::sync::mpsc;
 use viz::Body;
 
@@ -102,7 +102,7 @@
             }
             SlotEvent::Lost(missing_for) => {
                 info!(
-                    Part::Admission,
+                    Component::Admission,
                     "The engine does not run a request any more.",
                     id = request.request_id,
                     missing_ms = missing_for.as_millis()
@@ -184,7 +184,7 @@
             ahead_tokens,
             ..
         } => info!(
-            Part::Admission,
+            Component::Admission,
             "Granted.",
             id = request.request_id,
             team = request.team,
@@ -201,7 +201,7 @@
             cause,
             ..
         } => info!(
-            Part::Admission,
+            Component::Admission,
             "Refused.",
             id = request.request_id,
             cause = match cause {
--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -6,7 +6,7 @@
 
 use hinge_link::{ClusterKey, Limits, Server, ServerHandle};
 use hinge_state::Command;
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use hinge_telemetry::metrics::Registry;
 use hinge_telemetry::{info, warn};
 use tokio::runtime::Handle;
@@ -275,9 +275,9 @@
 fn log_stall(core: &Core, is_stalled: bool) {
     if is_stalled {
         let age_ms = core.driver.age().as_millis();
-        warn!(Part::Control, "The log has stalled.", age_ms = age_ms);
+        warn!(Component::Control, "The log has stalled.", age_ms = age_ms);
     } else {
-        info!(Part::Control, "The log goes on.");
+        info!(Component::Control, "The log goes on.");
     }
 }
 
--- a/crates/control/src/driver/diskless.rs
+++ b/crates/control/src/driver/diskless.rs
@@ -9,7 +9,7 @@
 use hinge_raft::{MembershipChange, NodeId, Role};
 use hinge_state::Command;
 use hinge_telemetry::info;
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 
 use super::thread::LogThread;
 use super::votes::{VoterDisks, may_acknowledge, should_remove_diskless_voters};
@@ -82,7 +82,7 @@
                 .is_ok()
             {
                 info!(
-                    Part::Control,
+                    Component::Control,
                     "An instance without a disk gives up its vote.",
                     node = other,
                     voters_with_disk = disks.with
@@ -96,7 +96,7 @@
         });
         if let Some(successor) = successor {
             info!(
-                Part::Control,
+                Component::Control,
                 "Handing leadership over to an instance with a disk.",
                 successor = successor
             );
--- a/crates/control/src/driver/joining.rs
+++ b/crates/control/src/driver/joining.rs
@@ -7,7 +7,7 @@
 use hinge_state::{Command, ControlName};
 
 use hinge_telemetry::info;
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 
 use super::LogError;
 use super::diskless::is_being_founded;
@@ -89,7 +89,7 @@
             }
             Promotion::Replace(gone) => {
                 info!(
-                    Part::Control,
+                    Component::Control,
                     "Replacing a silent instance.",
                     gone = gone,
                     by = join.node_id,
--- a/crates/control/src/driver/thread.rs
+++ b/crates/control/src/driver/thread.rs
@@ -11,7 +11,7 @@
     DropReason, EntryKind, Index, Membership, Message, Node, NodeId, Output, ReadId, Role, Term,
 };
 use hinge_state::{Command, ControlName, State};
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use hinge_telemetry::{error, info};
 use tokio::sync::watch;
 
@@ -69,7 +69,7 @@
         self.log = Log::Memory;
         if let Some(failure) = &failure {
             error!(
-                Part::Control,
+                Component::Control,
                 "The log has failed; the process must stop.",
                 cause = failure
             );
@@ -292,7 +292,7 @@
         self.logged_membership = members.clone();
         let members = &self.logged_membership;
         info!(
-            Part::Control,
+            Component::Control,
             "The members of the log have changed.",
             voters = members.voters.len(),
             quorum = members.quorum(),
@@ -345,7 +345,7 @@
         let is_leader = status.role == Role::Leader;
         let previous = self.node_status.borrow().clone();
         if is_leader && !(previous.is_leader && previous.term == status.term) {
-            info!(Part::Control, "Leading.", term = status.term);
+            info!(Component::Control, "Leading.", term = status.term);
             self.open_term();
         }
         NodeStatus {
@@ -397,7 +397,7 @@
         self.stop_until = Some(now + 2 * self.election_timeout);
         if let Some(successor) = self.node.successor() {
             info!(
-                Part::Control,
+                Component::Control,
                 "Handing leadership over.",
                 successor = successor
             );
--- a/crates/control/src/join.rs
+++ b/crates/control/src/join.rs
@@ -5,7 +5,7 @@
 
 use hinge_schema::messages::{AskFounded, Founded, JoinControl, JoinedControl};
 use hinge_telemetry::info;
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use tokio::time::sleep;
 
 use crate::core::{Core, Leadership};
@@ -64,7 +64,7 @@
             } else {
                 "Not counting for the quorum any more."
             };
-            info!(Part::Control, state, node = join.node_id);
+            info!(Component::Control, state, node = join.node_id);
         }
         let is_follower = core.settings.is_diskless() && core.leadership() != Leadership::Unknown;
         let is_settled = is_voter || is_follower;
--- a/crates/control/src/relay.rs
+++ b/crates/control/src/relay.rs
@@ -14,7 +14,7 @@
 use hinge_link::{ClusterKey, Limits, Server, ServerHandle};
 use hinge_schema::messages::{Announce, AnnouncedBatch, Role, ServiceTotals, Update, Watch};
 use hinge_state::roster::Adopted;
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use hinge_telemetry::{error, warn};
 use http::StatusCode;
 use serde::Serialize;
@@ -243,7 +243,7 @@
         Applied::Invalid(problems) => {
             let first = problems.first().map(hinge_config::describe);
             error!(
-                Part::Relay,
+                Component::Relay,
                 "The configuration from control is not valid for this version; keeping the last valid one.",
                 version = delta.version,
                 problem = first.unwrap_or_default(),
@@ -281,7 +281,7 @@
         }
         if is_control_reachable && result.is_err() {
             warn!(
-                Part::Relay,
+                Component::Relay,
                 "Control can't be reached; serving the last known state.",
                 version = core.held.version()
             );
--- a/crates/control/src/routing_calls.rs
+++ b/crates/control/src/routing_calls.rs
@@ -13,7 +13,7 @@
     ReportEndpoint, RetireEndpoint, RouteTable, RoutesUpdate, SuspectList, TableHeld, WatchRoutes,
 };
 use hinge_state::{Command, EndpointCommand, Incarnation, Reply, Routing};
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use hinge_telemetry::{info, warn};
 use http::StatusCode;
 use tokio::time::{Instant, timeout_at};
@@ -126,7 +126,7 @@
         let count = core.soft().refused_reports.note(now);
         if let Some(count) = count {
             warn!(
-                Part::Control,
+                Component::Control,
                 "Refused a report.",
                 endpoint = endpoint,
                 cause = cause,
@@ -179,7 +179,7 @@
     match core.propose(command).await {
         Ok(Reply::TableNumber(number)) => {
             info!(
-                Part::Control,
+                Component::Control,
                 "Took a route table.",
                 number = asked,
                 in_force = number
@@ -189,7 +189,7 @@
         Ok(_other) => Err(StatusCode::INTERNAL_SERVER_ERROR),
         Err(refused) => {
             info!(
-                Part::Control,
+                Component::Control,
                 "Could not take a route table.",
                 number = asked,
                 cause = refused
@@ -237,7 +237,7 @@
     }
     if routing.is_news(&endpoint) {
         info!(
-            Part::Control,
+            Component::Control,
             "An endpoint reports news.",
             endpoint = endpoint.id,
             born_unix_ms = endpoint.born_unix_ms.unwrap_or_default(),
@@ -267,7 +267,7 @@
     let ended = view.routing.meant(&incarnation);
     if !view.routing.is_retired(&ended.id, ended.born_unix_ms) {
         info!(
-            Part::Control,
+            Component::Control,
             "An endpoint retires.",
             endpoint = ended.id,
             born_unix_ms = ended.born_unix_ms.unwrap_or_default()
@@ -295,7 +295,11 @@
     let now = core.now();
     let silent = core.soft().heard.silent(now, &view.routing);
     for id in silent {
-        info!(Part::Control, "Dropping a silent endpoint.", endpoint = id);
+        info!(
+            Component::Control,
+            "Dropping a silent endpoint.",
+            endpoint = id
+        );
         let core = Arc::clone(core);
         tokio::spawn(async move {
             // A failed drop is retried in the next round.
--- a/crates/control/src/suspect_calls.rs
+++ b/crates/control/src/suspect_calls.rs
@@ -7,7 +7,7 @@
 use hinge_schema::messages::{AskSuspects, SuspectRecords, SuspectsReply};
 use hinge_schema::routing::{NoteSuspects, SuspectEnd, SuspectsNoted};
 use hinge_state::{Command, Reply, SuspectsCommand};
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use hinge_telemetry::{info, warn};
 use http::StatusCode;
 use viz::Router;
@@ -51,7 +51,7 @@
     if let Reply::Held(requests) = reply {
         for request in requests {
             warn!(
-                Part::Control,
+                Component::Control,
                 "A request is held because endpoints ended under it; gateways reject it.",
                 request = request,
                 told_by = message.instance
@@ -75,7 +75,7 @@
         };
         core.propose(Command::Suspects(command)).await?;
         info!(
-            Part::Control,
+            Component::Control,
             "A request is released.",
             request = request,
             operator = operator.name
--- a/crates/control/src/upgrade.rs
+++ b/crates/control/src/upgrade.rs
@@ -10,7 +10,7 @@
 use hinge_config::effective::Effective;
 use hinge_schema::messages::{AskUpgrades, DrainRecord, Member, OrderRecord, Upgrades};
 use hinge_state::{Command, Folder, InstanceName, OrderId, State, UpgradeStep, WallMs};
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use hinge_telemetry::{info, warn};
 use hinge_upgrade::{Decision, Endpoint, Fleet, decide};
 
@@ -152,7 +152,7 @@
         for (stop, name) in late {
             if !logged.contains(name) {
                 warn!(
-                    Part::Control,
+                    Component::Control,
                     "The deadline of a planned stop has passed.",
                     stop = stop,
                     instance = name
@@ -204,20 +204,20 @@
     for step in steps {
         match step {
             UpgradeStep::Put { instance, walk, .. } => info!(
-                Part::Control,
+                Component::Control,
                 "An upgrade advances.",
                 plan = walk.plan,
                 instance = instance,
                 step = walk.step
             ),
             UpgradeStep::StopPlan { plan, reason, .. } => warn!(
-                Part::Control,
+                Component::Control,
                 "An upgrade plan has stopped.",
                 plan = plan,
                 cause = reason
             ),
             UpgradeStep::BeginStop { name, record } => info!(
-                Part::Control,
+                Component::Control,
                 "A planned stop begins.",
                 stop = name,
                 instances = record.instances.len()
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -10,7 +10,7 @@
 use hinge_schema::messages::{Announce, Role};
 use hinge_schema::settings::Settings;
 use hinge_telemetry::admin::Admin;
-use hinge_telemetry::log::{self, Part};
+use hinge_telemetry::log::{self, Component};
 use hinge_telemetry::metrics::Registry;
 use hinge_telemetry::readiness::{Readiness, Reason};
 
@@ -95,7 +95,7 @@
         )
         .await
         .with_context(|| format!("binding the admin address {address}"))?;
-        hinge_telemetry::info!(Part::Admin, "Listening.", address = admin.address());
+        hinge_telemetry::info!(Component::Admin, "Listening.", address = admin.address());
         Ok(admin)
     }
 
--- a/crates/daemon/src/reload.rs
+++ b/crates/daemon/src/reload.rs
@@ -6,7 +6,7 @@
 use anyhow::{Context as _, Result};
 use hinge_config::settings;
 use hinge_schema::settings::Settings;
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use hinge_telemetry::{info, warn};
 use tokio::time::sleep;
 
@@ -45,12 +45,12 @@
             match settings::load(path) {
                 Ok(new) if new == current => {
                     if by_signal {
-                        info!(Part::Daemon, "Reloaded settings without a change.");
+                        info!(Component::Daemon, "Reloaded settings without a change.");
                     }
                 }
                 Ok(new) => {
                     info!(
-                        Part::Daemon,
+                        Component::Daemon,
                         "Reloaded settings.",
                         by_signal = by_signal,
                         control_addresses = new.control_addresses.len()
@@ -60,7 +60,7 @@
                 }
                 Err(problems) => {
                     warn!(
-                        Part::Daemon,
+                        Component::Daemon,
                         "The changed settings are not valid; the former ones stay in force.",
                         problems = problems
                     );
--- a/crates/daemon/src/roles.rs
+++ b/crates/daemon/src/roles.rs
@@ -16,7 +16,7 @@
 use hinge_member::Member;
 use hinge_schema::settings::Settings;
 use hinge_telemetry::info;
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use hinge_telemetry::readiness::{Readiness, Reason};
 use tokio::runtime::{Builder, Runtime};
 
@@ -41,13 +41,13 @@
 pub(crate) fn run(flags: &Flags, settings: Settings, signals: &Signals) -> Result<ExitCode> {
     start_log(&settings);
     info!(
-        Part::Daemon,
+        Component::Daemon,
         "Starting.",
         role = flags.role().name(),
         instance = settings.instance
     );
     if signals.is_stop_requested() {
-        info!(Part::Daemon, "Stopped before anything was bound.");
+        info!(Component::Daemon, "Stopped before anything was bound.");
         return Ok(ExitCode::SUCCESS);
     }
     let open = |settings| {
--- a/crates/daemon/src/roles/control.rs
+++ b/crates/daemon/src/roles/control.rs
@@ -6,7 +6,7 @@
 use anyhow::{Context as _, Result, bail};
 use hinge_control::{Control, ControlSettings, OperatorKeys, Peer};
 use hinge_telemetry::info;
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use hinge_telemetry::readiness::Reason;
 
 use crate::context::Context;
@@ -24,7 +24,7 @@
     }
     if is_diskless {
         info!(
-            Part::Control,
+            Component::Control,
             "This instance has no disk: it follows the instances that have one, and does not vote while they do."
         );
     }
@@ -59,7 +59,7 @@
     .context("opening the control instance")?;
     context.readiness.clear(Reason::Starting);
     info!(
-        Part::Control,
+        Component::Control,
         "Listening.",
         address = control.local_address()
     );
--- a/crates/daemon/src/roles/gateway.rs
+++ b/crates/daemon/src/roles/gateway.rs
@@ -8,7 +8,7 @@
 use hinge_gateway::{Gateway, GatewaySettings};
 use hinge_platform::Headers;
 use hinge_routing::{ChoiceRules, OverloadRules, RetryBudgetRules};
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use hinge_telemetry::readiness::Reason;
 
 use crate::context::{Context, control_addresses};
@@ -71,14 +71,14 @@
     })?;
     context.readiness.clear(Reason::Starting);
     context.signals.stop_requested().await?;
-    hinge_telemetry::info!(Part::Gateway, "Stopping as planned.");
+    hinge_telemetry::info!(Component::Gateway, "Stopping as planned.");
     let is_clean = gateway
         .drain(
             super::millis(section.rotation_ms),
             super::millis(section.stop_timeout_ms),
         )
         .await;
-    hinge_telemetry::info!(Part::Gateway, "Stopped.", clean = is_clean);
+    hinge_telemetry::info!(Component::Gateway, "Stopped.", clean = is_clean);
     admin.stop().await;
     Ok(super::exit_code(is_clean))
 }
--- a/crates/daemon/src/roles/relay.rs
+++ b/crates/daemon/src/roles/relay.rs
@@ -5,7 +5,7 @@
 
 use anyhow::{Context as _, Result};
 use hinge_control::{Relay, RelaySettings};
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use hinge_telemetry::readiness::Reason;
 
 use crate::context::Context;
@@ -22,7 +22,11 @@
         .await
         .context("opening the relay")?;
     context.readiness.clear(Reason::Starting);
-    hinge_telemetry::info!(Part::Relay, "Listening.", address = relay.local_address());
+    hinge_telemetry::info!(
+        Component::Relay,
+        "Listening.",
+        address = relay.local_address()
+    );
     context.signals.stop_requested().await?;
     context.readiness.set(Reason::Leaving);
     let is_clean = relay.stop(STOP_TIMEOUT).await;
--- a/crates/daemon/src/roles/stand_in.rs
+++ b/crates/daemon/src/roles/stand_in.rs
@@ -6,7 +6,7 @@
 use anyhow::{Context as _, Result};
 use hinge_fakes::stand_in::{StandIn, StandInSettings};
 use hinge_schema::settings::Settings;
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 
 use crate::signals::Signals;
 
@@ -36,7 +36,7 @@
         .await
         .context("binding the stand-in's address")?;
     hinge_telemetry::info!(
-        Part::StandIn,
+        Component::StandIn,
         "Listening.",
         address = stand_in.local_address()
     );
--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -7,7 +7,7 @@
 use futures::stream;
 use hinge_outcome::Outcome;
 use hinge_schema::messages::AnswerHead;
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use http::StatusCode;
 use http::header::CONTENT_TYPE;
 use tokio::time::Instant;
@@ -112,7 +112,7 @@
         self.request.observe_outcome(sidecar, outcome);
         self.request.count_end(outcome);
         hinge_telemetry::warn!(
-            Part::Entry,
+            Component::Entry,
             "An answer broke.",
             team = self.request.team,
             pool = self.request.pool,
--- a/crates/entry/src/bound.rs
+++ b/crates/entry/src/bound.rs
@@ -12,7 +12,7 @@
 use hinge_schema::messages::{
     Ack, AnswerChunk, AnswerHead, AskVerdict, FromSidecar, Resume, ToSidecar, VerdictReply,
 };
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use rand::RngExt;
 use tokio::time::{sleep, timeout};
 
@@ -382,7 +382,7 @@
             Ok(reply) => Some(reply),
             Err(error) => {
                 hinge_telemetry::warn!(
-                    Part::Entry,
+                    Component::Entry,
                     "A sidecar did not answer a verdict call.",
                     address = self.guard.address,
                     error = error,
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -33,7 +33,7 @@
 use std::time::Duration;
 
 use hinge_link::{Client, ClusterKey, Limits, Server, ServerHandle};
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use hinge_telemetry::metrics::Registry;
 use hinge_telemetry::readiness::Readiness;
 use tokio::task::AbortHandle;
@@ -113,7 +113,7 @@
             tokio::spawn(probe::probe_ejected(Arc::clone(&shared))).abort_handle(),
         ];
         hinge_telemetry::info!(
-            Part::Entry,
+            Component::Entry,
             "Listening.",
             callers = callers.local_address(),
             peers = peers.local_address(),
@@ -149,7 +149,11 @@
         let began = Instant::now();
         let until = began + deadline;
         self.shared.begin_drain();
-        hinge_telemetry::info!(Part::Entry, "Draining.", open = self.shared.open_requests(),);
+        hinge_telemetry::info!(
+            Component::Entry,
+            "Draining.",
+            open = self.shared.open_requests(),
+        );
         let _in_time = timeout_at(until, self.shared.wait_until_idle()).await;
         for task in &self.tasks {
             task.abort();
@@ -160,7 +164,7 @@
         self.peers.stop(left).await;
         let took = began.elapsed();
         hinge_telemetry::info!(
-            Part::Entry,
+            Component::Entry,
             "Drained.",
             cut = cut_requests,
             took_ms = took.as_millis(),
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -6,7 +6,7 @@
 use hinge_outcome::{Outcome, SidecarId};
 use hinge_placement::Sample;
 use hinge_schema::messages::{Bind, Header, Offer, UrgencyClass};
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use smallvec::SmallVec;
 use tokio::time::Instant;
 
@@ -122,7 +122,7 @@
         if self.selector.observe(sidecar, sample, self.shared.now()) {
             self.shared.metrics.count_ejection();
             hinge_telemetry::warn!(
-                Part::Entry,
+                Component::Entry,
                 "A sidecar is ejected.",
                 pool = self.pool,
                 sidecar = sidecar,
--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -8,7 +8,7 @@
 use hinge_link::Client;
 use hinge_routing::load_interval;
 use hinge_schema::routing::{AdmitAsk, AdmitVerdict, AskLoad, EngineLoad};
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use hinge_telemetry::{info, warn};
 use tokio::sync::Mutex as AsyncMutex;
 use tokio::task::JoinHandle;
@@ -172,7 +172,7 @@
         let bypassed = self.bypassed_until.lock();
         *bypassed.unwrap_or_else(PoisonError::into_inner) = Some(Instant::now() + BYPASS);
         warn!(
-            Part::Gateway,
+            Component::Gateway,
             "An admission does not reply; requests go to its engine without a grant.",
             address = self.address,
             id = request_id,
@@ -228,7 +228,7 @@
             self.follow_once(&mut is_followed).await;
             if is_followed {
                 warn!(
-                    Part::Gateway,
+                    Component::Gateway,
                     "Lost the load reports of an admission.",
                     address = self.address
                 );
@@ -261,7 +261,7 @@
             };
             if !*is_followed {
                 info!(
-                    Part::Gateway,
+                    Component::Gateway,
                     "Following the load reports of an admission.",
                     address = self.address,
                     endpoint = endpoint.description.id,
--- a/crates/gateway/src/endpoint.rs
+++ b/crates/gateway/src/endpoint.rs
@@ -11,7 +11,7 @@
     RequestKey,
 };
 use hinge_schema::routing::{Endpoint as Description, EngineLoad};
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use hinge_telemetry::{info, warn};
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep};
@@ -195,7 +195,7 @@
         self.drain();
         self.has_restarted.send_replace(true);
         info!(
-            Part::Gateway,
+            Component::Gateway,
             "An endpoint has restarted; the outcome of requests sent to its previous incarnation is unknown.",
             endpoint = self.description.id,
             born_unix_ms = self.description.born_unix_ms.unwrap_or_default(),
@@ -373,7 +373,7 @@
     pub(crate) fn record_backoff(&self, backoff: Duration) {
         if self.endpoint.notices.record_backoff(backoff) {
             info!(
-                Part::Gateway,
+                Component::Gateway,
                 "An endpoint asks for rest.",
                 endpoint = self.endpoint.description.id,
                 rest_ms = backoff.as_millis()
@@ -385,7 +385,7 @@
     pub(crate) fn record_leaving(&self) {
         if self.endpoint.notices.record_leaving() {
             info!(
-                Part::Gateway,
+                Component::Gateway,
                 "An endpoint says that it leaves.",
                 endpoint = self.endpoint.description.id
             );
@@ -427,7 +427,7 @@
         self.has_outcome = true;
         if !self.endpoint.is_draining() {
             warn!(
-                Part::Gateway,
+                Component::Gateway,
                 "Another endpoint listens at an endpoint's address; the former one has ended.",
                 endpoint = self.endpoint.description.id,
                 address = self.endpoint.description.address
@@ -465,7 +465,7 @@
         };
         if let Some(hold) = ejection {
             warn!(
-                Part::Gateway,
+                Component::Gateway,
                 "An endpoint is held out.",
                 endpoint = endpoint.description.id,
                 hold_ms = hold.as_millis(),
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -10,7 +10,7 @@
 use hinge_link::Client;
 use hinge_routing::{Address, ControlInstances};
 use hinge_schema::routing::{RoutesUpdate, WatchRoutes};
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use hinge_telemetry::readiness::{Readiness, Reason};
 use hinge_telemetry::{info, warn};
 use prometheus_client::metrics::gauge::Gauge;
@@ -60,7 +60,7 @@
             Ok((address, update)) => {
                 if !was_followed {
                     info!(
-                        Part::Gateway,
+                        Component::Gateway,
                         "Following control.",
                         address = address,
                         without_ms = without.as_millis()
@@ -84,7 +84,7 @@
                 if was_followed || logged_at.elapsed() >= LOG_INTERVAL {
                     logged_at = Instant::now();
                     warn!(
-                        Part::Gateway,
+                        Component::Gateway,
                         if was_followed {
                             "Lost control."
                         } else {
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -15,7 +15,7 @@
 };
 use hinge_schema::routing::MeetGateways;
 use hinge_telemetry::info;
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use hinge_telemetry::metrics::Registry;
 use hinge_telemetry::readiness::{Readiness, Reason};
 use http::header::CONNECTION;
@@ -284,7 +284,7 @@
         );
         let control_thread = DedicatedThread::spawn("follow-control", following)?;
         info!(
-            Part::Gateway,
+            Component::Gateway,
             "Listening.",
             address = address,
             ready = ready_address
--- a/crates/gateway/src/handoff.rs
+++ b/crates/gateway/src/handoff.rs
@@ -13,7 +13,7 @@
 use bytes::Bytes;
 use hinge_link::ClusterKey;
 use hinge_routing::{Overloaded, PeerGateways};
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use hinge_telemetry::{info, warn};
 use http::header::{CONNECTION, HeaderName};
 use http::{HeaderMap, HeaderValue, Request, Response, StatusCode};
@@ -332,7 +332,7 @@
     overloaded: &Overloaded,
 ) {
     info!(
-        Part::Gateway,
+        Component::Gateway,
         "Handed off.",
         id = outgoing.request_id.as_deref().unwrap_or("-"),
         team = outgoing.team.as_deref().unwrap_or("-"),
@@ -347,7 +347,7 @@
 
 fn log_failure(outgoing: &OutgoingRequest, address: SocketAddr, refusal: Refusal) {
     warn!(
-        Part::Gateway,
+        Component::Gateway,
         "A request that was handed off has no answer.",
         id = outgoing.request_id.as_deref().unwrap_or("-"),
         team = outgoing.team.as_deref().unwrap_or("-"),
--- a/crates/gateway/src/history.rs
+++ b/crates/gateway/src/history.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use hinge_routing::Prompt;
-use hinge_telemetry::log::{Level, Part};
+use hinge_telemetry::log::{Component, Level};
 use hinge_telemetry::record;
 use smallvec::SmallVec;
 
@@ -103,7 +103,7 @@
         };
         record!(
             level,
-            Part::Gateway,
+            Component::Gateway,
             "Request.",
             id = job.outgoing.request_id.as_deref().unwrap_or("-"),
             outcome = outcome,
--- a/crates/gateway/src/listener.rs
+++ b/crates/gateway/src/listener.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::net::SocketAddr;
 
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use hinge_telemetry::warn;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -61,7 +61,7 @@
             let bound = TcpListener::bind(address).await;
             if let Err(cause) = &bound {
                 warn!(
-                    Part::Gateway,
+                    Component::Gateway,
                     "The address for callers can't be bound again yet.",
                     address = address,
                     cause = cause
--- a/crates/gateway/src/overload.rs
+++ b/crates/gateway/src/overload.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use hinge_routing::{LimitKind, OverloadCounts, Overloaded};
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use hinge_telemetry::readiness::{Readiness, Reason};
 use hinge_telemetry::{info, warn};
 use tokio::time::{Instant, sleep_until};
@@ -47,7 +47,7 @@
         if is_limiting != was_limiting {
             was_limiting = is_limiting;
             info!(
-                Part::Gateway,
+                Component::Gateway,
                 "Overload control has started or stopped limiting connections.",
                 refused = is_limiting,
                 limit = limit,
@@ -57,7 +57,7 @@
         if is_full != was_full {
             was_full = is_full;
             info!(
-                Part::Gateway,
+                Component::Gateway,
                 "This instance has started or stopped reporting itself full to the load balancer.",
                 full = is_full,
                 limit = limit,
@@ -72,7 +72,7 @@
         if is_overloaded && (!was_overloaded || logged_at.elapsed() >= LOG_INTERVAL) {
             logged_at = now;
             warn!(
-                Part::Gateway,
+                Component::Gateway,
                 "Short of processor time.",
                 lag_ms = lag.as_millis(),
                 limit = limit
@@ -80,7 +80,7 @@
         }
         if was_overloaded && !is_overloaded {
             info!(
-                Part::Gateway,
+                Component::Gateway,
                 "Processor time suffices again.",
                 limit = limit
             );
@@ -100,7 +100,7 @@
 /// Logs how many requests were accepted and rejected, and why.
 fn log_counts(counts: &OverloadCounts, limit: u32, lag: Duration) {
     info!(
-        Part::Gateway,
+        Component::Gateway,
         "Load.",
         connections = counts.connections,
         begun = counts.begun,
--- a/crates/gateway/src/peer_discovery.rs
+++ b/crates/gateway/src/peer_discovery.rs
@@ -11,7 +11,7 @@
 use hinge_link::Client;
 use hinge_schema::routing::{MeetGateways, NearbyGateways};
 use hinge_telemetry::debug;
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use tokio::time::sleep;
 
 use crate::gateway::Shared;
@@ -51,7 +51,7 @@
                 shared.handoffs.set_peers(&addresses);
             }
             Err(cause) => debug!(
-                Part::Gateway,
+                Component::Gateway,
                 "A control instance did not return the gateways of this data centre.",
                 address = address,
                 cause = cause
--- a/crates/gateway/src/peer_updates.rs
+++ b/crates/gateway/src/peer_updates.rs
@@ -11,7 +11,7 @@
 use hinge_link::{Client, ClusterKey, unary};
 use hinge_schema::routing::{RoutesUpdate, WatchRoutes};
 use hinge_telemetry::info;
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use hinge_telemetry::readiness::Readiness;
 use http::StatusCode;
 use tokio::time::Instant;
@@ -84,7 +84,7 @@
                 continue;
             };
             info!(
-                Part::Gateway,
+                Component::Gateway,
                 "Another gateway tells of changes.",
                 address = address,
                 without_ms = routing.age().as_millis(),
--- a/crates/gateway/src/routing_state.rs
+++ b/crates/gateway/src/routing_state.rs
@@ -10,7 +10,7 @@
 use hinge_routing::{Address, RouteIndex};
 use hinge_schema::routing::{EndpointList, EndpointState, RouteTable, RoutesUpdate, WatchRoutes};
 use hinge_telemetry::info;
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use tokio::time::Instant;
 
 use crate::admission::{AdmissionAccess, AdmissionClient};
@@ -106,7 +106,7 @@
             return;
         }
         info!(
-            Part::Gateway,
+            Component::Gateway,
             "A route table is in force.",
             number = table.number,
             before = current.table_number(),
@@ -207,7 +207,7 @@
             }
         }
         info!(
-            Part::Gateway,
+            Component::Gateway,
             "The endpoints have changed.",
             version = list.version,
             before = current.endpoints_version(),
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -7,7 +7,7 @@
 use hinge_routing::{Overloaded, RouteIndex};
 use hinge_schema::routing::{Engine, RequestKind, Route};
 use hinge_telemetry::info;
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use http::header::{CONNECTION, CONTENT_TYPE, HOST};
 use http::request::Parts;
 use http::{HeaderMap, HeaderValue, Request, Response, StatusCode};
@@ -303,7 +303,7 @@
     let id = facts.request_id.as_deref().unwrap_or("-");
     let status = refusal.status().as_u16();
     info!(
-        Part::Gateway,
+        Component::Gateway,
         "Request.",
         id = id,
         outcome = refusal.name(),
@@ -326,7 +326,7 @@
     gateway.metrics.record_refused(refusal.name());
     let (prompt_tokens, answer_tokens) = tokens_of(facts.prompt.as_ref());
     info!(
-        Part::Gateway,
+        Component::Gateway,
         "Request.",
         id = facts.request_id.as_deref().unwrap_or("-"),
         outcome = refusal.name(),
@@ -360,7 +360,7 @@
     gateway.metrics.record_refused(refusal.name());
     gateway.routing.suspects.record_rejection();
     info!(
-        Part::Gateway,
+        Component::Gateway,
         "Request.",
         id = outgoing.request_id.as_deref().unwrap_or("-"),
         outcome = refusal.name(),
--- a/crates/gateway/src/suspect_reports.rs
+++ b/crates/gateway/src/suspect_reports.rs
@@ -7,7 +7,7 @@
 use hinge_link::Client;
 use hinge_routing::{IncarnationHash, RequestKey};
 use hinge_schema::routing::{NoteSuspects, SuspectEnd, SuspectsNoted};
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use hinge_telemetry::warn;
 use tokio::sync::Notify;
 use tokio::time::sleep;
@@ -109,7 +109,7 @@
         let report = pending.take();
         if let Err(cause) = report_to_any(&client, &routing, &report.message(&instance)).await {
             warn!(
-                Part::Gateway,
+                Component::Gateway,
                 "Could not tell control of ends under requests.",
                 ends = report.ends.len(),
                 completed = report.completed.len(),
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -8,7 +8,7 @@
 
 use hinge_routing::{RequestKey, Suspects as SuspectTable};
 use hinge_schema::routing::SuspectList;
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use hinge_telemetry::metrics::Registry;
 use hinge_telemetry::warn;
 use prometheus_client::metrics::counter::Counter;
@@ -99,7 +99,7 @@
         });
         self.pending_reports.add_end(end);
         warn!(
-            Part::Gateway,
+            Component::Gateway,
             "An endpoint ended under a request.",
             id = request.request_id,
             request = request.key,
@@ -155,7 +155,7 @@
         let held = i64::try_from(table.held().len()).unwrap_or(i64::MAX);
         if self.held.set(held) != held {
             warn!(
-                Part::Gateway,
+                Component::Gateway,
                 "The held requests have changed.",
                 held = held,
                 version = table.version(),
--- a/crates/member/src/member.rs
+++ b/crates/member/src/member.rs
@@ -11,7 +11,7 @@
     Announce, Announced, ConfigDelta, FetchConfig, FetchedConfig, MembersDelta, Role,
 };
 use hinge_telemetry::info;
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use tokio::sync::watch;
 use tokio::time::Instant;
 
@@ -250,7 +250,7 @@
         let applied = self.shared.held.apply(delta);
         if let Applied::Advanced(version) = applied {
             info!(
-                Part::Config,
+                Component::Config,
                 "Configuration is in force.",
                 version = version
             );
--- a/crates/member/src/tasks.rs
+++ b/crates/member/src/tasks.rs
@@ -5,7 +5,7 @@
 use hinge_config::held::Applied;
 use hinge_link::Client;
 use hinge_schema::messages::{Announce, Announced, Role, Update, Watch};
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use hinge_telemetry::{info, warn};
 use tokio::time::{sleep, timeout};
 
@@ -110,7 +110,7 @@
 fn note_known(is_known: &mut bool, control: &Control) {
     if !*is_known {
         info!(
-            Part::Link,
+            Component::Link,
             "Announced to control.",
             address = control.address()
         );
@@ -121,7 +121,7 @@
 fn note_lost(is_known: &mut bool, control: &Control, cause: &hinge_link::CallError) {
     if *is_known {
         warn!(
-            Part::Link,
+            Component::Link,
             "Control does not answer.",
             address = control.address(),
             cause = cause
@@ -212,7 +212,7 @@
                     .map(hinge_config::describe)
                     .unwrap_or_default();
                 warn!(
-                    Part::Config,
+                    Component::Config,
                     "Configuration is not valid here.",
                     version = version,
                     problem = first
--- a/crates/sidecar/src/exchange.rs
+++ b/crates/sidecar/src/exchange.rs
@@ -186,7 +186,7 @@
         let bind = match first {
             Err(_elapsed) => {
                 hinge_telemetry::debug!(
-                    hinge_telemetry::log::Part::Sidecar,
+                    hinge_telemetry::log::Component::Sidecar,
                     "A grant expired before its request arrived.",
                     claim_id = claim
                 );
--- a/crates/sidecar/src/order.rs
+++ b/crates/sidecar/src/order.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use hinge_schema::messages::{Bind, Header, Order, OrderKind, OrderReply, OrderVerdict};
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use http::StatusCode;
 use serde::Serialize;
 use tokio::time::timeout;
@@ -43,7 +43,7 @@
         shared.member.set_model_version(&order.version);
     }
     hinge_telemetry::info!(
-        Part::Sidecar,
+        Component::Sidecar,
         "An order was answered.",
         order_id = order.order_id,
         fence = order.fence,
--- a/crates/sidecar/src/shared.rs
+++ b/crates/sidecar/src/shared.rs
@@ -11,7 +11,7 @@
 use hinge_outcome::{ClaimId, Verdict};
 use hinge_placement::{EngineReport, LocalEndpointHealth, Sample, SlotRules};
 use hinge_schema::messages::{FailureKind, NotRunReason};
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use tokio::sync::{mpsc, watch};
 use tokio_util::sync::CancellationToken;
 
@@ -233,7 +233,7 @@
         if is_ejected {
             let endpoint = &self.settings.endpoint_address;
             hinge_telemetry::warn!(
-                Part::Sidecar,
+                Component::Sidecar,
                 "The endpoint is ejected.",
                 endpoint = endpoint
             );
@@ -283,7 +283,7 @@
         if was_ejected && !is_ejected {
             let endpoint = &self.settings.endpoint_address;
             hinge_telemetry::info!(
-                Part::Sidecar,
+                Component::Sidecar,
                 "The endpoint is readmitted.",
                 endpoint = endpoint
             );
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -12,7 +12,7 @@
 use hinge_schema::messages::{
     AskVerdict, CancelRun, ConfigDelta, FetchConfig, FetchedConfig, Order, OrderReply, VerdictReply,
 };
-use hinge_telemetry::log::Part;
+use hinge_telemetry::log::Component;
 use hinge_telemetry::metrics::Registry;
 use serde::Deserialize;
 use tokio::time::timeout;
@@ -96,7 +96,7 @@
         let address = server.local_address().to_string();
         shared.member.set_peer_address(&address);
         hinge_telemetry::info!(
-            Part::Sidecar,
+            Component::Sidecar,
             "Listening.",
             address = address,
             endpoint = shared.settings.endpoint_address
@@ -126,12 +126,12 @@
         self.shared.member.set_leaving();
         self.shared.update(|dispatcher, _now| dispatcher.leave());
         // From this log record on no offer is granted, even from entries that have not yet heard of the stop.
-        hinge_telemetry::info!(Part::Sidecar, "Leaving.");
+        hinge_telemetry::info!(Component::Sidecar, "Leaving.");
         let ended = timeout(deadline, wait_until_ended(&self.shared)).await;
         let open = self.shared.unfinished();
         if ended.is_err() {
             hinge_telemetry::error!(
-                Part::Sidecar,
+                Component::Sidecar,
                 "The deadline of a planned stop has passed.",
                 runs = open.runs,
                 answers = open.answers
--- a/crates/telemetry/src/log.rs
+++ b/crates/telemetry/src/log.rs
@@ -1,10 +1,10 @@
 //! The log: one line for each record, with the component in brackets, a short sentence and `key=value` pairs.
 //!
 //! ```
-//! use hinge_telemetry::log::{self, Level, Part};
+//! use hinge_telemetry::log::{self, Level, Component};
 //!
 //! log::start(Level::Info);
-//! hinge_telemetry::info!(Part::Entry, "Listening.", address = "127.0.0.1:8080");
+//! hinge_telemetry::info!(Component::Entry, "Listening.", address = "127.0.0.1:8080");
 //! ```
 
 use std::fmt::{Display, Write as _};
@@ -27,7 +27,7 @@
 
 /// The component that writes a record.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Part {
+pub enum Component {
     /// The admin server.
     Admin,
     /// The admission role.
@@ -56,7 +56,7 @@
     Store,
 }
 
-impl Part {
+impl Component {
     /// Returns the name that a line shows in brackets.
     #[must_use]
     pub fn as_str(self) -> &'static str {
@@ -183,7 +183,7 @@
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     let pairs: &[Pair<'_>] = &[("count", &count)];
     let text = body(
-        Part::Daemon,
+        Component::Daemon,
         "Dropped lines that nobody took in time.",
         pairs,
     );
@@ -192,20 +192,20 @@
 }
 
 /// Writes a record, on behalf of this crate's macros.
-pub fn write(part: Part, level: Level, sentence: &str, pairs: &[Pair<'_>]) {
+pub fn write(component: Component, level: Level, sentence: &str, pairs: &[Pair<'_>]) {
     let logger: Arc<Logger> = spdlog::default_logger();
     if logger.should_log(level.inner()) {
-        let text = body(part, sentence, pairs);
+        let text = body(component, sentence, pairs);
         spdlog::log!(logger: logger, level.inner(), "{text}");
     }
 }
 
 /// Returns the text of a record without its time and level.
 #[must_use]
-pub fn body(part: Part, sentence: &str, pairs: &[Pair<'_>]) -> String {
+pub fn body(component: Component, sentence: &str, pairs: &[Pair<'_>]) -> String {
     let mut text = String::with_capacity(64 + 24 * pairs.len());
     text.push('[');
-    text.push_str(part.as_str());
+    text.push_str(component.as_str());
     text.push_str("] ");
     escape(sentence, &mut text);
     // One buffer is reused for all values: a line has about twenty, and a small gateway writes hundreds of lines a second.
@@ -315,8 +315,8 @@
 /// Writes a record at a given level; `error!`, `warn!`, `info!` and `debug!` are the short forms.
 #[macro_export]
 macro_rules! record {
-    ($level:expr, $part:expr, $sentence:expr $(, $key:ident = $value:expr)* $(,)?) => {
-        $crate::log::write($part, $level, $sentence, &[$((stringify!($key), &$value as &dyn ::std::fmt::Display)),*])
+    ($level:expr, $component:expr, $sentence:expr $(, $key:ident = $value:expr)* $(,)?) => {
+        $crate::log::write($component, $level, $sentence, &[$((stringify!($key), &$value as &dyn ::std::fmt::Display)),*])
     };
 }
 
--- a/crates/telemetry/tests/log.rs
+++ b/crates/telemetry/tests/log.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use hinge_cases::cases;
-use hinge_telemetry::log::{Part, body, line};
+use hinge_telemetry::log::{Component, body, line};
 use quickcheck::quickcheck;
 
 fn value_is_written((value, want): (&str, &str)) {
-    let text = body(Part::Entry, "Said.", &[("value", &value)]);
+    let text = body(Component::Entry, "Said.", &[("value", &value)]);
     assert_eq!(text, format!("[entry] Said. value={want}"));
 }
 
@@ -37,7 +37,7 @@
 
 cases! {
     a_long_value_is_cut => {
-        let text = body(Part::Link, "Said.", &[("value", &"ü".repeat(10_000))]);
+        let text = body(Component::Link, "Said.", &[("value", &"ü".repeat(10_000))]);
         assert!(text.len() < 600 && text.ends_with('…'));
     }
 }
@@ -45,6 +45,6 @@
 quickcheck! {
     fn a_record_is_one_line_without_control_characters(sentence: String, value: String) -> bool {
         let pairs: [(&'static str, &dyn Display); 1] = [("value", &value)];
-        !body(Part::Config, &sentence, &pairs).chars().any(char::is_control)
+        !body(Component::Config, &sentence, &pairs).chars().any(char::is_control)
     }
 }
--- a/crates/telemetry/tests/parse.rs
+++ b/crates/telemetry/tests/parse.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use hinge_cases::cases;
-use hinge_telemetry::log::{Level, Part, body, line};
+use hinge_telemetry::log::{Component, Level, body, line};
 use hinge_telemetry::parse::Line;
 use quickcheck::quickcheck;
 
@@ -13,7 +13,7 @@
     let text = line(
         Duration::ZERO,
         "warn",
-        &body(Part::Gateway, "Request.", &pairs),
+        &body(Component::Gateway, "Request.", &pairs),
     );
     let parsed = Line::parse(&text).expect("it was written by this crate");
     let is_whole = value.len() <= 512;
