--- a/crates/burn/src/burn.rs
+++ b/crates/burn/src/burn.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use hinge_config::effective::{Effective, Objective, ObjectiveKind};
+use hinge_config::effective::{EffectiveConfig, Objective, ObjectiveKind};
 use serde::Serialize;
 
 use crate::cause::Cause;
@@ -157,7 +157,7 @@
 
 /// Reports the burn of every objective of a configuration, at the end of the recording.
 #[must_use]
-pub fn burn(effective: &Effective, recording: &Recording) -> BurnReport {
+pub fn burn(effective: &EffectiveConfig, recording: &Recording) -> BurnReport {
     let increments = increments(recording);
     let (from_ms, to_ms) = recording.span_ms().unwrap_or_default();
     let mut report = BurnReport {
--- a/crates/burn/src/gap.rs
+++ b/crates/burn/src/gap.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::{self, Display};
 
-use hinge_config::effective::Effective;
+use hinge_config::effective::EffectiveConfig;
 use serde::Serialize;
 
 use crate::burn_text::{percent, write_coverage};
@@ -67,7 +67,11 @@
 
 /// Reports the gap in the last part of a recording.
 #[must_use]
-pub fn gap(effective: &Effective, recording: &Recording, window_ms: Option<u64>) -> GapReport {
+pub fn gap(
+    effective: &EffectiveConfig,
+    recording: &Recording,
+    window_ms: Option<u64>,
+) -> GapReport {
     let (from_ms, to_ms) = recording.span_ms().unwrap_or_default();
     let window_ms = window_ms.unwrap_or(u64::MAX).min(to_ms - from_ms);
     let from_ms = to_ms - window_ms;
@@ -141,7 +145,7 @@
 }
 
 fn pool_gap(
-    effective: &Effective,
+    effective: &EffectiveConfig,
     pool: &str,
     units: &BTreeMap<&str, f64>,
     backlog: &Backlog<'_>,
@@ -174,7 +178,7 @@
 }
 
 fn team_service(
-    effective: &Effective,
+    effective: &EffectiveConfig,
     team: &str,
     units: f64,
     backlog: &Backlog<'_>,
--- a/crates/burn/tests/burn.rs
+++ b/crates/burn/tests/burn.rs
@@ -6,7 +6,7 @@
 };
 use hinge_cases::cases;
 use hinge_config::ConfigFile;
-use hinge_config::effective::Effective;
+use hinge_config::effective::EffectiveConfig;
 use hinge_telemetry::metrics::{LATENCY_SECONDS, Registry};
 use quickcheck::quickcheck;
 
@@ -15,12 +15,12 @@
 /// Starts the recordings, so that windows of days reach back.
 const START_MS: u64 = 1_700_000_000_000;
 
-fn effective(text: &str) -> Effective {
+fn effective(text: &str) -> EffectiveConfig {
     let file = ConfigFile {
         name: "a.toml".into(),
         text: text.into(),
     };
-    Effective::merge(&[file]).expect("the text is valid")
+    EffectiveConfig::merge(&[file]).expect("the text is valid")
 }
 
 /// Holds pages of one instance by minute.
--- a/crates/config/examples/fleet/mod.rs
+++ b/crates/config/examples/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Gives the operators' files of a fleet with 1,500 teams and 8 pools.
+//! The operators' files of a fleet with 1,500 teams and 8 pools.
 
 use std::fmt::Write as _;
 
@@ -8,7 +8,7 @@
 const TEAMS: u32 = 1_500;
 const POOLS: u32 = 8;
 
-/// Returns the hash of the key of a team's caller.
+/// Returns the SHA-256 of a team's key, as hexadecimal digits.
 pub fn key_sha256(team: u32) -> String {
     let hash = Sha256::digest(format!("key {team}"));
     hash.iter().fold(String::new(), |mut text, byte| {
@@ -17,7 +17,7 @@
     })
 }
 
-/// Returns one file with the pools, and files with so many teams each.
+/// Returns one file with all pools, followed by files with `teams_per_file` teams each.
 pub fn files(teams_per_file: u32) -> Vec<ConfigFile> {
     let mut files = vec![ConfigFile {
         name: "10-pools.toml".into(),
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,19 +1,19 @@
-//! Walks a parsed file against its schema.
+//! Validates parsed files against their schema.
 //!
-//! A file is checked by itself for unknown keys, types, ranges and formats. Defaults and missing keys come after the merge,
-//! because another file may give them.
+//! Unknown keys, types, ranges and formats are checked file by file. Defaults are filled in and missing keys reported only after
+//! all files are merged, because another file may set them.
 
 use serde_json::{Map, Value};
 
 use crate::ConfigProblem;
 use crate::format;
 use crate::nearest::nearest;
-use crate::tree::{Kind, Node, Place};
+use crate::tree::{Node, Position, TomlValue};
 
-/// Most problems that are reported at once; a wholly wrong folder must not fill a message.
+/// Most problems of one report, so that a message stays short even when a whole folder is wrong.
 const MAX_PROBLEMS: usize = 100;
 
-/// Collects the problems of a list of files.
+/// The problems found in a list of files.
 #[derive(Debug)]
 pub(crate) struct Report<'a> {
     names: Vec<&'a str>,
@@ -21,7 +21,7 @@
 }
 
 impl<'a> Report<'a> {
-    /// Returns an empty report on files with these names.
+    /// Returns an empty report for files with these names.
     pub(crate) fn new(names: Vec<&'a str>) -> Self {
         Self {
             names,
@@ -29,25 +29,25 @@
         }
     }
 
-    /// Adds a problem.
-    pub(crate) fn add(&mut self, place: Place, key: &str, message: impl Into<Box<str>>) {
+    /// Adds a problem, unless the report is full.
+    pub(crate) fn add(&mut self, position: Position, key: &str, message: impl Into<Box<str>>) {
         if self.problems.len() < MAX_PROBLEMS {
             self.problems.push(ConfigProblem {
-                file: self.file(place).into(),
-                line: place.line,
+                file: self.file(position).into(),
+                line: position.line,
                 key: key.into(),
                 message: message.into(),
             });
         }
     }
 
-    /// Returns the name of the file of a place.
-    pub(crate) fn file(&self, place: Place) -> &'a str {
-        let index = usize::try_from(place.file).unwrap_or(usize::MAX);
+    /// Returns the name of the file that a position is in.
+    pub(crate) fn file(&self, position: Position) -> &'a str {
+        let index = usize::try_from(position.file).unwrap_or(usize::MAX);
         self.names.get(index).copied().unwrap_or_default()
     }
 
-    /// Returns the value, or the problems in the order of files and lines if there are any.
+    /// Returns the value, or else the problems in the order of files and lines.
     pub(crate) fn finish<T>(&mut self, value: T) -> Result<T, Vec<ConfigProblem>> {
         if self.problems.is_empty() {
             return Ok(value);
@@ -58,7 +58,7 @@
     }
 }
 
-/// Holds one schema file, and the name of its definition for a whole file.
+/// A schema, with the name of the definition that describes a whole file.
 #[derive(Debug)]
 pub(crate) struct Schema {
     definitions: Map<String, Value>,
@@ -66,11 +66,11 @@
 }
 
 impl Schema {
-    /// Reads a schema.
+    /// Parses a schema.
     ///
     /// # Panics
     ///
-    /// Panics when the text is no schema; the texts are compiled in.
+    /// Panics when the text is not a valid schema; the texts are compiled in.
     pub(crate) fn read(text: &str, root: &'static str) -> Self {
         let mut schema: Value =
             serde_json::from_str(text).expect("the schema is compiled in and valid");
@@ -81,12 +81,12 @@
         Self { definitions, root }
     }
 
-    /// Checks one file, and brings its values into the form of the generated types.
+    /// Checks one file, and converts its values to the representation in the generated types.
     pub(crate) fn check(&self, node: &mut Node, report: &mut Report<'_>) {
         self.check_node(&self.definitions[self.root], node, "", report);
     }
 
-    /// Returns the whole value with defaults filled in, and reports keys that are missing.
+    /// Returns the merged value with defaults filled in, and reports missing keys.
     pub(crate) fn complete(&self, node: &Node, report: &mut Report<'_>) -> Value {
         self.complete_node(&self.definitions[self.root], node, "", report)
     }
@@ -103,18 +103,18 @@
 
     fn check_node(&self, schema: &Value, node: &mut Node, path: &str, report: &mut Report<'_>) {
         let schema = self.resolve(schema);
-        match (text_of(schema, "type"), &mut node.kind) {
-            ("object", Kind::Table(table)) => {
+        match (str_field(schema, "type"), &mut node.value) {
+            ("object", TomlValue::Table(table)) => {
                 for (key, child) in table {
                     let path = join(path, key);
                     match property(schema, key) {
                         Ok(property) => self.check_node(property, child, &path, report),
-                        Err(message) => report.add(child.place, &path, message),
+                        Err(message) => report.add(child.position, &path, message),
                     }
                 }
             }
-            ("array", Kind::Array(items)) => {
-                check_length(schema, items, node.place, path, report);
+            ("array", TomlValue::Array(items)) => {
+                check_length(schema, items, node.position, path, report);
                 for item in items {
                     self.check_node(&schema["items"], item, path, report);
                 }
@@ -131,8 +131,8 @@
         report: &mut Report<'_>,
     ) -> Value {
         let schema = self.resolve(schema);
-        match &node.kind {
-            Kind::Table(table) => {
+        match &node.value {
+            TomlValue::Table(table) => {
                 let mut object = Map::new();
                 for (key, child) in table {
                     let Ok(property) = property(schema, key) else {
@@ -141,25 +141,25 @@
                     let value = self.complete_node(property, child, &join(path, key), report);
                     object.insert(String::from(&**key), value);
                 }
-                self.fill(schema, node.place, path, &mut object, report);
+                self.fill_defaults(schema, node.position, path, &mut object, report);
                 Value::Object(object)
             }
-            Kind::Array(items) => items
+            TomlValue::Array(items) => items
                 .iter()
                 .map(|item| self.complete_node(&schema["items"], item, path, report))
                 .collect(),
-            Kind::Text(text) => Value::from(&**text),
-            Kind::Integer(integer) => u64::try_from(*integer).map_or(Value::Null, Value::from),
-            Kind::Float(float) => Value::from(*float),
-            Kind::Boolean(boolean) => Value::from(*boolean),
-            Kind::Time(time) => Value::from(time.to_string()),
+            TomlValue::Text(text) => Value::from(&**text),
+            TomlValue::Integer(integer) => u64::try_from(*integer).map_or(Value::Null, Value::from),
+            TomlValue::Float(float) => Value::from(*float),
+            TomlValue::Boolean(boolean) => Value::from(*boolean),
+            TomlValue::Time(time) => Value::from(time.to_string()),
         }
     }
 
-    fn fill(
+    fn fill_defaults(
         &self,
         schema: &Value,
-        place: Place,
+        position: Position,
         path: &str,
         object: &mut Map<String, Value>,
         report: &mut Report<'_>,
@@ -171,13 +171,13 @@
             }
             let path = join(path, key);
             if let Some(default) = property.get("default") {
-                let mut node = default_node(default, place);
+                let mut node = default_node(default, position);
                 self.check_node(property, &mut node, &path, report);
                 let value = self.complete_node(property, &node, &path, report);
                 object.insert(key.clone(), value);
             } else if is_required(schema, key) {
-                let what = text_of(property, "description");
-                report.add(place, &path, format!("this key is missing: {what}"));
+                let what = str_field(property, "description");
+                report.add(position, &path, format!("this key is missing: {what}"));
             }
         }
     }
@@ -191,7 +191,7 @@
     if format::is_name(key) {
         return Ok(&schema["additionalProperties"]);
     }
-    Err(format!("this is no name; {}", format::NAME_ALLOWED).into())
+    Err(format!("this is not a valid name; {}", format::NAME_ALLOWED).into())
 }
 
 fn is_required(schema: &Value, key: &str) -> bool {
@@ -199,31 +199,40 @@
     required.is_some_and(|required| required.iter().any(|name| name == key))
 }
 
-fn default_node(value: &Value, place: Place) -> Node {
-    let kind = match value {
-        Value::Null => Kind::Table(std::collections::BTreeMap::new()),
-        Value::Bool(boolean) => Kind::Boolean(*boolean),
-        Value::Number(number) => Kind::Integer(number.as_u64().unwrap_or_default().into()),
-        Value::String(text) => Kind::Text(text.as_str().into()),
-        Value::Array(items) => {
-            Kind::Array(items.iter().map(|item| default_node(item, place)).collect())
-        }
-        Value::Object(object) => Kind::Table(
+fn default_node(value: &Value, position: Position) -> Node {
+    let value = match value {
+        Value::Null => TomlValue::Table(std::collections::BTreeMap::new()),
+        Value::Bool(boolean) => TomlValue::Boolean(*boolean),
+        Value::Number(number) => TomlValue::Integer(number.as_u64().unwrap_or_default().into()),
+        Value::String(text) => TomlValue::Text(text.as_str().into()),
+        Value::Array(items) => TomlValue::Array(
+            items
+                .iter()
+                .map(|item| default_node(item, position))
+                .collect(),
+        ),
+        Value::Object(object) => TomlValue::Table(
             object
                 .iter()
-                .map(|(key, value)| (key.as_str().into(), default_node(value, place)))
+                .map(|(key, value)| (key.as_str().into(), default_node(value, position)))
                 .collect(),
         ),
     };
-    Node { place, kind }
+    Node { position, value }
 }
 
-fn check_length(schema: &Value, items: &[Node], place: Place, path: &str, report: &mut Report<'_>) {
+fn check_length(
+    schema: &Value,
+    items: &[Node],
+    position: Position,
+    path: &str,
+    report: &mut Report<'_>,
+) {
     let most = schema.get("maxItems").and_then(Value::as_u64);
     if let Some(most) = most.filter(|most| items.len() as u64 > *most) {
         let count = items.len();
         report.add(
-            place,
+            position,
             path,
             format!("this list has {count} values; allowed are up to {most}"),
         );
@@ -231,72 +240,72 @@
 }
 
 fn check_value(schema: &Value, node: &mut Node, path: &str, report: &mut Report<'_>) {
-    let kind = std::mem::replace(&mut node.kind, Kind::Boolean(false));
-    let was = kind.name();
-    match checked(schema, kind) {
-        Ok(kind) => node.kind = kind,
-        Err(Refusal::Type(allowed)) => {
+    let value = std::mem::replace(&mut node.value, TomlValue::Boolean(false));
+    let found = value.type_name();
+    match checked(schema, value) {
+        Ok(value) => node.value = value,
+        Err(Rejection::Type(allowed)) => {
             report.add(
-                node.place,
+                node.position,
                 path,
-                format!("this is {was}; allowed is {allowed}"),
+                format!("this is {found}; allowed is {allowed}"),
             );
         }
-        Err(Refusal::Value(message)) => report.add(node.place, path, message),
+        Err(Rejection::Value(message)) => report.add(node.position, path, message),
     }
 }
 
-enum Refusal {
+enum Rejection {
     Type(&'static str),
     Value(Box<str>),
 }
 
-fn checked(schema: &Value, kind: Kind) -> Result<Kind, Refusal> {
-    let format = text_of(schema, "format");
-    let kind = format::normalise(format, kind)
-        .map_err(|allowed| Refusal::Value(format!("this value is refused; {allowed}").into()))?;
-    match (text_of(schema, "type"), kind) {
-        ("string", Kind::Text(text)) => checked_text(schema, text),
-        ("integer", Kind::Integer(integer)) => checked_range(schema, integer),
-        ("number", Kind::Integer(integer)) => Ok(Kind::Integer(integer)),
-        ("boolean", Kind::Boolean(boolean)) => Ok(Kind::Boolean(boolean)),
-        ("string", _) => Err(Refusal::Type("text in quotes")),
-        ("integer", _) => Err(Refusal::Type("an integer")),
-        ("boolean", _) => Err(Refusal::Type("true or false")),
-        ("array", _) => Err(Refusal::Type("a list in brackets")),
-        ("object", _) => Err(Refusal::Type("a table")),
-        _ => Err(Refusal::Type("a number")),
+fn checked(schema: &Value, value: TomlValue) -> Result<TomlValue, Rejection> {
+    let format = str_field(schema, "format");
+    let value = format::normalise(format, value)
+        .map_err(|allowed| Rejection::Value(format!("this value is refused; {allowed}").into()))?;
+    match (str_field(schema, "type"), value) {
+        ("string", TomlValue::Text(text)) => checked_text(schema, text),
+        ("integer", TomlValue::Integer(integer)) => checked_range(schema, integer),
+        ("number", TomlValue::Integer(integer)) => Ok(TomlValue::Integer(integer)),
+        ("boolean", TomlValue::Boolean(boolean)) => Ok(TomlValue::Boolean(boolean)),
+        ("string", _) => Err(Rejection::Type("text in quotes")),
+        ("integer", _) => Err(Rejection::Type("an integer")),
+        ("boolean", _) => Err(Rejection::Type("true or false")),
+        ("array", _) => Err(Rejection::Type("a list in brackets")),
+        ("object", _) => Err(Rejection::Type("a table")),
+        _ => Err(Rejection::Type("a number")),
     }
 }
 
-fn checked_text(schema: &Value, text: Box<str>) -> Result<Kind, Refusal> {
+fn checked_text(schema: &Value, text: Box<str>) -> Result<TomlValue, Rejection> {
     if text.is_empty() && schema.get("minLength").is_some() {
-        return Err(Refusal::Value(
+        return Err(Rejection::Value(
             "this text is empty; allowed is 1 byte or more".into(),
         ));
     }
     let Some(values) = schema.get("enum").and_then(Value::as_array) else {
-        return Ok(Kind::Text(text));
+        return Ok(TomlValue::Text(text));
     };
     if values.iter().any(|value| *value == *text) {
-        return Ok(Kind::Text(text));
+        return Ok(TomlValue::Text(text));
     }
     let allowed: Vec<_> = values.iter().filter_map(Value::as_str).collect();
     let allowed = allowed.join(", ");
-    Err(Refusal::Value(
+    Err(Rejection::Value(
         format!("this value is unknown; allowed are {allowed}").into(),
     ))
 }
 
-fn checked_range(schema: &Value, integer: i128) -> Result<Kind, Refusal> {
+fn checked_range(schema: &Value, integer: i128) -> Result<TomlValue, Rejection> {
     let bound = |name| schema.get(name).and_then(Value::as_u64).map(i128::from);
     let least = bound("minimum").unwrap_or(0);
-    // Without a bound of its own, a value must still fit the generated type.
+    // A value without a maximum in the schema must still fit the generated type.
     let most = bound("maximum").unwrap_or(i64::MAX.into());
     if (least..=most).contains(&integer) {
-        return Ok(Kind::Integer(integer));
+        return Ok(TomlValue::Integer(integer));
     }
-    Err(Refusal::Value(
+    Err(Rejection::Value(
         format!("{integer} is out of range; allowed are {least} to {most}").into(),
     ))
 }
@@ -310,7 +319,7 @@
     format!("this key is unknown; allowed are {}", allowed.join(", ")).into()
 }
 
-fn text_of<'s>(schema: &'s Value, key: &str) -> &'s str {
+fn str_field<'s>(schema: &'s Value, key: &str) -> &'s str {
     schema.get(key).and_then(Value::as_str).unwrap_or_default()
 }
 
--- a/crates/config/src/held.rs
+++ b/crates/config/src/current.rs
@@ -1,4 +1,4 @@
-//! Holds the newest configuration that a process knows, and never steps back.
+//! The newest configuration that a process knows; its version never goes back.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt::{self, Debug};
@@ -6,42 +6,42 @@
 
 use arc_swap::{ArcSwap, Guard};
 
-use crate::effective::Effective;
+use crate::effective::EffectiveConfig;
 use crate::folder;
 use crate::{ConfigDelta, ConfigFile, ConfigProblem};
 
-/// Most deltas that are kept for peers that lag; at 2,500 changes a day they reach back more than half an hour.
+/// Most deltas that are kept for peers that lag behind; at 2,500 changes a day they cover more than half an hour.
 const MAX_RECENT: usize = 64;
 
-/// Most bytes of kept deltas; a peer that lags further gets the whole folder.
+/// Most bytes of kept deltas; a peer that lags behind further gets the whole folder.
 const MAX_RECENT_BYTES: usize = 512 * 1024;
 
-/// Says what became of a delta.
+/// The result of applying a delta.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Applied {
-    /// The configuration advanced to this version.
+    /// The configuration is now at this version.
     Advanced(u64),
-    /// The delta leads to the version held, or an older one.
+    /// The delta leads to the current version or to an older one.
     Ignored,
-    /// The delta is based on another state than the one held; a full delta is needed.
+    /// The delta is based on a state other than the current one; a full delta is needed.
     NeedsFull,
-    /// The whole after the delta would not be valid; nothing changed.
+    /// The configuration would be invalid after the delta; nothing has changed.
     Invalid(Vec<ConfigProblem>),
 }
 
-/// Holds one version of the configuration.
+/// One version of the configuration.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
-    /// Version; 0 before the first.
+    /// Version; 0 before the first configuration.
     pub version: u64,
-    /// Hash of the folder.
+    /// Digest of the folder.
     pub digest: u64,
-    /// What is in force.
-    pub effective: Effective,
+    /// The merged configuration.
+    pub effective: EffectiveConfig,
 }
 
-/// Holds the configuration of a process: read without a lock, and advanced by deltas.
-pub struct Held {
+/// The configuration of a process, which is read without a lock and updated by deltas.
+pub struct CurrentConfig {
     current: ArcSwap<Snapshot>,
     writer: Mutex<Writer>,
 }
@@ -49,33 +49,33 @@
 #[derive(Default)]
 struct Writer {
     files: Vec<ConfigFile>,
-    // Each delta is based on the version of the one before it.
+    // Each delta is based on the version of the delta before it.
     recent: VecDeque<ConfigDelta>,
     recent_bytes: usize,
 }
 
-impl Debug for Held {
+impl Debug for CurrentConfig {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Held")
+        f.debug_struct("CurrentConfig")
             .field("version", &self.version())
             .finish_non_exhaustive()
     }
 }
 
-impl Default for Held {
+impl Default for CurrentConfig {
     fn default() -> Self {
         Self::empty()
     }
 }
 
-impl Held {
-    /// Returns a holder of an empty folder, at version 0.
+impl CurrentConfig {
+    /// Returns the configuration of an empty folder, at version 0.
     #[must_use]
     pub fn empty() -> Self {
         let snapshot = Snapshot {
             version: 0,
             digest: folder::digest(&[]),
-            effective: Effective::default(),
+            effective: EffectiveConfig::default(),
         };
         Self {
             current: ArcSwap::from_pointee(snapshot),
@@ -83,53 +83,53 @@
         }
     }
 
-    /// Returns the version held; 0 before the first.
+    /// Returns the current version; 0 before the first configuration.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.current.load().version
     }
 
-    /// Returns the configuration in force for a short read; it takes no lock and no reference count.
+    /// Returns the current configuration for a short read, without a lock or a reference count.
     #[must_use]
     pub fn load(&self) -> Guard<Arc<Snapshot>> {
         self.current.load()
     }
 
-    /// Returns the configuration in force, to be kept across waits.
+    /// Returns the current configuration, for a caller that keeps it across await points.
     #[must_use]
     pub fn current(&self) -> Arc<Snapshot> {
         self.current.load_full()
     }
 
-    /// Returns the files held, sorted by name.
+    /// Returns the files of the current version, sorted by name.
     #[must_use]
     pub fn files(&self) -> Vec<ConfigFile> {
         self.lock().files.clone()
     }
 
-    /// Applies a delta from control or a peer; readers see the old version or the new one, whole.
+    /// Applies a delta from control or a peer; readers see either the whole old version or the whole new one.
     pub fn apply(&self, delta: &ConfigDelta) -> Applied {
-        // Held over the merge, so that two deltas can't pass the check of the version together.
+        // The lock is held during the merge, so that two concurrent deltas can't both pass the version check.
         let mut writer = self.lock();
-        let held = self.version();
-        if delta.version <= held {
+        let current_version = self.version();
+        if delta.version <= current_version {
             return Applied::Ignored;
         }
         let is_full = delta.base_version == 0;
-        if !is_full && delta.base_version != held {
+        if !is_full && delta.base_version != current_version {
             return Applied::NeedsFull;
         }
         let old: &[ConfigFile] = if is_full { &[] } else { &writer.files };
         let files = folder::apply(old, &delta.put, &delta.removed);
         let digest = folder::digest(&files);
         if digest != delta.digest {
-            return refuse_digest(is_full);
+            return reject_digest(is_full);
         }
-        let effective = match Effective::merge(&files) {
+        let effective = match EffectiveConfig::merge(&files) {
             Ok(effective) => effective,
             Err(problems) => return Applied::Invalid(problems),
         };
-        writer.advance(files, delta, held);
+        writer.advance(files, delta, current_version);
         self.current.store(Arc::new(Snapshot {
             version: delta.version,
             digest,
@@ -138,7 +138,7 @@
         Applied::Advanced(delta.version)
     }
 
-    /// Returns what brings a peer from `version` to the version held: a delta from the recent ones, or the whole folder.
+    /// Returns a delta from `version` to the current version, built from the recent deltas or else from the whole folder.
     #[must_use]
     pub fn delta_since(&self, version: u64) -> Option<ConfigDelta> {
         let writer = self.lock();
@@ -146,8 +146,8 @@
         if version >= current.version {
             return None;
         }
-        let chain = writer.chain(version);
-        let (base_version, put, removed) = match chain {
+        let combined = writer.combined_since(version);
+        let (base_version, put, removed) = match combined {
             Some((put, removed)) => (version, put, removed),
             None => (0, writer.files.clone(), Vec::new()),
         };
@@ -165,8 +165,8 @@
     }
 }
 
-// A full delta whose own digest is wrong is damaged, and asking for it again in full would loop.
-fn refuse_digest(is_full: bool) -> Applied {
+// A full delta that does not match its own digest is damaged; requesting it in full again would loop.
+fn reject_digest(is_full: bool) -> Applied {
     if !is_full {
         return Applied::NeedsFull;
     }
@@ -179,9 +179,9 @@
 }
 
 impl Writer {
-    fn advance(&mut self, files: Vec<ConfigFile>, delta: &ConfigDelta, held: u64) {
+    fn advance(&mut self, files: Vec<ConfigFile>, delta: &ConfigDelta, current_version: u64) {
         self.files = files;
-        if delta.base_version != held || held == 0 {
+        if delta.base_version != current_version || current_version == 0 {
             self.recent.clear();
             self.recent_bytes = 0;
             return;
@@ -196,7 +196,8 @@
         }
     }
 
-    fn chain(&self, version: u64) -> Option<(Vec<ConfigFile>, Vec<Box<str>>)> {
+    /// Returns the files to put and the names to remove since a version, or none when the kept deltas do not reach back to it.
+    fn combined_since(&self, version: u64) -> Option<(Vec<ConfigFile>, Vec<Box<str>>)> {
         let mut later = self
             .recent
             .iter()
--- a/crates/config/src/folder.rs
+++ b/crates/config/src/folder.rs
@@ -1,4 +1,4 @@
-//! Reads the operators' folder, and compares two states of it.
+//! Reads the operators' folder, and computes the changes between two states of it.
 
 use std::fmt::{self, Display};
 use std::fs::{self, File};
@@ -9,23 +9,23 @@
 
 use crate::ConfigFile;
 use crate::check::Report;
-use crate::tree::Place;
+use crate::tree::Position;
 
-/// Longest file, in bytes. Larger files would make a change of one line travel as a megabyte.
+/// Size of the largest file. A changed file is sent whole, so a change of one line sends up to this many bytes.
 pub const MAX_FILE_BYTES: usize = 1024 * 1024;
 
-/// Longest folder, in bytes; control holds it within 32 MB, beside the copy that a change replaces.
+/// Size of the largest folder; control keeps it within 32 MB of memory, beside the copy that a change replaces.
 pub const MAX_FOLDER_BYTES: usize = 4 * 1024 * 1024;
 
-/// Most files; one for each of 1,500 teams fits twice.
+/// Most files of a folder; more than twice as many as one for each of 1,500 teams.
 pub const MAX_FILES: usize = 4096;
 
-/// Longest file name, in bytes.
+/// Length of the longest file name.
 pub const MAX_NAME_BYTES: usize = 128;
 
 const SUFFIX: &str = ".toml";
 
-/// Says which file or folder can't be read, and why.
+/// An error that tells which file or folder can't be read, and why.
 #[derive(Debug)]
 pub struct FolderError {
     path: PathBuf,
@@ -64,56 +64,57 @@
     }
 }
 
-/// Reads the `*.toml` files of a folder in the order of their names; names that begin with a dot are left out.
+/// Reads the `*.toml` files of a folder, sorted by name; files whose names begin with a dot are skipped.
 ///
 /// # Errors
 ///
-/// Returns an error when a file can't be read as UTF-8 text, or a bound on sizes is exceeded.
+/// Returns an error when a file can't be read as UTF-8 text, or when a size limit is exceeded.
 pub fn read(path: &Path) -> Result<Vec<ConfigFile>, FolderError> {
-    let mut names = names(path).map_err(|error| failure(path, Cause::Read(error)))?;
-    names.sort_unstable();
-    if names.len() > MAX_FILES {
-        return Err(failure(path, Cause::TooMany));
+    let mut file_names =
+        file_names(path).map_err(|error| folder_error(path, Cause::Read(error)))?;
+    file_names.sort_unstable();
+    if file_names.len() > MAX_FILES {
+        return Err(folder_error(path, Cause::TooMany));
     }
-    let mut files = Vec::with_capacity(names.len());
+    let mut files = Vec::with_capacity(file_names.len());
     let mut folder_bytes = 0;
-    for name in names {
+    for name in file_names {
         let file = read_file(&path.join(&name), name)?;
         folder_bytes += file.text.len();
         if folder_bytes > MAX_FOLDER_BYTES {
-            return Err(failure(path, Cause::FolderTooLong));
+            return Err(folder_error(path, Cause::FolderTooLong));
         }
         files.push(file);
     }
     Ok(files)
 }
 
-fn names(path: &Path) -> io::Result<Vec<String>> {
-    let mut names = Vec::new();
+fn file_names(path: &Path) -> io::Result<Vec<String>> {
+    let mut file_names = Vec::new();
     for entry in fs::read_dir(path)? {
         let entry = entry?;
         let name = entry.file_name();
         let Some(name) = name.to_str() else {
             continue;
         };
-        let is_wanted = name.ends_with(SUFFIX) && !name.starts_with('.');
-        if is_wanted && fs::metadata(entry.path())?.is_file() {
-            names.push(name.to_owned());
+        let is_config_file = name.ends_with(SUFFIX) && !name.starts_with('.');
+        if is_config_file && fs::metadata(entry.path())?.is_file() {
+            file_names.push(name.to_owned());
         }
     }
-    Ok(names)
+    Ok(file_names)
 }
 
 fn read_file(path: &Path, name: String) -> Result<ConfigFile, FolderError> {
     let mut text = String::new();
     File::open(path)
         .and_then(|file| {
-            let mut bounded = file.take(MAX_FILE_BYTES as u64 + 1);
-            bounded.read_to_string(&mut text)
+            let mut limited = file.take(MAX_FILE_BYTES as u64 + 1);
+            limited.read_to_string(&mut text)
         })
-        .map_err(|error| failure(path, Cause::Read(error)))?;
+        .map_err(|error| folder_error(path, Cause::Read(error)))?;
     if text.len() > MAX_FILE_BYTES {
-        return Err(failure(path, Cause::TooLong));
+        return Err(folder_error(path, Cause::TooLong));
     }
     Ok(ConfigFile {
         name: name.into(),
@@ -121,37 +122,37 @@
     })
 }
 
-fn failure(path: &Path, cause: Cause) -> FolderError {
+fn folder_error(path: &Path, cause: Cause) -> FolderError {
     FolderError {
         path: path.to_owned(),
         cause,
     }
 }
 
-/// Reports files that came in a message and would not fit a folder; the files are sorted by name.
-pub(crate) fn check_bounds(files: &[&ConfigFile], report: &mut Report<'_>) {
-    let nowhere = |file| Place { file, line: 0 };
+/// Reports files from a message that would break a limit of the folder; the files are sorted by name.
+pub(crate) fn check_limits(files: &[&ConfigFile], report: &mut Report<'_>) {
+    let whole_file = |file| Position { file, line: 0 };
     let bytes: usize = files.iter().map(|file| file.text.len()).sum();
     if files.len() > MAX_FILES || bytes > MAX_FOLDER_BYTES {
         let message = format!(
             "the folder is too large; allowed are {MAX_FILES} files with {MAX_FOLDER_BYTES} bytes together"
         );
-        report.add(nowhere(0), "", message);
+        report.add(whole_file(0), "", message);
     }
     for (index, file) in (0..).zip(files) {
         if file.text.len() > MAX_FILE_BYTES {
             let message = format!("the file is too long; allowed are {MAX_FILE_BYTES} bytes");
-            report.add(nowhere(index), "", message);
+            report.add(whole_file(index), "", message);
         }
         if !is_file_name(&file.name) {
-            let message = "this name is refused; allowed are names of up to 128 bytes that end in .toml, without / and a dot at the start";
-            report.add(nowhere(index), "", message);
+            let message = "this file name is not valid; allowed are names of up to 128 bytes that end in .toml, without / and without a dot at the start";
+            report.add(whole_file(index), "", message);
         }
     }
     for (index, pair) in (0..).zip(files.windows(2)) {
         if pair[0].name == pair[1].name {
-            let message = "this name stands for two files; allowed is one";
-            report.add(nowhere(index), "", message);
+            let message = "two files have this name; allowed is one";
+            report.add(whole_file(index), "", message);
         }
     }
 }
@@ -163,7 +164,7 @@
         && !name.chars().any(|c| c == '/' || c.is_control())
 }
 
-/// Returns the files to put and the names to remove that lead from one state of the folder to another.
+/// Returns the files to put and the names to remove to get from one state of the folder to another.
 #[must_use]
 pub fn delta(old: &[ConfigFile], new: &[ConfigFile]) -> (Vec<ConfigFile>, Vec<Box<str>>) {
     let put = new.iter().filter(|file| !old.contains(file)).cloned();
@@ -173,7 +174,7 @@
     (put.collect(), removed.collect())
 }
 
-/// Returns the state of the folder after a change; files are sorted by name.
+/// Returns the folder after a change, with its files sorted by name.
 #[must_use]
 pub fn apply(old: &[ConfigFile], put: &[ConfigFile], removed: &[Box<str>]) -> Vec<ConfigFile> {
     let is_replaced = |name: &str| put.iter().any(|file| *file.name == *name);
@@ -185,14 +186,14 @@
     files
 }
 
-/// Returns a hash of names and contents that is the same on every instance, whatever the order of the files.
+/// Returns a hash of the files' names and contents; it does not depend on the order of the files or on the instance.
 #[must_use]
 pub fn digest(files: &[ConfigFile]) -> u64 {
     let mut files: Vec<_> = files.iter().collect();
     files.sort_unstable_by_key(|file| &file.name);
     let mut hash = Sha256::new();
     for file in files {
-        // The lengths keep the end of a name from passing for the start of a text.
+        // The lengths separate names from contents: without them, moving bytes from one to the other would keep the hash.
         for part in [&file.name, &file.text] {
             hash.update((part.len() as u64).to_le_bytes());
             hash.update(part.as_bytes());
--- a/crates/config/src/format.rs
+++ b/crates/config/src/format.rs
@@ -1,15 +1,15 @@
-//! Checks and normalises the text formats that the schemas name.
+//! Checks and normalises values in the formats that the schemas name.
 
 use std::net::SocketAddr;
 
 use toml::value::{Date, Datetime, Offset, Time};
 
-use crate::tree::Kind;
+use crate::tree::TomlValue;
 
-/// Longest name of a team, pool, instance and the like; names travel in every offer.
+/// Length of the longest name of a team, pool, instance and the like; names are sent in every offer.
 const MAX_NAME_BYTES: usize = 64;
 
-/// Longest free text, such as a model's name.
+/// Length of the longest free text, such as a model's name.
 const MAX_TEXT_BYTES: usize = 256;
 
 /// Parts per million in one percent.
@@ -17,18 +17,18 @@
 
 const MS_PER_DAY: i64 = 86_400_000;
 
-/// Brings a value into the form that the generated type holds, or says what is allowed.
-pub(crate) fn normalise(format: &str, kind: Kind) -> Result<Kind, &'static str> {
-    match (format, kind) {
-        ("address", Kind::Text(text)) => address(text),
-        ("name", Kind::Text(text)) => name(text),
-        ("path", Kind::Text(text)) => path(text),
-        ("text", Kind::Text(text)) => plain_text(text),
-        ("sha256", Kind::Text(text)) => sha256(&text),
-        ("epoch-ms", kind) => epoch_ms(&kind).ok_or(EPOCH_ALLOWED),
-        ("day-ms", kind) => day_ms(&kind).ok_or(DAY_ALLOWED),
-        ("percent", kind) => percent(&kind).ok_or(PERCENT_ALLOWED),
-        (_, kind) => Ok(kind),
+/// Converts a value to the representation in the generated type, or returns what is allowed.
+pub(crate) fn normalise(format: &str, value: TomlValue) -> Result<TomlValue, &'static str> {
+    match (format, value) {
+        ("address", TomlValue::Text(text)) => address(text),
+        ("name", TomlValue::Text(text)) => name(text),
+        ("path", TomlValue::Text(text)) => path(text),
+        ("text", TomlValue::Text(text)) => plain_text(text),
+        ("sha256", TomlValue::Text(text)) => sha256(&text),
+        ("epoch-ms", value) => epoch_ms(&value).ok_or(EPOCH_ALLOWED),
+        ("day-ms", value) => day_ms(&value).ok_or(DAY_ALLOWED),
+        ("percent", value) => percent(&value).ok_or(PERCENT_ALLOWED),
+        (_, value) => Ok(value),
     }
 }
 
@@ -37,63 +37,63 @@
 const DAY_ALLOWED: &str = "allowed is a time of day in UTC, such as 02:30";
 const PERCENT_ALLOWED: &str = "allowed is a percentage from 0 to 100";
 
-/// Says what a name may hold.
+/// The part of an error message that tells what a name may contain.
 pub(crate) const NAME_ALLOWED: &str = "allowed are 1 to 64 letters of a to z, digits, - and _";
 
-/// Returns whether the text is a name.
+/// Returns whether the text is a valid name.
 pub(crate) fn is_name(text: &str) -> bool {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
     !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.bytes().all(is_allowed)
 }
 
-fn name(text: Box<str>) -> Result<Kind, &'static str> {
+fn name(text: Box<str>) -> Result<TomlValue, &'static str> {
     if is_name(&text) {
-        Ok(Kind::Text(text))
+        Ok(TomlValue::Text(text))
     } else {
         Err(NAME_ALLOWED)
     }
 }
 
-fn address(text: Box<str>) -> Result<Kind, &'static str> {
+fn address(text: Box<str>) -> Result<TomlValue, &'static str> {
     if text.parse::<SocketAddr>().is_ok() {
-        Ok(Kind::Text(text))
+        Ok(TomlValue::Text(text))
     } else {
         Err("allowed is an IP number with a port, such as 10.0.0.1:7070 or [fd00::1]:7070")
     }
 }
 
-fn path(text: Box<str>) -> Result<Kind, &'static str> {
+fn path(text: Box<str>) -> Result<TomlValue, &'static str> {
     if text.is_empty() || text.contains('\0') {
         Err("allowed is the path of a file or folder")
     } else {
-        Ok(Kind::Text(text))
+        Ok(TomlValue::Text(text))
     }
 }
 
-fn plain_text(text: Box<str>) -> Result<Kind, &'static str> {
+fn plain_text(text: Box<str>) -> Result<TomlValue, &'static str> {
     if text.len() <= MAX_TEXT_BYTES && !text.chars().any(char::is_control) {
-        Ok(Kind::Text(text))
+        Ok(TomlValue::Text(text))
     } else {
         Err("allowed are up to 256 bytes without control characters")
     }
 }
 
-fn sha256(text: &str) -> Result<Kind, &'static str> {
+fn sha256(text: &str) -> Result<TomlValue, &'static str> {
     if text.len() == 64 && text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
-        Ok(Kind::Text(text.to_ascii_lowercase().into()))
+        Ok(TomlValue::Text(text.to_ascii_lowercase().into()))
     } else {
         Err("allowed is a SHA-256 as 64 hexadecimal digits")
     }
 }
 
-fn percent(kind: &Kind) -> Option<Kind> {
+fn percent(value: &TomlValue) -> Option<TomlValue> {
     #[expect(
         clippy::cast_precision_loss,
         reason = "an integer too large for a float is far above 100 and refused"
     )]
-    let percent = match kind {
-        Kind::Integer(integer) => *integer as f64,
-        Kind::Float(float) => *float,
+    let percent = match value {
+        TomlValue::Integer(integer) => *integer as f64,
+        TomlValue::Float(float) => *float,
         _ => return None,
     };
     if !(0.0..=100.0).contains(&percent) {
@@ -104,31 +104,33 @@
         reason = "the range was checked just above"
     )]
     let ppm = (percent * PPM_PER_PERCENT).round() as i128;
-    Some(Kind::Integer(ppm))
+    Some(TomlValue::Integer(ppm))
 }
 
-fn epoch_ms(kind: &Kind) -> Option<Kind> {
-    let ms = match kind {
-        Kind::Integer(integer) => return (*integer >= 0).then_some(Kind::Integer(*integer)),
-        Kind::Time(time) => ms_since_1970(time)?,
-        Kind::Text(text) => ms_since_1970(&text.parse().ok()?)?,
+fn epoch_ms(value: &TomlValue) -> Option<TomlValue> {
+    let ms = match value {
+        TomlValue::Integer(integer) => {
+            return (*integer >= 0).then_some(TomlValue::Integer(*integer));
+        }
+        TomlValue::Time(time) => ms_since_1970(time)?,
+        TomlValue::Text(text) => ms_since_1970(&text.parse().ok()?)?,
         _ => return None,
     };
-    (ms >= 0).then_some(Kind::Integer(ms.into()))
+    (ms >= 0).then_some(TomlValue::Integer(ms.into()))
 }
 
-fn day_ms(kind: &Kind) -> Option<Kind> {
-    let time = match kind {
-        Kind::Integer(integer) => {
+fn day_ms(value: &TomlValue) -> Option<TomlValue> {
+    let time = match value {
+        TomlValue::Integer(integer) => {
             let is_of_day = (0..i128::from(MS_PER_DAY)).contains(integer);
-            return is_of_day.then_some(Kind::Integer(*integer));
+            return is_of_day.then_some(TomlValue::Integer(*integer));
         }
-        Kind::Time(time) => *time,
-        Kind::Text(text) => text.parse::<Datetime>().ok()?,
+        TomlValue::Time(time) => *time,
+        TomlValue::Text(text) => text.parse::<Datetime>().ok()?,
         _ => return None,
     };
     match (time.date, time.time, time.offset) {
-        (None, Some(time), None) => Some(Kind::Integer(ms_since_midnight(time).into())),
+        (None, Some(time), None) => Some(TomlValue::Integer(ms_since_midnight(time).into())),
         _ => None,
     }
 }
@@ -149,7 +151,7 @@
     seconds * 1_000 + i64::from(time.nanosecond.unwrap_or(0)) / 1_000_000
 }
 
-// Counts years from the first of March, so that the leap day ends a year; 400 years have 146,097 days.
+// Years are counted from 1 March, so that a leap day is the last day of a year; 400 years have 146,097 days.
 fn days_since_1970(date: Date) -> i64 {
     let month = i64::from(date.month);
     let year = i64::from(date.year) - i64::from(month <= 2);
--- a/crates/config/src/nearest.rs
+++ b/crates/config/src/nearest.rs
@@ -1,20 +1,20 @@
-//! Finds the known key that a mistyped key most resembles.
+//! Finds the known name that is most similar to a mistyped one.
 
-/// Returns the known key nearest to `unknown`, when at most a third of its letters differ.
+/// Returns the known name closest to `unknown`, if at most a third of the letters differ.
 pub(crate) fn nearest<'a>(unknown: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
-    // A long key can't be near any of ours, and the distance costs the product of the lengths.
+    // A name that long can't be close to a known one, and computing a distance costs the product of both lengths.
     let length = unknown.chars().count();
     if length > 64 {
         return None;
     }
     known
-        .map(|key| (distance(unknown, key), key))
-        .filter(|(steps, key)| *steps <= key.len().max(length).div_ceil(3))
+        .map(|name| (distance(unknown, name), name))
+        .filter(|(edits, name)| *edits <= name.len().max(length).div_ceil(3))
         .min()
-        .map(|(_, key)| key)
+        .map(|(_, name)| name)
 }
 
-// Levenshtein distance, one row at a time.
+// Returns the Levenshtein distance, computed row by row.
 fn distance(left: &str, right: &str) -> usize {
     let mut row: Vec<usize> = (0..=right.chars().count()).collect();
     for (i, a) in left.chars().enumerate() {
--- a/crates/config/src/secret.rs
+++ b/crates/config/src/secret.rs
@@ -1,4 +1,4 @@
-//! Reads key files, and keeps their contents out of logs.
+//! Secrets read from key files, which are never printed.
 
 use std::fmt::{self, Debug, Display};
 use std::fs::File;
@@ -6,13 +6,13 @@
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 
-/// Modes that a key file may have: its owner alone may read it.
+/// Modes that a key file may have; both let only its owner read it.
 const ALLOWED_MODES: [u32; 2] = [0o600, 0o400];
 
-/// Longest key file, in bytes; the keys of a thousand operators fit.
+/// Size of the largest key file, enough for the keys of a thousand operators.
 const MAX_KEY_BYTES: u64 = 256 * 1024;
 
-/// Holds a key that is never shown.
+/// A key whose bytes are never printed.
 #[derive(Clone, Eq, PartialEq)]
 pub struct Secret(Box<[u8]>);
 
@@ -23,37 +23,39 @@
         Self(bytes.into())
     }
 
-    /// Reads a key file; spaces and line ends around the key are no part of it.
+    /// Reads a key file, without the white space around the key.
     ///
     /// # Errors
     ///
-    /// Returns an error when the file can't be read, is empty or too long, or is open to others than its owner.
+    /// Returns an error when the file can't be read, is empty or too long, or has a mode that is not allowed.
     pub fn read(path: &Path) -> Result<Self, SecretError> {
-        let fail = |cause| SecretError {
+        let error_with = |cause| SecretError {
             path: path.to_owned(),
             cause,
         };
-        let mut file = File::open(path).map_err(|error| fail(Cause::Read(error)))?;
-        // The mode is asked of the open file, so that it can't be exchanged in between.
-        let metadata = file.metadata().map_err(|error| fail(Cause::Read(error)))?;
+        let mut file = File::open(path).map_err(|error| error_with(Cause::Read(error)))?;
+        // The mode is that of the open file, so that the file can't be replaced between the check and the read.
+        let metadata = file
+            .metadata()
+            .map_err(|error| error_with(Cause::Read(error)))?;
         let mode = metadata.permissions().mode() & 0o7777;
         if !metadata.is_file() {
-            return Err(fail(Cause::NoFile));
+            return Err(error_with(Cause::NotAFile));
         }
         if !ALLOWED_MODES.contains(&mode) {
-            return Err(fail(Cause::Mode(mode)));
+            return Err(error_with(Cause::Mode(mode)));
         }
         let mut bytes = Vec::new();
-        let mut bounded = Read::by_ref(&mut file).take(MAX_KEY_BYTES + 1);
-        bounded
+        let mut limited = Read::by_ref(&mut file).take(MAX_KEY_BYTES + 1);
+        limited
             .read_to_end(&mut bytes)
-            .map_err(|error| fail(Cause::Read(error)))?;
+            .map_err(|error| error_with(Cause::Read(error)))?;
         if bytes.len() as u64 > MAX_KEY_BYTES {
-            return Err(fail(Cause::TooLong));
+            return Err(error_with(Cause::TooLong));
         }
         let key = bytes.trim_ascii();
         if key.is_empty() {
-            return Err(fail(Cause::Empty));
+            return Err(error_with(Cause::Empty));
         }
         Ok(Self::new(key))
     }
@@ -71,7 +73,7 @@
     }
 }
 
-/// Says why a key file was refused.
+/// An error that tells why a key file was rejected.
 #[derive(Debug)]
 pub struct SecretError {
     path: PathBuf,
@@ -81,16 +83,16 @@
 #[derive(Debug)]
 enum Cause {
     Read(io::Error),
-    NoFile,
+    NotAFile,
     Mode(u32),
     TooLong,
     Empty,
 }
 
 impl SecretError {
-    /// Returns whether the file may be read by others than its owner.
+    /// Returns whether the file was rejected because of its mode.
     #[must_use]
-    pub fn is_mode(&self) -> bool {
+    pub fn is_wrong_mode(&self) -> bool {
         matches!(self.cause, Cause::Mode(_))
     }
 }
@@ -100,7 +102,7 @@
         let path = self.path.display();
         match &self.cause {
             Cause::Read(error) => write!(f, "the key file {path} can't be read: {error}"),
-            Cause::NoFile => write!(f, "{path} is not a file; allowed is a key file"),
+            Cause::NotAFile => write!(f, "{path} is not a file; allowed is a key file"),
             Cause::Mode(mode) => write!(
                 f,
                 "the key file {path} has mode {mode:04o}; allowed are 0600 and 0400: run `chmod 600 {path}`"
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,4 +1,4 @@
-//! Loads the settings of one process.
+//! Loads and checks the settings of a process.
 
 use std::fmt::{self, Display};
 use std::fs::File;
@@ -15,21 +15,21 @@
 use crate::ConfigProblem;
 use crate::check::{Report, Schema};
 use crate::secret::Secret;
-use crate::tree::{self, Node, Place};
+use crate::tree::{self, Node, Position};
 
-/// Longest settings file, in bytes; a full one has under 8 KiB.
+/// Size of the largest settings file; one with every key set has under 8 KiB.
 const MAX_SETTINGS_BYTES: u64 = 1024 * 1024;
 
-/// Name of the file in the problems of a text that was checked without one.
-const NO_FILE: &str = "settings";
+/// File name in the problems of a text that was not read from a file.
+const UNNAMED_FILE: &str = "settings";
 
 static SCHEMA: LazyLock<Schema> =
     LazyLock::new(|| Schema::read(hinge_schema::settings::SCHEMA, "Settings"));
 
-/// Says what is wrong with the settings.
+/// The problems of invalid settings.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SettingsError {
-    /// Every problem, in the order of the file.
+    /// Every problem, in the order of lines.
     pub problems: Vec<ConfigProblem>,
 }
 
@@ -42,7 +42,7 @@
 
 impl std::error::Error for SettingsError {}
 
-/// Reads and checks a settings file, and the modes of the key files that it names.
+/// Reads and checks a settings file, and checks the key files that it names.
 ///
 /// # Errors
 ///
@@ -50,7 +50,7 @@
 pub fn load(path: &Path) -> Result<Settings, SettingsError> {
     let name = path.display().to_string();
     let text = read(path, &name)?;
-    let (settings, tree) = checked(&name, &text)?;
+    let (settings, tree) = parse_and_check(&name, &text)?;
     let mut report = Report::new(vec![&name]);
     let keys = [
         ("cluster_key_file", settings.cluster_key_file.as_deref()),
@@ -61,29 +61,29 @@
     ];
     for (key, path) in keys {
         if let Some(Err(error)) = path.map(Secret::read) {
-            report.add(tree.nearest(key).place, key, error.to_string());
+            report.add(tree.nearest(key).position, key, error.to_string());
         }
     }
-    finish(&mut report, settings)
+    finish_report(&mut report, settings)
 }
 
-/// Reads and checks a settings file as [`load`] does, and checks that it has every key that a role needs.
+/// Reads and checks a settings file like [`load`], and checks that it has every key that a role needs.
 ///
 /// # Errors
 ///
 /// Returns every problem that was found.
-pub fn load_for(path: &Path, role: Role) -> Result<Settings, SettingsError> {
+pub fn load_for_role(path: &Path, role: Role) -> Result<Settings, SettingsError> {
     let settings = load(path)?;
-    let problems = missing_for(&path.display().to_string(), &settings, role);
+    let problems = missing_keys(&path.display().to_string(), &settings, role);
     if problems.is_empty() {
         return Ok(settings);
     }
     Err(SettingsError { problems })
 }
 
-/// Returns a problem for each key that a role needs and that the settings don't have.
+/// Returns a problem for each key that a role needs but the settings lack.
 #[must_use]
-pub fn missing_for(file: &str, settings: &Settings, role: Role) -> Vec<ConfigProblem> {
+pub fn missing_keys(file: &str, settings: &Settings, role: Role) -> Vec<ConfigProblem> {
     let control = &settings.control;
     let needs: &[(&str, bool)] = match role {
         Role::Entry | Role::Relay => &[],
@@ -103,7 +103,7 @@
             ),
         ],
     };
-    // A control instance finds the others by its own list.
+    // A control instance finds the others by its list of peers or founders.
     let finds_control = role == Role::Control || !settings.control_addresses.is_empty();
     let shared = [
         (
@@ -113,7 +113,7 @@
         ("control_addresses", finds_control),
     ];
     let all = shared.iter().chain(needs);
-    let missing = all.filter(|(_, is_there)| !is_there);
+    let missing = all.filter(|(_, is_present)| !is_present);
     missing
         .map(|(key, _)| ConfigProblem {
             file: file.into(),
@@ -124,13 +124,13 @@
         .collect()
 }
 
-/// Checks the text of a settings file, without the files that it names.
+/// Checks the text of a settings file, but not the files that it names.
 ///
 /// # Errors
 ///
 /// Returns every problem that was found.
 pub fn check(text: &str) -> Result<Settings, SettingsError> {
-    checked(NO_FILE, text).map(|(settings, _)| settings)
+    parse_and_check(UNNAMED_FILE, text).map(|(settings, _)| settings)
 }
 
 fn read(path: &Path, name: &str) -> Result<String, SettingsError> {
@@ -145,86 +145,88 @@
         Ok(_) => return Ok(text),
     };
     let mut report = Report::new(vec![name]);
-    report.add(Place { file: 0, line: 0 }, "", message);
-    finish(&mut report, text)
+    report.add(Position { file: 0, line: 0 }, "", message);
+    finish_report(&mut report, text)
 }
 
-fn checked(name: &str, text: &str) -> Result<(Settings, Node), SettingsError> {
+fn parse_and_check(name: &str, text: &str) -> Result<(Settings, Node), SettingsError> {
     let mut report = Report::new(vec![name]);
     let mut node = match tree::parse(0, text) {
         Ok(node) => node,
         Err(error) => {
-            let place = Place {
+            let position = Position {
                 file: 0,
                 line: error.line,
             };
-            report.add(place, "", error.message);
-            return Err(finish(&mut report, ()).expect_err("a problem was just added"));
+            report.add(position, "", error.message);
+            return Err(finish_report(&mut report, ()).expect_err("a problem was just added"));
         }
     };
     SCHEMA.check(&mut node, &mut report);
-    finish(&mut report, ())?;
+    finish_report(&mut report, ())?;
     let value = SCHEMA.complete(&node, &mut report);
-    finish(&mut report, ())?;
+    finish_report(&mut report, ())?;
     let settings: Settings = match serde_json::from_value(value) {
         Ok(settings) => settings,
         Err(error) => {
-            report.add(node.place, "", error.to_string());
-            return Err(finish(&mut report, ()).expect_err("a problem was just added"));
+            report.add(node.position, "", error.to_string());
+            return Err(finish_report(&mut report, ()).expect_err("a problem was just added"));
         }
     };
-    check_together(&settings, &node, &mut report);
-    finish(&mut report, (settings, node))
+    check_key_combinations(&settings, &node, &mut report);
+    finish_report(&mut report, (settings, node))
 }
 
-fn finish<T>(report: &mut Report<'_>, value: T) -> Result<T, SettingsError> {
+fn finish_report<T>(report: &mut Report<'_>, value: T) -> Result<T, SettingsError> {
     report
         .finish(value)
         .map_err(|problems| SettingsError { problems })
 }
 
-// Checks what no single key shows.
-fn check_together(settings: &Settings, node: &Node, report: &mut Report<'_>) {
-    let mut refuse = |key: &str, message: String| {
-        report.add(node.nearest(key).place, key, message);
+// Checks constraints between several keys.
+fn check_key_combinations(settings: &Settings, node: &Node, report: &mut Report<'_>) {
+    let mut reject = |key: &str, message: String| {
+        report.add(node.nearest(key).position, key, message);
     };
     if settings.peer_listen.ip().is_unspecified() && settings.peer_advertise.is_none() {
         let message = "this address is a wildcard, which no other process can reach; add it, or bind one address";
-        refuse("peer_advertise", message.to_owned());
+        reject("peer_advertise", message.to_owned());
     }
     let entry = &settings.entry;
     if entry.max_waiting_bytes < entry.max_body_bytes {
         let least = entry.max_body_bytes;
-        refuse(
+        reject(
             "entry.max_waiting_bytes",
-            format!("one body may be longer; allowed are {least} (entry.max_body_bytes) or more"),
+            format!(
+                "a single body may be longer than this; allowed are {least} (entry.max_body_bytes) or more"
+            ),
         );
     }
     let control = &settings.control;
     if control.heartbeat_ms * 2 > control.election_timeout_ms {
         let most = control.election_timeout_ms / 2;
-        refuse(
+        reject(
             "control.heartbeat_ms",
             format!(
-                "one lost heartbeat would begin an election; allowed are up to {most}, half of control.election_timeout_ms"
+                "one lost heartbeat would start an election; allowed are up to {most}, half of control.election_timeout_ms"
             ),
         );
     }
     if control.diskless && settings.data_folder.is_some() {
         let message = "an instance with a data folder has a disk; allowed is one of the two";
-        refuse("control.diskless", message.to_owned());
+        reject("control.diskless", message.to_owned());
     }
     let mut names: Vec<_> = control.peers.iter().map(|peer| &peer.instance).collect();
     names.sort_unstable();
     if names.windows(2).any(|pair| pair[0] == pair[1]) {
-        refuse(
+        reject(
             "control.peers",
-            "an instance stands here twice; allowed is once".to_owned(),
+            "an instance is listed twice; allowed is once".to_owned(),
         );
     }
     let is_peer = names.contains(&&settings.instance);
     if control.bootstrap && control.founders.is_empty() && !is_peer {
         let message = "a first start needs the list of control instances, with this instance in it";
-        refuse("control.peers", message.to_owned());
+        reject("control.peers", message.to_owned());
     }
 }
--- a/crates/config/src/sorted.rs
+++ b/crates/config/src/sorted_map.rs
@@ -1,32 +1,32 @@
-//! Holds a map as one sorted list, small in memory and read by index.
+//! A map stored as a sorted list, which takes little memory and can be read by index.
 
 use std::collections::BTreeMap;
 
-/// Holds values by name, in the order of the names.
+/// A map from names to values, in the order of the names.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Sorted<T>(Box<[(Box<str>, T)]>);
+pub struct SortedMap<T>(Box<[(Box<str>, T)]>);
 
-impl<T> Sorted<T> {
-    /// Returns the value with that name.
+impl<T> SortedMap<T> {
+    /// Returns the value of a name.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&T> {
         let index = self.index(name)?;
         Some(&self.0[index].1)
     }
 
-    /// Returns the place of a name in the order of names.
+    /// Returns the index of a name in the order of names.
     #[must_use]
     pub fn index(&self, name: &str) -> Option<usize> {
         self.0.binary_search_by(|(key, _)| (**key).cmp(name)).ok()
     }
 
-    /// Returns the name and value at a place.
+    /// Returns the name and the value at an index.
     #[must_use]
     pub fn at(&self, index: usize) -> Option<(&str, &T)> {
         self.0.get(index).map(|(name, value)| (&**name, value))
     }
 
-    /// Returns whether a value has that name.
+    /// Returns whether there is a value of that name.
     #[must_use]
     pub fn contains(&self, name: &str) -> bool {
         self.index(name).is_some()
@@ -51,13 +51,13 @@
     }
 }
 
-impl<T> Default for Sorted<T> {
+impl<T> Default for SortedMap<T> {
     fn default() -> Self {
         Self(Box::default())
     }
 }
 
-impl<T> From<BTreeMap<Box<str>, T>> for Sorted<T> {
+impl<T> From<BTreeMap<Box<str>, T>> for SortedMap<T> {
     fn from(map: BTreeMap<Box<str>, T>) -> Self {
         Self(map.into_iter().collect())
     }
--- a/crates/config/src/tree.rs
+++ b/crates/config/src/tree.rs
@@ -1,4 +1,4 @@
-//! Holds a parsed TOML file as a tree whose every node knows its file and line.
+//! A parsed TOML file, as a tree whose nodes know their file and line.
 
 use std::collections::BTreeMap;
 
@@ -6,23 +6,25 @@
 use toml::de::{DeTable, DeValue};
 use toml::value::Datetime;
 
-/// Says where a value stands.
+/// The file and line of a value.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) struct Place {
+pub(crate) struct Position {
     /// Index of the file in the list of files.
     pub(crate) file: u32,
-    /// Line, from 1; 0 when the value stands in no line.
+    /// Line number, from 1; 0 for a problem that belongs to no line.
     pub(crate) line: u32,
 }
 
+/// A value with its position.
 #[derive(Debug)]
 pub(crate) struct Node {
-    pub(crate) place: Place,
-    pub(crate) kind: Kind,
+    pub(crate) position: Position,
+    pub(crate) value: TomlValue,
 }
 
+/// A value of a TOML file.
 #[derive(Debug)]
-pub(crate) enum Kind {
+pub(crate) enum TomlValue {
     Table(BTreeMap<Box<str>, Node>),
     Array(Vec<Node>),
     Text(Box<str>),
@@ -32,9 +34,9 @@
     Time(Datetime),
 }
 
-impl Kind {
-    /// Returns the name of the kind, for messages.
-    pub(crate) fn name(&self) -> &'static str {
+impl TomlValue {
+    /// Returns the name of the value's type, for messages.
+    pub(crate) fn type_name(&self) -> &'static str {
         match self {
             Self::Table(_) => "a table",
             Self::Array(_) => "a list",
@@ -47,7 +49,7 @@
     }
 }
 
-/// Says where a text is no TOML, and why.
+/// An error that tells where a text is not valid TOML, and why.
 #[derive(Debug)]
 pub(crate) struct SyntaxError {
     pub(crate) line: u32,
@@ -56,22 +58,24 @@
 
 /// Parses one file.
 pub(crate) fn parse(file: u32, text: &str) -> Result<Node, SyntaxError> {
-    let lines = Lines::of(file, text);
+    let lines = LineIndex::new(file, text);
     let table = DeTable::parse(text).map_err(|error| SyntaxError {
-        line: error.span().map_or(0, |span| lines.place(span.start).line),
+        line: error
+            .span()
+            .map_or(0, |span| lines.position(span.start).line),
         message: error.message().trim().replace('\n', "; ").into(),
     })?;
-    let kind = table_kind(table.into_inner(), &lines)?;
-    let place = Place { file, line: 1 };
-    Ok(Node { place, kind })
+    let value = convert_table(table.into_inner(), &lines)?;
+    let position = Position { file, line: 1 };
+    Ok(Node { position, value })
 }
 
 impl Node {
-    /// Returns the node at a dotted path, or the nearest one above it.
+    /// Returns the node at a dotted path, or else its nearest ancestor.
     pub(crate) fn nearest(&self, path: &str) -> &Self {
         let mut node = self;
         for part in path.split('.') {
-            let Kind::Table(table) = &node.kind else {
+            let TomlValue::Table(table) = &node.value else {
                 return node;
             };
             let Some(next) = table.get(part) else {
@@ -84,15 +88,15 @@
 
     /// Merges a later file into this one: tables key by key, anything else as a whole.
     pub(crate) fn merge(&mut self, later: Self) {
-        match (&mut self.kind, later.kind) {
-            (Kind::Table(table), Kind::Table(later)) => {
+        match (&mut self.value, later.value) {
+            (TomlValue::Table(table), TomlValue::Table(later)) => {
                 for (key, node) in later {
                     merge_key(table, key, node);
                 }
             }
-            (kind, later_kind) => {
-                *kind = later_kind;
-                self.place = later.place;
+            (value, later_value) => {
+                *value = later_value;
+                self.position = later.position;
             }
         }
     }
@@ -107,65 +111,69 @@
     }
 }
 
-struct Lines {
+struct LineIndex {
     file: u32,
-    starts: Vec<usize>,
+    line_starts: Vec<usize>,
 }
 
-impl Lines {
-    fn of(file: u32, text: &str) -> Self {
+impl LineIndex {
+    fn new(file: u32, text: &str) -> Self {
         let ends = text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n');
-        let starts = ends.map(|(offset, _)| offset + 1).collect();
-        Self { file, starts }
+        let line_starts = ends.map(|(offset, _)| offset + 1).collect();
+        Self { file, line_starts }
     }
 
-    fn place(&self, offset: usize) -> Place {
-        let line = self.starts.partition_point(|start| *start <= offset) + 1;
-        Place {
+    fn position(&self, offset: usize) -> Position {
+        let line = self.line_starts.partition_point(|start| *start <= offset) + 1;
+        Position {
             file: self.file,
             line: u32::try_from(line).unwrap_or(u32::MAX),
         }
     }
 }
 
-fn table_kind(table: DeTable<'_>, lines: &Lines) -> Result<Kind, SyntaxError> {
+fn convert_table(table: DeTable<'_>, lines: &LineIndex) -> Result<TomlValue, SyntaxError> {
     let mut nodes = BTreeMap::new();
     for (key, value) in table {
-        let place = lines.place(key.span().start);
-        let kind = kind(value.into_inner(), place, lines)?;
-        nodes.insert(key.into_inner().into(), Node { place, kind });
+        let position = lines.position(key.span().start);
+        let value = convert_value(value.into_inner(), position, lines)?;
+        nodes.insert(key.into_inner().into(), Node { position, value });
     }
-    Ok(Kind::Table(nodes))
+    Ok(TomlValue::Table(nodes))
 }
 
-fn kind(value: DeValue<'_>, place: Place, lines: &Lines) -> Result<Kind, SyntaxError> {
+fn convert_value(
+    value: DeValue<'_>,
+    position: Position,
+    lines: &LineIndex,
+) -> Result<TomlValue, SyntaxError> {
     let out_of_range = |message: &str| SyntaxError {
-        line: place.line,
+        line: position.line,
         message: message.into(),
     };
     match value {
-        DeValue::String(text) => Ok(Kind::Text(text.into())),
+        DeValue::String(text) => Ok(TomlValue::Text(text.into())),
         DeValue::Integer(integer) => i128::from_str_radix(integer.as_str(), integer.radix())
-            .map(Kind::Integer)
+            .map(TomlValue::Integer)
             .map_err(|_range| out_of_range("the integer is out of range")),
         DeValue::Float(float) => float
             .as_str()
             .parse()
-            .map(Kind::Float)
+            .map(TomlValue::Float)
             .map_err(|_range| out_of_range("the number can't be read")),
-        DeValue::Boolean(boolean) => Ok(Kind::Boolean(boolean)),
-        DeValue::Datetime(time) => Ok(Kind::Time(time)),
+        DeValue::Boolean(boolean) => Ok(TomlValue::Boolean(boolean)),
+        DeValue::Datetime(time) => Ok(TomlValue::Time(time)),
         DeValue::Array(array) => array
             .into_iter()
-            .map(|item| element(item, lines))
+            .map(|item| array_item(item, lines))
             .collect::<Result<_, _>>()
-            .map(Kind::Array),
-        DeValue::Table(table) => table_kind(table, lines),
+            .map(TomlValue::Array),
+        DeValue::Table(table) => convert_table(table, lines),
     }
 }
 
-fn element(item: Spanned<DeValue<'_>>, lines: &Lines) -> Result<Node, SyntaxError> {
-    let place = lines.place(item.span().start);
-    let kind = kind(item.into_inner(), place, lines)?;
-    Ok(Node { place, kind })
+fn array_item(item: Spanned<DeValue<'_>>, lines: &LineIndex) -> Result<Node, SyntaxError> {
+    let position = lines.position(item.span().start);
+    let value = convert_value(item.into_inner(), position, lines)?;
+    Ok(Node { position, value })
 }
--- a/crates/control/examples/figures/log.rs
+++ b/crates/control/examples/figures/log.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use hinge_config::effective::Effective;
+use hinge_config::effective::EffectiveConfig;
 use hinge_control::{Control, Dial};
 use hinge_link::Client;
 use hinge_schema::messages::{ClaimBatchReply, Update, Watch};
@@ -109,7 +109,10 @@
     let files = folder(10);
     let began = Instant::now();
     for _ in 0..20 {
-        assert!(Effective::merge(&files).is_ok(), "the folder is valid");
+        assert!(
+            EffectiveConfig::merge(&files).is_ok(),
+            "the folder is valid"
+        );
     }
     println!("merge at one watcher: {:?}", began.elapsed() / 20);
     println!("watchers median_ms longest_ms (of 20 changes, folder of {TEAMS} teams)");
--- a/crates/control/src/relay.rs
+++ b/crates/control/src/relay.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
 use std::time::{Duration, Instant};
 
-use hinge_config::held::{Applied, Held};
+use hinge_config::current::{Applied, CurrentConfig};
 use hinge_link::{ClusterKey, Limits, Server, ServerHandle};
 use hinge_schema::messages::{Announce, AnnouncedBatch, Role, ServiceTotals, Update, Watch};
 use hinge_state::roster::Adopted;
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 pub(crate) struct RelayCore {
     pub(crate) settings: RelaySettings,
-    pub(crate) held: Held,
+    pub(crate) held: CurrentConfig,
     pub(crate) published: watch::Sender<u64>,
     pub(crate) incarnation: u64,
     /// Wakes the task that sends announcements to control.
@@ -139,7 +139,7 @@
         let core = Arc::new(RelayCore {
             downstream: Mutex::new(Downstream::new(settings.member_rules)),
             settings,
-            held: Held::empty(),
+            held: CurrentConfig::empty(),
             published,
             incarnation: crate::core::unix_now_ms(),
             has_changes: Notify::new(),
--- a/crates/control/src/upgrade.rs
+++ b/crates/control/src/upgrade.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 
-use hinge_config::effective::Effective;
+use hinge_config::effective::EffectiveConfig;
 use hinge_schema::messages::{AskUpgrades, DrainRecord, Member, OrderRecord, Upgrades};
 use hinge_state::{Command, Folder, InstanceName, OrderId, State, UpgradeStep, WallMs};
 use hinge_telemetry::log::Component;
@@ -27,7 +27,7 @@
 #[derive(Debug, Default)]
 struct PlannerState {
     is_running: AtomicBool,
-    merged: Mutex<Option<(u64, Arc<Effective>)>>,
+    merged: Mutex<Option<(u64, Arc<EffectiveConfig>)>>,
     /// Instances past their deadline, so that each is logged once.
     late: Mutex<BTreeSet<InstanceName>>,
 }
@@ -132,14 +132,14 @@
 
     /// Returns the merged folder, or `None` if a newer version accepted one that is not valid here; nothing is decided
     /// then.
-    fn merged(&self, folder: &Folder) -> Option<Arc<Effective>> {
+    fn merged(&self, folder: &Folder) -> Option<Arc<EffectiveConfig>> {
         let mut merged = self.0.merged.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some((version, effective)) = &*merged
             && *version == folder.version()
         {
             return Some(Arc::clone(effective));
         }
-        let effective = Arc::new(Effective::merge(folder.files()).ok()?);
+        let effective = Arc::new(EffectiveConfig::merge(folder.files()).ok()?);
         *merged = Some((folder.version(), Arc::clone(&effective)));
         Some(effective)
     }
--- a/crates/ctl/src/commands/diff.rs
+++ b/crates/ctl/src/commands/diff.rs
@@ -3,7 +3,7 @@
 use std::fmt::{self, Display};
 use std::path::Path;
 
-use hinge_config::effective::Effective;
+use hinge_config::effective::EffectiveConfig;
 use serde::Serialize;
 
 use crate::args::FolderOptions;
@@ -49,8 +49,8 @@
 /// # Errors
 ///
 /// Returns a failure when this client finds a problem that control did not, as an older one may.
-pub(crate) fn effective(in_force: &InForce) -> Result<Effective, Failure> {
-    Effective::merge(&in_force.files).map_err(|problems| {
+pub(crate) fn effective(in_force: &InForce) -> Result<EffectiveConfig, Failure> {
+    EffectiveConfig::merge(&in_force.files).map_err(|problems| {
         let version = in_force.version;
         let message = format!(
             "this client doesn't take version {version}, which is in force; it may be older than control"
--- a/crates/ctl/src/commands/report.rs
+++ b/crates/ctl/src/commands/report.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use hinge_burn::{Endpoint, Record, Recording, Slots};
-use hinge_config::effective::Effective;
+use hinge_config::effective::EffectiveConfig;
 use hinge_schema::messages::{AskStatus, Role};
 use tokio::time::{MissedTickBehavior, interval};
 
@@ -116,7 +116,7 @@
     }
 
     /// Returns the configuration: of the folder that was given, or else the one in force.
-    async fn effective(&self, link: &Link) -> Result<Effective, Failure> {
+    async fn effective(&self, link: &Link) -> Result<EffectiveConfig, Failure> {
         if let Some(folder) = self.folder {
             return Ok(local::read(Path::new(folder))?.effective);
         }
--- a/crates/ctl/src/difference.rs
+++ b/crates/ctl/src/difference.rs
@@ -3,7 +3,7 @@
 use std::fmt::{self, Display};
 
 use hinge_config::ConfigFile;
-use hinge_config::effective::Effective;
+use hinge_config::effective::EffectiveConfig;
 use serde::Serialize;
 use serde_json::Value;
 use similar::TextDiff;
@@ -55,8 +55,8 @@
 impl Difference {
     /// Compares two states whose configurations are known.
     pub(crate) fn between(
-        old: (&[ConfigFile], &Effective),
-        new: (&[ConfigFile], &Effective),
+        old: (&[ConfigFile], &EffectiveConfig),
+        new: (&[ConfigFile], &EffectiveConfig),
     ) -> Self {
         Self {
             files: files(old.0, new.0),
@@ -105,7 +105,7 @@
     }
 }
 
-fn value_differences(old: &Effective, new: &Effective) -> Vec<ValueDifference> {
+fn value_differences(old: &EffectiveConfig, new: &EffectiveConfig) -> Vec<ValueDifference> {
     let (old_values, new_values) = (values(old), values(new));
     let mut paths: Vec<_> = old_values.keys().chain(new_values.keys()).collect();
     paths.sort_unstable();
@@ -122,7 +122,7 @@
         .collect()
 }
 
-fn placed(effective: &Effective, values: &Values, path: &str) -> Option<Placed> {
+fn placed(effective: &EffectiveConfig, values: &Values, path: &str) -> Option<Placed> {
     let value = values.get(path)?.clone();
     let origin = effective.origin(path);
     Some(Placed {
--- a/crates/ctl/src/local.rs
+++ b/crates/ctl/src/local.rs
@@ -3,7 +3,7 @@
 use std::fs;
 use std::path::Path;
 
-use hinge_config::effective::Effective;
+use hinge_config::effective::EffectiveConfig;
 use hinge_config::{ConfigFile, folder};
 
 use crate::failure::Failure;
@@ -15,7 +15,7 @@
 #[derive(Debug)]
 pub(crate) struct Local {
     pub(crate) files: Vec<ConfigFile>,
-    pub(crate) effective: Effective,
+    pub(crate) effective: EffectiveConfig,
 }
 
 /// Reads and checks a folder.
@@ -25,7 +25,7 @@
 /// Returns a failure with every problem of the files.
 pub(crate) fn read(path: &Path) -> Result<Local, Failure> {
     let files = folder::read(path)?;
-    match Effective::merge(&files) {
+    match EffectiveConfig::merge(&files) {
         Ok(effective) => Ok(Local { files, effective }),
         Err(problems) => {
             let count = problems.len();
--- a/crates/ctl/src/values.rs
+++ b/crates/ctl/src/values.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use hinge_config::effective::Effective;
-use hinge_config::sorted::Sorted;
+use hinge_config::effective::EffectiveConfig;
+use hinge_config::sorted_map::SortedMap;
 use serde::Serialize;
 use serde_json::Value;
 
@@ -23,7 +23,7 @@
 pub(crate) type Values = BTreeMap<String, Value>;
 
 /// Returns every effective value, defaults too.
-pub(crate) fn values(effective: &Effective) -> Values {
+pub(crate) fn values(effective: &EffectiveConfig) -> Values {
     let mut values = Values::new();
     named("teams", &effective.teams, &mut values);
     named("pools", &effective.pools, &mut values);
@@ -35,7 +35,7 @@
     values
 }
 
-fn named<T: Serialize>(section: &str, items: &Sorted<T>, values: &mut Values) {
+fn named<T: Serialize>(section: &str, items: &SortedMap<T>, values: &mut Values) {
     for (name, item) in items.iter() {
         flatten(&format!("{section}.{name}"), json(item), values);
     }
--- a/crates/daemon/src/roles/local.rs
+++ b/crates/daemon/src/roles/local.rs
@@ -39,7 +39,7 @@
 /// Pool that the stand-in serves as a plain service, in the built-in folder.
 const SERVICE_POOL: &str = "surf-api";
 
-/// Runs all roles until the process is told to stop.
+/// Runs all roles until the process is asked to stop.
 pub(super) async fn run(flags: &Flags, settings: Settings, signals: &Signals) -> Result<ExitCode> {
     let secret = random_secret();
     let key = ClusterKey::derive(secret.as_bytes());
@@ -135,7 +135,7 @@
 ) -> SidecarSettings {
     let defaults = settings.sidecar.clone();
     let defaults = defaults
-        .expect("the built-in settings have a section [sidecar], and a file must have one too");
+        .expect("the built-in settings have a [sidecar] section, and so must a settings file");
     SidecarSettings {
         endpoint_address: endpoint,
         kind,
--- a/crates/daemon/tests/processes/caller.rs
+++ b/crates/daemon/tests/processes/caller.rs
@@ -141,7 +141,7 @@
 
     /// Resends a call with an idempotency key until the outcome of its first run is reported, and returns that answer.
     pub(crate) async fn post_until_outcome_known(&self, idempotency_key: &str) -> Answer {
-        let telling = async {
+        let resending = async {
             loop {
                 let answer = self.post_once(idempotency_key).await;
                 let reason = answer.field("reason").unwrap_or_default();
@@ -152,9 +152,9 @@
                 tokio::time::sleep(POLL).await;
             }
         };
-        tokio::time::timeout(LONGEST_STEP, telling)
+        tokio::time::timeout(LONGEST_STEP, resending)
             .await
-            .expect("the outcome is told in time")
+            .expect("the outcome is known in time")
     }
 
     async fn send(
--- a/crates/daemon/tests/processes/configuration.rs
+++ b/crates/daemon/tests/processes/configuration.rs
@@ -73,8 +73,8 @@
         };
         assert_eq!((accepted.version, accepted.resent), (base + 1, false));
         assert_eq!((conflict.base_version, conflict.current_version), (base, base + 1));
-        let told = (&*conflict.winner_change_id, &*conflict.winner_operator, conflict.winner_put);
-        assert_eq!(told, winner);
+        let reported = (&*conflict.winner_change_id, &*conflict.winner_operator, conflict.winner_put);
+        assert_eq!(reported, winner);
     }
 
     a_resent_change_gets_its_first_answer_from_every_instance => {
@@ -104,7 +104,7 @@
         fleet.control[old_leader].thaw();
         let late = operator.propose_at(old_leader, "late", fleet.version, numbered_file("late", 1)).await;
         assert!(!matches!(late, Ok(ApplyReply::Accepted(_))), "{late:?}");
-        assert!(operator.version_at(old_leader).await.is_none_or(|told| told == version));
+        assert!(operator.version_at(old_leader).await.is_none_or(|reported| reported == version));
         fleet.sidecars[0].freeze();
         let next = operator.apply("next", version, numbered_file("next", 1)).await;
         fleet.sidecars[0].thaw();
--- a/crates/daemon/tests/processes/fleet.rs
+++ b/crates/daemon/tests/processes/fleet.rs
@@ -41,7 +41,7 @@
 impl Fleet {
     /// Reserves addresses for a fleet with this many control instances.
     pub(crate) fn new(control_instances: usize) -> Self {
-        let folder = tempfile::tempdir().expect("a folder can be made");
+        let folder = tempfile::tempdir().expect("a temporary folder can be created");
         let fleet = Self {
             host: unique_loopback_address(),
             next_port: AtomicU16::new(FIRST_PORT),
--- a/crates/daemon/tests/processes/flood.rs
+++ b/crates/daemon/tests/processes/flood.rs
@@ -51,8 +51,8 @@
         assert_eq!(u32::try_from(begun_ids).ok(), Some(fleet.begun()), "no request ran twice");
         for answer in futures::future::join_all(flood).await {
             let answer = answer.expect("the caller does not panic");
-            let is_true = answer.is_whole_stream(20) || answer.outcome().as_deref() == Some("not_run");
-            assert!(is_true, "{answer:?}");
+            let is_valid = answer.is_whole_stream(20) || answer.outcome().as_deref() == Some("not_run");
+            assert!(is_valid, "{answer:?}");
         }
     }
 }
--- a/crates/daemon/tests/processes/planned_stop.rs
+++ b/crates/daemon/tests/processes/planned_stop.rs
@@ -29,21 +29,21 @@
         fleet.stand_ins[0].wait_until(|record| record.running > 0).await;
         fleet.sidecars[0].terminate();
         fleet.sidecars[0].logged("Leaving.").await;
-        let at_leaving = fleet.stand_ins[0].record().begun();
+        let begun_before_leaving = fleet.stand_ins[0].record().begun();
         for _ in 0..REQUESTS_WHILE_LEAVING / 2 {
             for caller in [&first, &second] {
                 let answer = caller.stream(2).await;
                 assert!(answer.is_whole_stream(2), "{answer:?}");
             }
         }
-        assert_eq!(fleet.stand_ins[0].record().begun(), at_leaving);
+        assert_eq!(fleet.stand_ins[0].record().begun(), begun_before_leaving);
         for (status, id, body) in begun {
             let answer = read_to_end(status, id, body).await;
             assert!(answer.is_whole_stream(100), "{answer:?}");
         }
         assert!(fleet.sidecars[0].ended().await.success());
         let record = fleet.stand_ins[0].record();
-        assert_eq!((record.begun(), record.completed()), (at_leaving, at_leaving));
+        assert_eq!((record.begun(), record.completed()), (begun_before_leaving, begun_before_leaving));
     }
 
     an_entry_that_stops_ends_its_streams_and_takes_no_new_request => {
--- a/crates/daemon/tests/processes/reload.rs
+++ b/crates/daemon/tests/processes/reload.rs
@@ -21,7 +21,7 @@
 
 async_cases! { real
     a_hangup_reloads_the_settings_and_ends_nothing => {
-        let folder = tempfile::tempdir().expect("a folder can be made");
+        let folder = tempfile::tempdir().expect("a temporary folder can be created");
         let path = folder.path().join("gateway.toml");
         let text = |control: &str| format!(
             "instance = \"gateway-1\"\n{HEAD}control_addresses = [\"{control}\"]\n\n[gateway]\nlisten = \"127.0.0.1:0\"\nready_listen = \"127.0.0.1:0\"\n"
@@ -39,7 +39,7 @@
         assert!(gateway.ended().await.success());
     }
     control_instances_found_a_fleet_from_addresses_alone => {
-        let folder = tempfile::tempdir().expect("a folder can be made");
+        let folder = tempfile::tempdir().expect("a temporary folder can be created");
         let (_reserved, addresses): (Vec<TcpSocket>, Vec<String>) = (0..3).map(|_| reserve_address()).unzip();
         let founders = addresses.iter().map(|address| format!("\"{address}\"")).collect::<Vec<_>>().join(", ");
         let start = |number: usize, folder_name: &str, bootstrap: bool| {
--- a/crates/daemon/tests/processes/signals.rs
+++ b/crates/daemon/tests/processes/signals.rs
@@ -50,7 +50,7 @@
     for signal in Signal::BOTH {
         check_signal_before_settings(&role, signal).await;
         for step in role.steps {
-            let folder = tempfile::tempdir().expect("a folder can be made");
+            let folder = tempfile::tempdir().expect("a temporary folder can be created");
             let path = write_settings(&role, folder.path());
             let mut process = process::spawn(role.name, path);
             process.logged(step).await;
@@ -62,7 +62,7 @@
 
 /// Sends a signal while the process blocks on its settings file, which is a pipe that nothing was written to.
 async fn check_signal_before_settings(role: &Role, signal: Signal) {
-    let folder = tempfile::tempdir().expect("a folder can be made");
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
     let file = write_settings(role, folder.path());
     let text = fs::read_to_string(&file).expect("the settings can be read");
     let pipe = folder.path().join("pipe.toml");
--- a/crates/entry/benches/stream.rs
+++ b/crates/entry/benches/stream.rs
@@ -156,7 +156,7 @@
         removed: vec![],
         version: 1,
     });
-    assert_eq!(applied, hinge_config::held::Applied::Advanced(1));
+    assert_eq!(applied, hinge_config::current::Applied::Advanced(1));
     member.learn_members(&MembersDelta {
         base_version: 0,
         epoch: 1,
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hinge_config::effective::{Effective, Pool, PoolKind, Team};
-use hinge_config::held::Snapshot;
+use hinge_config::current::Snapshot;
+use hinge_config::effective::{EffectiveConfig, Pool, PoolKind, Team};
 use hinge_outcome::Reason;
 use hinge_outcome::keys::request_fingerprint;
 use http::header::CONTENT_TYPE;
@@ -206,7 +206,7 @@
         .map_err(|reason| refuse(reason, Duration::ZERO))
 }
 
-fn list_models(config: &Effective) -> Response {
+fn list_models(config: &EffectiveConfig) -> Response {
     let models = config
         .pools
         .iter()
@@ -226,7 +226,7 @@
 /// A request that was admitted, before its body is read.
 struct PendingRequest<'a> {
     shared: &'a Arc<Shared>,
-    config: &'a Effective,
+    config: &'a EffectiveConfig,
     team: &'a str,
     options: RequestOptions,
     arrived: Instant,
--- a/crates/entry/src/teams.rs
+++ b/crates/entry/src/teams.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwap;
-use hinge_config::effective::{Effective, Team};
+use hinge_config::effective::{EffectiveConfig, Team};
 use hinge_outcome::Reason;
 use tokio::sync::Notify;
 
@@ -105,7 +105,7 @@
 
     /// Returns the state of a team, after applying a newer configuration if there is one.
     #[must_use]
-    pub fn state(&self, name: &str, version: u64, config: &Effective) -> Arc<TeamState> {
+    pub fn state(&self, name: &str, version: u64, config: &EffectiveConfig) -> Arc<TeamState> {
         if self.table.load().version < version {
             self.refresh(version, config);
         }
@@ -115,7 +115,7 @@
         row.map_or_else(Arc::default, |row| Arc::clone(&row.state))
     }
 
-    fn refresh(&self, version: u64, config: &Effective) {
+    fn refresh(&self, version: u64, config: &EffectiveConfig) {
         self.table.rcu(|old| {
             if old.version >= version {
                 return Arc::clone(old);
--- a/crates/member/src/member.rs
+++ b/crates/member/src/member.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwap;
-use hinge_config::held::{Applied, Held, Snapshot};
+use hinge_config::current::{Applied, CurrentConfig, Snapshot};
 use hinge_link::Client;
 use hinge_schema::messages::{
     Announce, Announced, ConfigDelta, FetchConfig, FetchedConfig, MembersDelta, Role,
@@ -27,7 +27,7 @@
 
 #[derive(Debug)]
 pub(crate) struct Shared {
-    pub(crate) held: Held,
+    pub(crate) held: CurrentConfig,
     pub(crate) client: Option<Client>,
     pub(crate) control: Vec<Box<str>>,
     pub(crate) spread: Spread,
@@ -78,7 +78,7 @@
         let model_version = ArcSwap::from_pointee(announce.model_version.clone());
         let peer_address = ArcSwap::from_pointee(announce.peer_address.clone());
         let shared = Shared {
-            held: Held::empty(),
+            held: CurrentConfig::empty(),
             client,
             control,
             spread: Spread::default(),
--- a/crates/member/src/spread.rs
+++ b/crates/member/src/spread.rs
@@ -5,7 +5,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-use hinge_config::held::Applied;
+use hinge_config::current::Applied;
 use hinge_schema::messages::{ConfigDelta, FetchConfig, FetchedConfig};
 use tokio::time::Instant;
 
--- a/crates/member/src/tasks.rs
+++ b/crates/member/src/tasks.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hinge_config::held::Applied;
+use hinge_config::current::Applied;
 use hinge_link::Client;
 use hinge_schema::messages::{Announce, Announced, Role, Update, Watch};
 use hinge_telemetry::log::Component;
--- a/crates/sidecar/src/rules.rs
+++ b/crates/sidecar/src/rules.rs
@@ -1,13 +1,13 @@
 //! Reads what the operators' configuration says about this pool and its teams.
 
-use hinge_config::effective::{Effective, PoolKind as ConfiguredKind};
+use hinge_config::effective::{EffectiveConfig, PoolKind as ConfiguredKind};
 use hinge_placement::SlotRules;
 
 use crate::dispatch::TeamRules;
 use crate::settings::{PoolKind, SidecarSettings, UnitWeights};
 
 /// Returns the rules of a team; `None` for an unknown one.
-pub(crate) fn team(effective: &Effective, team: &str) -> Option<TeamRules> {
+pub(crate) fn team(effective: &EffectiveConfig, team: &str) -> Option<TeamRules> {
     let team = effective.teams.get(team)?;
     Some(TeamRules {
         share: team.share,
@@ -17,7 +17,7 @@
 }
 
 /// Returns the unit in which this pool's service is counted.
-pub(crate) fn kind(effective: &Effective, settings: &SidecarSettings) -> PoolKind {
+pub(crate) fn kind(effective: &EffectiveConfig, settings: &SidecarSettings) -> PoolKind {
     let Some(pool) = effective.pools.get(&settings.pool) else {
         return settings.kind;
     };
@@ -36,7 +36,7 @@
 
 /// Returns the endpoint's capacity when its health allows this many slots.
 pub(crate) fn slots(
-    effective: &Effective,
+    effective: &EffectiveConfig,
     settings: &SidecarSettings,
     allowed_slots: u32,
 ) -> SlotRules {
--- a/crates/sidecar/tests/sidecar/orders.rs
+++ b/crates/sidecar/tests/sidecar/orders.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use hinge_cases::async_cases;
-use hinge_config::held::Applied;
+use hinge_config::current::Applied;
 use hinge_fakes::stand_in::{Fault, StandInSettings};
 use hinge_link::{Client, Limits, Server, ServerHandle, unary};
 use hinge_member::Member;
--- a/crates/sidecar/tests/sidecar/support.rs
+++ b/crates/sidecar/tests/sidecar/support.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use futures::future::{BoxFuture, FutureExt};
-use hinge_config::held::Applied;
+use hinge_config::current::Applied;
 use hinge_fakes::stand_in::{StandIn, StandInSettings};
 use hinge_link::{Client, ClusterKey, Exchange};
 use hinge_member::Member;
--- a/crates/state/src/command.rs
+++ b/crates/state/src/command.rs
@@ -1,6 +1,6 @@
 //! Defines the commands that the log carries, and the replies to them.
 
-use hinge_config::effective::Effective;
+use hinge_config::effective::EffectiveConfig;
 use hinge_routing::{IncarnationHash, RequestKey};
 use hinge_schema::messages::{
     ApplyReply, ClaimBatchReply, ClaimKey, ConfigFile, ConfigProblem, DrainRecord, FinishKey,
@@ -129,7 +129,7 @@
     /// Checks a folder.
     #[must_use]
     pub fn of(files: &[ConfigFile]) -> Self {
-        match Effective::merge(files) {
+        match EffectiveConfig::merge(files) {
             Ok(effective) => Self {
                 problems: Vec::new(),
                 max_keys_per_team: effective.limits.max_keys_per_team,
--- a/crates/upgrade/src/fleet.rs
+++ b/crates/upgrade/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hinge_config::effective::Effective;
+use hinge_config::effective::EffectiveConfig;
 use hinge_schema::messages::{DrainRecord, OrderRecord, Role};
 use hinge_state::{InstanceName, OrderId, Upgrades, WallMs};
 
@@ -37,7 +37,7 @@
     /// Version of the folder.
     pub config_version: u64,
     /// Folder in force.
-    pub effective: &'a Effective,
+    pub effective: &'a EffectiveConfig,
     /// Live instances.
     pub endpoints: BTreeMap<&'a str, Endpoint<'a>>,
     /// Upgrades and stops under way.
--- a/crates/upgrade/tests/night/world.rs
+++ b/crates/upgrade/tests/night/world.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hinge_config::effective::Effective;
+use hinge_config::effective::EffectiveConfig;
 use hinge_schema::messages::{ConfigFile, OrderKind, OrderRecord, OrderState, Role};
 use hinge_state::upgrades::{UpgradeCommand, WalkStep};
 use hinge_state::{ChangeCommand, Command, OrderResult, State, UpgradeStep};
@@ -49,7 +49,7 @@
 pub struct World {
     pub now_ms: u64,
     pub state: State,
-    pub effective: Effective,
+    pub effective: EffectiveConfig,
     pub instances: BTreeMap<Box<str>, Instance>,
     pub rng: StdRng,
     pub faults: Faults,
@@ -79,7 +79,7 @@
         let mut world = Self {
             now_ms: OPENING_MS,
             state: State::default(),
-            effective: Effective::default(),
+            effective: EffectiveConfig::default(),
             instances: BTreeMap::new(),
             rng: StdRng::seed_from_u64(seed),
             faults: Faults::default(),
@@ -142,7 +142,7 @@
         }));
         let version = self.state.changes().folder().version();
         assert_eq!(version, base_version + 1, "the folder is valid");
-        let merged = Effective::merge(self.state.changes().folder().files());
+        let merged = EffectiveConfig::merge(self.state.changes().folder().files());
         self.effective = merged.expect("the state took the folder");
     }
 
