--- a/crates/config/src/format.rs
+++ b/crates/config/src/format.rs
@@ -109,9 +109,7 @@
 
 fn epoch_ms(value: &TomlValue) -> Option<TomlValue> {
     let ms = match value {
-        TomlValue::Integer(integer) => {
-            return (*integer >= 0).then_some(TomlValue::Integer(*integer));
-        }
+        TomlValue::Integer(ms) => return (*ms >= 0).then_some(TomlValue::Integer(*ms)),
         TomlValue::Time(time) => ms_since_1970(time)?,
         TomlValue::Text(text) => ms_since_1970(&text.parse().ok()?)?,
         _ => return None,
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -14,7 +14,7 @@
 use crate::flags::{Flags, RoleFlag};
 use crate::signals::Signals;
 
-/// Exit code for an invalid command line or invalid settings; every other failure exits with 1.
+/// Exit code for an invalid command line or invalid settings; any other error exits with 1.
 const EXIT_INVALID_SETTINGS: u8 = 2;
 
 fn main() -> ExitCode {
