--- a/crates/control/src/below.rs
+++ b/crates/control/src/below.rs
@@ -7,7 +7,7 @@
 use hinge_schema::messages::{
     Announce, AnnounceBatch, AnnouncedBatch, Renewal, ServiceReport, ServiceTotals,
 };
-use hinge_state::{InstanceName, MemberRules, Roster, service};
+use hinge_state::{InstanceName, LeaseLimits, Roster, service};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
@@ -34,7 +34,7 @@
 /// Holds the processes, and the state that control gave for them.
 #[derive(Debug)]
 pub(crate) struct Below {
-    rules: MemberRules,
+    rules: LeaseLimits,
     processes: BTreeMap<InstanceName, Process>,
     pub(crate) roster: Roster,
     pub(crate) fence: u64,
@@ -45,7 +45,7 @@
 }
 
 impl Below {
-    pub(crate) fn new(rules: MemberRules) -> Self {
+    pub(crate) fn new(rules: LeaseLimits) -> Self {
         Self {
             rules,
             processes: BTreeMap::new(),
--- a/crates/control/src/operator_calls.rs
+++ b/crates/control/src/operator_calls.rs
@@ -251,14 +251,17 @@
     let soft = core.soft();
     let members = soft.members.as_ref().ok_or(Refused::NotLeader)?;
     status.members = members.live().cloned().collect();
-    status.lacking = members.lacking(status.config_version).cloned().collect();
+    status.lacking = members
+        .with_older_config(status.config_version)
+        .cloned()
+        .collect();
     Ok(())
 }
 
 fn is_lacking(core: &Core, version: u64) -> bool {
     let soft = core.soft();
     let members = soft.members.as_ref();
-    members.is_some_and(|members| members.lacking(version).next().is_some())
+    members.is_some_and(|members| members.with_older_config(version).next().is_some())
 }
 
 /// Returns the part of the status that the log knows.
--- a/crates/control/src/routing_calls.rs
+++ b/crates/control/src/routing_calls.rs
@@ -228,10 +228,10 @@
         });
     }
     // Word of a former life must not keep a newer one listed that has fallen silent.
-    if !routing.is_of_the_past(&endpoint) {
+    if !routing.is_outdated(&endpoint) {
         core.soft().heard.note(core.now(), &endpoint.id);
     }
-    if routing.is_news(&endpoint) {
+    if routing.is_change(&endpoint) {
         info!(
             Part::Control,
             "An endpoint reports news.",
@@ -260,7 +260,7 @@
         born_unix_ms: message.born_unix_ms,
     };
     let view = core.driver.view.load();
-    let ended = view.routing.meant(&incarnation);
+    let ended = view.routing.resolve(&incarnation);
     if !view.routing.is_retired(&ended.id, ended.born_unix_ms) {
         info!(
             Part::Control,
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use hinge_state::MemberRules;
+use hinge_state::LeaseLimits;
 
 /// Names a control instance of the first start.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -45,7 +45,7 @@
     /// Longest time that a watch is held open.
     pub watch_timeout: Duration,
     /// Bounds of the members' leases.
-    pub member_rules: MemberRules,
+    pub member_rules: LeaseLimits,
 }
 
 impl ControlSettings {
@@ -66,7 +66,7 @@
             snapshot_every_entries: 10_000,
             max_log_bytes: 2 << 20,
             watch_timeout: Duration::from_secs(30),
-            member_rules: MemberRules::default(),
+            member_rules: LeaseLimits::default(),
         }
     }
 
@@ -95,7 +95,7 @@
     /// Longest time that a watch is held open.
     pub watch_timeout: Duration,
     /// Bounds of the members' leases.
-    pub member_rules: MemberRules,
+    pub member_rules: LeaseLimits,
 }
 
 impl RelaySettings {
@@ -110,7 +110,7 @@
             control,
             report_interval: Duration::from_secs(1),
             watch_timeout: Duration::from_secs(30),
-            member_rules: MemberRules::default(),
+            member_rules: LeaseLimits::default(),
         }
     }
 }
--- a/crates/control/src/soft.rs
+++ b/crates/control/src/soft.rs
@@ -6,7 +6,7 @@
 use hinge_fair::Totals;
 use hinge_schema::messages::{DrainRecord, MembersDelta, ServiceReport, ServiceTotals, Watch};
 use hinge_state::roster::Adopted;
-use hinge_state::{Heard, InstanceName, MemberRules, Members, Roster, service};
+use hinge_state::{InstanceName, LastReports, LeaseLimits, Members, Roster, service};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
@@ -39,7 +39,7 @@
     pub(crate) followed: Roster,
     pub(crate) totals: BTreeMap<Box<str>, Totals>,
     /// When the endpoints were last heard of.
-    pub(crate) heard: Heard,
+    pub(crate) heard: LastReports,
     /// Reports of endpoints that this instance refused.
     pub(crate) refused_reports: RefusedReports,
     /// Gateways that follow this instance.
@@ -56,7 +56,7 @@
             members: None,
             followed: Roster::default(),
             totals: BTreeMap::new(),
-            heard: Heard::default(),
+            heard: LastReports::default(),
             refused_reports: RefusedReports::default(),
             watchers: Directory::new(REMEMBER_WATCHERS, MOST_WATCHERS_NAMED),
             nearby: BTreeMap::new(),
@@ -73,7 +73,7 @@
     }
 
     /// Begins a term as leader, with the members that this instance followed.
-    pub(crate) fn lead(&mut self, term: u64, now: Duration, rules: MemberRules) {
+    pub(crate) fn lead(&mut self, term: u64, now: Duration, rules: LeaseLimits) {
         self.give_up();
         self.term = term;
         self.members = Some(Members::open(term, now, rules, &self.followed));
--- a/crates/control/src/upgrade.rs
+++ b/crates/control/src/upgrade.rs
@@ -46,7 +46,7 @@
         Self {
             folder: state.changes().folder().clone(),
             upgrades: state.upgrades().clone(),
-            orders: state.walk_orders(),
+            orders: state.upgrade_orders(),
             drains: state.drains(),
             now_ms: state.now_ms(),
         }
@@ -202,12 +202,12 @@
 fn log_steps(steps: &[UpgradeStep]) {
     for step in steps {
         match step {
-            UpgradeStep::Put { instance, walk, .. } => info!(
+            UpgradeStep::Put { instance, progress, .. } => info!(
                 Part::Control,
                 "An upgrade moves on.",
-                plan = walk.plan,
+                plan = progress.plan,
                 instance = instance,
-                step = walk.step
+                step = progress.step
             ),
             UpgradeStep::StopPlan { plan, reason, .. } => warn!(
                 Part::Control,
--- a/crates/state/src/changes.rs
+++ b/crates/state/src/changes.rs
@@ -2,7 +2,7 @@
 //!
 //! Among changes that are based on the same version exactly one wins: the first in the log whose result is valid. A change
 //! that comes again gets its first answer again, for [`KEEP_ANSWERS`] changes, [`KEEP_ANSWERS_MS`] and
-//! [`KEEP_ANSWERS_BYTES`], whichever ends first. An accepted change that comes later still finds a newer version in place of
+//! [`KEEP_ANSWERS_BYTES`], whichever ends first. An accepted change that comes later still finds a newer version in position of
 //! its base, so it can't be accepted twice.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -86,7 +86,7 @@
     ) -> (ApplyReply, Option<Checked>) {
         let fingerprint = fingerprint(&change);
         if let Some(answer) = self.answers.get(&change.change_id) {
-            return (self.answer_again(answer, fingerprint), None);
+            return (self.repeat_answer(answer, fingerprint), None);
         }
         let change_id = change.change_id.clone();
         let (verdict, accepted) = self.decide(change, now_ms);
@@ -97,7 +97,7 @@
 
     fn decide(&mut self, mut change: ChangeCommand, now_ms: WallMs) -> (Verdict, Option<Checked>) {
         if change.base_version != self.folder.version() {
-            return (self.lose(&change), None);
+            return (self.decide_stale_base(&change), None);
         }
         let files = self.folder.after(&change.put, &change.removed);
         let checked = change.checked.take();
@@ -110,7 +110,7 @@
         (Verdict::Accepted { version }, Some(checked))
     }
 
-    fn lose(&self, change: &ChangeCommand) -> Verdict {
+    fn decide_stale_base(&self, change: &ChangeCommand) -> Verdict {
         // A change whose answer is forgotten may meet itself as the winner; then it was accepted.
         let winner = self.entry(change.base_version.saturating_add(1));
         match winner {
@@ -150,7 +150,7 @@
         version
     }
 
-    fn answer_again(&self, answer: &Answer, fingerprint: u64) -> ApplyReply {
+    fn repeat_answer(&self, answer: &Answer, fingerprint: u64) -> ApplyReply {
         if answer.fingerprint == fingerprint {
             return self.reply(&answer.verdict, true);
         }
@@ -204,8 +204,8 @@
 
     fn entry(&self, version: u64) -> Option<&HistoryEntry> {
         let first = self.history.front()?.version;
-        let place = version.checked_sub(first)?;
-        let entry = self.history.get(usize::try_from(place).ok()?)?;
+        let position = version.checked_sub(first)?;
+        let entry = self.history.get(usize::try_from(position).ok()?)?;
         Some(entry)
     }
 
--- a/crates/state/src/folder.rs
+++ b/crates/state/src/folder.rs
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Returns what leads from `version` to the version in force: recent changes joined, or else the whole folder.
+    /// Returns what leads from `version` to the version in force: recent changes merged_delta, or else the whole folder.
     #[must_use]
     pub fn delta_since(&self, version: u64) -> Option<ConfigDelta> {
         if version >= self.version {
@@ -110,7 +110,7 @@
             .front()
             .is_some_and(|change| change.version <= version + 1);
         if is_recent && version > 0 {
-            return Some(self.joined(version));
+            return Some(self.merged_delta(version));
         }
         Some(ConfigDelta {
             base_version: 0,
@@ -121,7 +121,7 @@
         })
     }
 
-    fn joined(&self, version: u64) -> ConfigDelta {
+    fn merged_delta(&self, version: u64) -> ConfigDelta {
         let mut names: Vec<&str> = Vec::new();
         for change in self.recent.iter().filter(|change| change.version > version) {
             names.extend(change.put.iter().map(|file| &*file.name));
@@ -132,11 +132,11 @@
         let mut put = Vec::new();
         let mut removed = Vec::new();
         for name in names {
-            let place = self
+            let position = self
                 .files
                 .binary_search_by(|file| file.name.as_ref().cmp(name));
-            match place {
-                Ok(place) => put.push(self.files[place].clone()),
+            match position {
+                Ok(position) => put.push(self.files[position].clone()),
                 Err(_absent) => removed.push(name.into()),
             }
         }
--- a/crates/state/src/keys.rs
+++ b/crates/state/src/keys.rs
@@ -1,6 +1,8 @@
 //! Brings claims of idempotency keys from their messages to the key table and back.
 
-use hinge_outcome::keys::{ClaimAnswer, KeyOutcome as EndedAs, KeyRules, KeyTable, key_digest};
+use hinge_outcome::keys::{
+    ClaimAnswer, KeyOutcome as StoredOutcome, KeyRules, KeyTable, key_digest,
+};
 use hinge_outcome::{Holder, sidecar_id};
 use hinge_schema::messages::{
     ClaimBatchReply, ClaimKey, ClaimReply, ClaimVerdict, FinishKey, KeyOutcome,
@@ -38,11 +40,11 @@
     let key = key_digest(&end.key);
     let outcome = match end.outcome {
         // The message carries neither status nor length; a duplicate is only told that the run completed.
-        KeyOutcome::Completed => EndedAs::Completed {
+        KeyOutcome::Completed => StoredOutcome::Completed {
             status: 0,
             answer_bytes: 0,
         },
-        KeyOutcome::Failed => EndedAs::Failed,
+        KeyOutcome::Failed => StoredOutcome::Failed,
         KeyOutcome::NeverHandedOver => {
             table.release(&end.team, key, holder, now_ms);
             return;
@@ -65,7 +67,9 @@
         ClaimAnswer::AlreadyRunning { .. } => {
             (ClaimVerdict::AlreadyRunning, None, RUNNING_RETRY_MS)
         }
-        ClaimAnswer::Finished { outcome } => (ClaimVerdict::Finished, Some(name(*outcome)), 0),
+        ClaimAnswer::Finished { outcome } => {
+            (ClaimVerdict::Finished, Some(outcome_name(*outcome)), 0)
+        }
         // A claimer that has released its key meets its own earlier word; it must not run the request after all.
         ClaimAnswer::Conflict | ClaimAnswer::Withdrawn => (ClaimVerdict::Conflict, None, 0),
         ClaimAnswer::Full { retry_after_ms } => (ClaimVerdict::Full, None, *retry_after_ms),
@@ -77,11 +81,11 @@
     }
 }
 
-fn name(outcome: EndedAs) -> &'static str {
+fn outcome_name(outcome: StoredOutcome) -> &'static str {
     match outcome {
-        EndedAs::Completed { .. } => "completed",
-        EndedAs::Failed => "failed",
-        EndedAs::Unknown => "unknown",
+        StoredOutcome::Completed { .. } => "completed",
+        StoredOutcome::Failed => "failed",
+        StoredOutcome::Unknown => "unknown",
     }
 }
 
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -22,9 +22,9 @@
     SuspectsCommand,
 };
 pub use folder::{Change, Folder};
-pub use members::{MemberRules, Members};
+pub use members::{LeaseLimits, Members};
 pub use roster::Roster;
-pub use routing::{Born, EndpointCommand, EndpointId, Heard, Incarnation, Routing};
+pub use routing::{EndpointCommand, EndpointId, Incarnation, LastReports, Routing, StartTime};
 pub use state::{ControlName, RestoreError, State};
 pub use upgrades::{UpgradeCommand, UpgradeStep, Upgrades};
 
--- a/crates/state/src/members.rs
+++ b/crates/state/src/members.rs
@@ -28,10 +28,10 @@
 
 /// How long after a drain an entry may still send work that it chose before it knew; the list is published within 0.1 s and
 /// watched without a pause, so that one second is several times what it takes.
-pub const DRAIN_SPREAD: Duration = Duration::from_secs(1);
+pub const DRAIN_PROPAGATION: Duration = Duration::from_secs(1);
 
 /// Returns that are published at once; a restart and a second one right after it are ordinary.
-pub const FREE_RETURNS: u32 = 3;
+pub const UNDAMPED_RETURNS: u32 = 3;
 
 /// How long the first return after the free ones is held back.
 pub const FIRST_HOLD: Duration = Duration::from_secs(5);
@@ -40,24 +40,24 @@
 pub const LONGEST_HOLD: Duration = Duration::from_mins(1);
 
 /// Members whose returns are remembered after they went; more than one day's restarts.
-const KEEP_FLAPS: usize = 1024;
+const MAX_FLAP_RECORDS: usize = 1024;
 
 /// Part of a lease by which an answer may be shorter, as one part of this many.
 ///
 /// A data centre that comes back announces itself at one moment; with leases that differ by a quarter its renewals have
 /// spread over their whole period after a few rounds.
-const JITTER_PART: u32 = 4;
+const LEASE_JITTER_DIVISOR: u32 = 4;
 
 /// Bounds the leases.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct MemberRules {
+pub struct LeaseLimits {
     /// Shortest lease that is given.
     pub shortest_lease: Duration,
     /// Longest lease that is given, and the time for which a new leader expires nobody.
     pub longest_lease: Duration,
 }
 
-impl Default for MemberRules {
+impl Default for LeaseLimits {
     /// Returns 1 s and 15 s: shorter ones would cost a busy process its place, and longer ones keep a dead one listed.
     fn default() -> Self {
         Self {
@@ -69,7 +69,7 @@
 
 /// Says what an announcement brought.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Granted {
+pub struct LeaseGrant {
     /// Lease that is given.
     pub lease: Duration,
     /// Whether earlier incarnations of a sidecar, if there were any, are gone, so that its claims' outcomes are unknown.
@@ -77,7 +77,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct Known {
+struct LeasedMember {
     /// As announced, with the versions that the process holds now.
     member: Member,
     highest_fence: u64,
@@ -105,9 +105,9 @@
 /// Holds the leases, and the list that is published.
 #[derive(Debug)]
 pub struct Members {
-    rules: MemberRules,
+    rules: LeaseLimits,
     roster: Roster,
-    known: BTreeMap<InstanceName, Known>,
+    known: BTreeMap<InstanceName, LeasedMember>,
     expiries: BTreeSet<(Duration, InstanceName)>,
     holds: BTreeSet<(Duration, InstanceName)>,
     flaps: BTreeMap<InstanceName, Flaps>,
@@ -118,13 +118,13 @@
     queued: BTreeSet<InstanceName>,
     expires_from: Duration,
     is_seeded: bool,
-    grace_is_over: bool,
+    is_grace_over: bool,
 }
 
 impl Members {
     /// Opens the leader's view of an epoch with the members that this instance followed until now.
     #[must_use]
-    pub fn open(epoch: u64, now: Duration, rules: MemberRules, followed: &Roster) -> Self {
+    pub fn open(epoch: u64, now: Duration, rules: LeaseLimits, followed: &Roster) -> Self {
         let expires_from = now + rules.longest_lease;
         let mut members = Self {
             rules,
@@ -138,10 +138,10 @@
             queued: BTreeSet::new(),
             expires_from,
             is_seeded: !followed.is_empty(),
-            grace_is_over: false,
+            is_grace_over: false,
         };
         for member in followed.members() {
-            let known = Known {
+            let known = LeasedMember {
                 member: member.clone(),
                 highest_fence: 0,
                 counted_at: Duration::ZERO,
@@ -168,12 +168,12 @@
         now: Duration,
         announce: &Announce,
         rng: &mut impl RngExt,
-    ) -> Granted {
-        let lease = self.draw_lease(announce.lease_ms, rng);
+    ) -> LeaseGrant {
+        let lease = self.jittered_lease(announce.lease_ms, rng);
         let name = &announce.instance;
         let known = self.known.get(name);
         if known.is_some_and(|known| known.member.incarnation > announce.incarnation) {
-            return Granted {
+            return LeaseGrant {
                 lease,
                 replaces_sidecar: false,
             };
@@ -191,15 +191,21 @@
         } else {
             held_until
         };
-        self.keep(now, announce, lease, held_until);
-        Granted {
+        self.put_lease(now, announce, lease, held_until);
+        LeaseGrant {
             lease,
             // A leader that starts from nothing can't tell; an incarnation that was never lost is not touched.
             replaces_sidecar: (is_restarted || is_new) && announce.role == Role::Sidecar,
         }
     }
 
-    fn keep(&mut self, now: Duration, announce: &Announce, lease: Duration, held_until: Duration) {
+    fn put_lease(
+        &mut self,
+        now: Duration,
+        announce: &Announce,
+        lease: Duration,
+        held_until: Duration,
+    ) {
         let name = &announce.instance;
         let member = to_member(announce);
         let before = self.known.remove(name);
@@ -212,10 +218,10 @@
             self.holds.insert((held_until, name.clone()));
         }
         let is_changed = before.is_none_or(|before| {
-            !is_same(&before.member, &member) || before.held_until != held_until
+            !has_same_listing(&before.member, &member) || before.held_until != held_until
         });
         let is_leaving = member.leaving;
-        let known = Known {
+        let known = LeasedMember {
             member,
             highest_fence: announce.highest_fence,
             counted_at: now,
@@ -266,7 +272,7 @@
         let known = self.known.get(instance)?;
         let running = known.member.running?;
         let since = self.drained.get(instance);
-        let is_fresh = since.is_some_and(|since| known.counted_at >= *since + DRAIN_SPREAD);
+        let is_fresh = since.is_some_and(|since| known.counted_at >= *since + DRAIN_PROPAGATION);
         Some(if is_fresh { running } else { running.max(1) })
     }
 
@@ -303,8 +309,8 @@
 
     /// Expires leases, ends holds, and publishes changes, all within bounds; returns whether watchers have news.
     pub fn tick(&mut self, now: Duration) -> bool {
-        let has_grace_ended = !self.grace_is_over && now >= self.expires_from;
-        self.grace_is_over |= has_grace_ended;
+        let has_grace_ended = !self.is_grace_over && now >= self.expires_from;
+        self.is_grace_over |= has_grace_ended;
         self.expire(now);
         self.end_holds(now);
         let published = self.publish(now);
@@ -323,7 +329,7 @@
                 return;
             };
             self.known.remove(&name);
-            self.remember_gone(now, &name);
+            self.record_departure(now, &name);
             self.queue(name, true);
         }
     }
@@ -394,21 +400,21 @@
             .map_or(0, |flaps| flaps.count_at(now))
             .saturating_add(1);
         self.flaps.insert(name.into(), Flaps { count, since: now });
-        if count <= FREE_RETURNS {
+        if count <= UNDAMPED_RETURNS {
             return Duration::ZERO;
         }
-        let doublings = (count - FREE_RETURNS - 1).min(8);
+        let doublings = (count - UNDAMPED_RETURNS - 1).min(8);
         now + (FIRST_HOLD * (1 << doublings)).min(LONGEST_HOLD)
     }
 
     /// Remembers that a member went, so that its announcement counts as a return.
-    fn remember_gone(&mut self, now: Duration, name: &str) {
-        let gone = Flaps {
+    fn record_departure(&mut self, now: Duration, name: &str) {
+        let departed = Flaps {
             count: 0,
             since: now,
         };
-        self.flaps.entry(name.into()).or_insert(gone);
-        if self.flaps.len() > KEEP_FLAPS {
+        self.flaps.entry(name.into()).or_insert(departed);
+        if self.flaps.len() > MAX_FLAP_RECORDS {
             let known = &self.known;
             self.flaps.retain(|name, flaps| {
                 flaps.count_at(now) > 0
@@ -417,10 +423,10 @@
         }
     }
 
-    fn draw_lease(&self, asked_ms: u64, rng: &mut impl RngExt) -> Duration {
+    fn jittered_lease(&self, asked_ms: u64, rng: &mut impl RngExt) -> Duration {
         let asked = Duration::from_millis(asked_ms);
         let whole = asked.clamp(self.rules.shortest_lease, self.rules.longest_lease);
-        let shortest = whole.saturating_sub(whole / JITTER_PART);
+        let shortest = whole.saturating_sub(whole / LEASE_JITTER_DIVISOR);
         rng.random_range(shortest..=whole)
     }
 
@@ -436,7 +442,7 @@
         pools: &[Box<str>],
     ) -> Option<MembersDelta> {
         let knows_more = epoch != 0 && epoch < self.roster.epoch();
-        if knows_more && !self.is_seeded && !self.grace_is_over {
+        if knows_more && !self.is_seeded && !self.is_grace_over {
             return None;
         }
         self.roster.delta_since(epoch, version, pools)
@@ -451,7 +457,7 @@
     /// Returns whether every live process had the time to announce itself to this leader.
     #[must_use]
     pub fn is_complete(&self) -> bool {
-        self.grace_is_over
+        self.is_grace_over
     }
 
     /// Yields the live members with the versions that they hold now, by name.
@@ -460,10 +466,10 @@
     }
 
     /// Yields the names of live members that hold an older configuration than `version`.
-    pub fn lacking(&self, version: u64) -> impl Iterator<Item = &InstanceName> {
+    pub fn with_older_config(&self, version: u64) -> impl Iterator<Item = &InstanceName> {
         let live = self.live();
-        let lacking = live.filter(move |member| member.config_version < version);
-        lacking.map(|member| &member.instance)
+        let outdated = live.filter(move |member| member.config_version < version);
+        outdated.map(|member| &member.instance)
     }
 
     /// Returns the highest fencing number that a member has seen.
@@ -474,7 +480,7 @@
 
     /// Returns the number of changes that wait for a tick.
     #[must_use]
-    pub fn waiting(&self) -> usize {
+    pub fn pending_changes(&self) -> usize {
         self.changed.len()
     }
 }
@@ -498,7 +504,7 @@
 }
 
 /// Returns whether two announcements list alike; what only control needs changes too often to be published.
-fn is_same(left: &Member, right: &Member) -> bool {
+fn has_same_listing(left: &Member, right: &Member) -> bool {
     let with_version = Member {
         config_version: right.config_version,
         running: right.running,
--- a/crates/state/src/orders.rs
+++ b/crates/state/src/orders.rs
@@ -19,7 +19,7 @@
 pub const KEEP_SETTLED: usize = 2048;
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct Kept {
+struct StoredOrder {
     change_id: ChangeId,
     record: OrderRecord,
 }
@@ -30,7 +30,7 @@
     lowest_valid: Fence,
     last_fence: Fence,
     last_id: OrderId,
-    kept: BTreeMap<OrderId, Kept>,
+    kept: BTreeMap<OrderId, StoredOrder>,
     settled: VecDeque<OrderId>,
 }
 
@@ -55,7 +55,8 @@
 
     /// Places an order; one with a number that is known is the known order. An empty number is never known.
     pub(crate) fn place(&mut self, command: OrderCommand) -> OrderRecord {
-        let same = |kept: &&Kept| !kept.change_id.is_empty() && kept.change_id == command.change_id;
+        let same =
+            |kept: &&StoredOrder| !kept.change_id.is_empty() && kept.change_id == command.change_id;
         if let Some(known) = self.kept.values().find(same) {
             return known.record.clone();
         }
@@ -74,7 +75,7 @@
             detail: Box::default(),
             placed_at_ms: command.now_ms,
         };
-        let kept = Kept {
+        let kept = StoredOrder {
             change_id: command.change_id,
             record: record.clone(),
         };
--- a/crates/state/src/routing.rs
+++ b/crates/state/src/routing.rs
@@ -2,7 +2,7 @@
 //!
 //! Both are in the log, because an acknowledged table must never be lost, and an endpoint that was acknowledged as
 //! leaving must stay so under every later leader. Reports that only say "still there" are not: the leader keeps them
-//! in memory ([`Heard`]), and a new leader starts by giving every endpoint a whole [`SILENCE`] again.
+//! in memory ([`LastReports`]), and a new leader starts by giving every endpoint a whole [`REPORT_TIMEOUT`] again.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -19,37 +19,40 @@
 pub type EndpointId = Box<str>;
 
 /// Unix millisecond of an endpoint's start; none where it does not say.
-pub type Born = Option<u64>;
+pub type StartTime = Option<u64>;
 
 /// Names one start of an endpoint.
 ///
 /// An incarnation knows nothing of the one before, and counts its reports anew; so whatever is compared or remembered of
 /// an endpoint is that of one incarnation. Of two with the same id the one that was born later is the newer one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(from = "WrittenIncarnation")]
+#[serde(from = "StoredIncarnation")]
 pub struct Incarnation {
     /// Endpoint.
     pub id: EndpointId,
     /// When it started.
-    pub born_unix_ms: Born,
+    pub born_unix_ms: StartTime,
 }
 
 /// Reads an incarnation as it stands in logs and snapshots; older ones hold the id alone.
 #[derive(Deserialize)]
 #[serde(untagged)]
-enum WrittenIncarnation {
+enum StoredIncarnation {
     Id(EndpointId),
-    Whole { id: EndpointId, born_unix_ms: Born },
+    Whole {
+        id: EndpointId,
+        born_unix_ms: StartTime,
+    },
 }
 
-impl From<WrittenIncarnation> for Incarnation {
-    fn from(written: WrittenIncarnation) -> Self {
-        match written {
-            WrittenIncarnation::Id(id) => Self {
+impl From<StoredIncarnation> for Incarnation {
+    fn from(stored: StoredIncarnation) -> Self {
+        match stored {
+            StoredIncarnation::Id(id) => Self {
                 id,
                 born_unix_ms: None,
             },
-            WrittenIncarnation::Whole { id, born_unix_ms } => Self { id, born_unix_ms },
+            StoredIncarnation::Whole { id, born_unix_ms } => Self { id, born_unix_ms },
         }
     }
 }
@@ -60,10 +63,10 @@
 
 /// Time without a report after which an endpoint is dropped. Reports come about every second and may be seconds
 /// late; the gateways notice a dead endpoint by its connections long before.
-pub const SILENCE: Duration = Duration::from_secs(8);
+pub const REPORT_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Time without a report after which an endpoint is dropped whose address another one reports: two reports may be lost.
-pub const REPLACED_SILENCE: Duration = Duration::from_millis(2_500);
+pub const REPLACED_REPORT_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Changes what is known of the endpoints.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -141,8 +144,8 @@
 
     /// Returns whether a report changes anything beyond being heard.
     #[must_use]
-    pub fn is_news(&self, report: &Endpoint) -> bool {
-        if self.is_of_the_past(report) || self.contradicts(report) {
+    pub fn is_change(&self, report: &Endpoint) -> bool {
+        if self.is_outdated(report) || self.contradicts(report) {
             return false;
         }
         let Some(known) = self.same_incarnation(report) else {
@@ -161,7 +164,7 @@
 
     /// Returns whether a report is of an incarnation that has ended, or that a newer one has followed.
     #[must_use]
-    pub fn is_of_the_past(&self, report: &Endpoint) -> bool {
+    pub fn is_outdated(&self, report: &Endpoint) -> bool {
         let known = self.endpoints.get(&report.id);
         let is_followed = known.is_some_and(|known| known.born_unix_ms > report.born_unix_ms);
         is_followed || self.is_retired(&report.id, report.born_unix_ms)
@@ -186,14 +189,14 @@
 
     /// Returns whether the end of an incarnation, or of one that followed it, was noted already.
     #[must_use]
-    pub fn is_retired(&self, id: &str, born: Born) -> bool {
+    pub fn is_retired(&self, id: &str, born: StartTime) -> bool {
         let mut ends = self.retired.iter();
         ends.any(|ended| *ended.id == *id && born <= ended.born_unix_ms)
     }
 
     /// Returns the incarnation that an end means: the one that it names, or else the one that is known.
     #[must_use]
-    pub fn meant(&self, end: &Incarnation) -> Incarnation {
+    pub fn resolve(&self, end: &Incarnation) -> Incarnation {
         let known = self.endpoints.get(&end.id);
         let born = known.and_then(|known| known.born_unix_ms);
         Incarnation {
@@ -237,7 +240,7 @@
     }
 
     fn note(&mut self, endpoint: Endpoint) -> bool {
-        if !self.is_news(&endpoint) {
+        if !self.is_change(&endpoint) {
             return false;
         }
         if self.same_incarnation(&endpoint).is_none() {
@@ -266,7 +269,7 @@
     }
 
     fn retire(&mut self, end: &Incarnation) -> bool {
-        let ended = self.meant(end);
+        let ended = self.resolve(end);
         if self.is_retired(&ended.id, ended.born_unix_ms) {
             return false;
         }
@@ -285,11 +288,11 @@
 
 /// Holds when the leader last heard of each endpoint.
 #[derive(Debug, Default)]
-pub struct Heard {
+pub struct LastReports {
     last: BTreeMap<EndpointId, Duration>,
 }
 
-impl Heard {
+impl LastReports {
     /// Notes a report.
     pub fn note(&mut self, now: Duration, id: &str) {
         if let Some(last) = self.last.get_mut(id) {
@@ -317,9 +320,9 @@
             let last = self.last[&endpoint.id];
             let is_replaced = newest[&endpoint.address] > last;
             let longest = if is_replaced {
-                REPLACED_SILENCE
+                REPLACED_REPORT_TIMEOUT
             } else {
-                SILENCE
+                REPORT_TIMEOUT
             };
             now >= last + longest
         });
--- a/crates/state/src/state.rs
+++ b/crates/state/src/state.rs
@@ -17,12 +17,12 @@
 use crate::{InstanceName, OrderId, WallMs, keys};
 
 /// Starts the operator's name in drains and orders that a plan or planned stop asked for.
-pub const PLANNED: &str = "planned/";
+pub const PLANNED_PREFIX: &str = "planned/";
 
 /// Returns whether a plan or planned stop asked for a drain, and no operator.
 #[must_use]
 pub fn is_planned(operator: &str) -> bool {
-    operator.starts_with(PLANNED)
+    operator.starts_with(PLANNED_PREFIX)
 }
 
 /// Names a control instance.
@@ -89,7 +89,7 @@
         self.applied_index = index;
         match command {
             Command::OpenTerm { now_ms } => {
-                self.advance(now_ms);
+                self.advance_clock(now_ms);
                 self.orders.open_term(term);
                 Reply::Done
             }
@@ -99,7 +99,7 @@
                 finished,
                 now_ms,
             } => {
-                let now_ms = self.advance(now_ms);
+                let now_ms = self.advance_clock(now_ms);
                 let rules = self.key_rules();
                 let replies = keys::apply(&mut self.keys, &rules, &claims, &finished, now_ms);
                 Reply::Claims(replies)
@@ -109,13 +109,13 @@
                 incarnation,
                 now_ms,
             } => {
-                let now_ms = self.advance(now_ms);
+                let now_ms = self.advance_clock(now_ms);
                 self.keys
                     .holder_lost(sidecar_id(&sidecar), incarnation, now_ms);
                 Reply::Done
             }
             Command::Sweep { now_ms } => {
-                let now_ms = self.advance(now_ms);
+                let now_ms = self.advance_clock(now_ms);
                 let rules = self.key_rules();
                 self.keys.sweep(&rules, now_ms);
                 self.changes.forget_answers(now_ms);
@@ -123,7 +123,7 @@
             }
             Command::Drain(drain) => self.drain(drain),
             Command::PlaceOrder(mut order) => {
-                order.now_ms = self.advance(order.now_ms);
+                order.now_ms = self.advance_clock(order.now_ms);
                 Reply::Order(self.orders.place(order))
             }
             Command::SettleOrder(result) => {
@@ -131,7 +131,7 @@
                 Reply::Done
             }
             Command::Upgrade(command) => {
-                self.take_steps(command);
+                self.apply_steps(command);
                 Reply::Done
             }
             Command::NameControl {
@@ -162,7 +162,7 @@
     }
 
     fn apply_change(&mut self, change: ChangeCommand) -> Reply {
-        let now_ms = self.advance(change.accepted_at_ms);
+        let now_ms = self.advance_clock(change.accepted_at_ms);
         let (reply, accepted) = self.changes.apply(change, now_ms);
         if let Some(checked) = accepted {
             self.max_keys_per_team = checked.max_keys_per_team;
@@ -171,7 +171,7 @@
     }
 
     fn drain(&mut self, drain: DrainCommand) -> Reply {
-        let now_ms = self.advance(drain.now_ms);
+        let now_ms = self.advance_clock(drain.now_ms);
         if drain.draining {
             let record = DrainRecord {
                 instance: drain.instance.clone(),
@@ -189,7 +189,7 @@
         } else {
             self.drains.remove(&drain.instance);
             // The operator takes the endpoint over from its plan.
-            if self.upgrades.end_walk(&drain.instance) {
+            if self.upgrades.end_progress(&drain.instance) {
                 self.upgrades.advance();
             }
         }
@@ -197,29 +197,29 @@
     }
 
     /// Takes steps that were decided on what the state still holds; others come late, and change nothing.
-    fn take_steps(&mut self, command: UpgradeCommand) {
-        let now_ms = self.advance(command.now_ms);
+    fn apply_steps(&mut self, command: UpgradeCommand) {
+        let now_ms = self.advance_clock(command.now_ms);
         let is_current = command.revision == self.upgrades.revision()
             && command.config_version == self.changes.folder().version();
         if !is_current {
             return;
         }
         for step in command.steps {
-            self.take_step(step, now_ms);
+            self.apply_step(step, now_ms);
         }
         self.upgrades.advance();
     }
 
-    fn take_step(&mut self, step: UpgradeStep, now_ms: WallMs) {
+    fn apply_step(&mut self, step: UpgradeStep, now_ms: WallMs) {
         match step {
             UpgradeStep::Put {
                 instance,
-                mut walk,
+                mut progress,
                 order,
             } => {
-                walk.step_at_ms = now_ms;
-                walk.order_id = order.map_or(0, |order| {
-                    let operator = format!("{PLANNED}{}", walk.plan);
+                progress.step_at_ms = now_ms;
+                progress.order_id = order.map_or(0, |order| {
+                    let operator = format!("{PLANNED_PREFIX}{}", progress.plan);
                     let command = OrderCommand {
                         // The revision already keeps the step from being taken twice.
                         change_id: Box::default(),
@@ -232,7 +232,7 @@
                     };
                     self.orders.place(command).order_id
                 });
-                self.upgrades.put_walk(instance, walk);
+                self.upgrades.put_progress(instance, progress);
             }
             UpgradeStep::Drain {
                 instance,
@@ -241,26 +241,26 @@
             } => {
                 let record = DrainRecord {
                     instance: instance.clone(),
-                    operator: format!("{PLANNED}{by}").into(),
+                    operator: format!("{PLANNED_PREFIX}{by}").into(),
                     note: Box::default(),
                     asked_at_ms: now_ms,
                     deadline_ms,
                 };
                 self.drains.entry(instance).or_insert(record);
             }
-            UpgradeStep::LetBack { instance, by } => {
-                let operator = format!("{PLANNED}{by}");
+            UpgradeStep::EndDrain { instance, by } => {
+                let operator = format!("{PLANNED_PREFIX}{by}");
                 let known = self.drains.get(&instance);
                 if known.is_some_and(|known| *known.operator == *operator) {
                     self.drains.remove(&instance);
                 }
             }
-            step => self.upgrades.take(step, now_ms),
+            step => self.upgrades.apply(step, now_ms),
         }
     }
 
     /// Moves the log's time on; a leader whose clock is behind can't turn it back.
-    fn advance(&mut self, now_ms: WallMs) -> WallMs {
+    fn advance_clock(&mut self, now_ms: WallMs) -> WallMs {
         self.now_ms = self.now_ms.max(now_ms);
         self.now_ms
     }
@@ -310,9 +310,9 @@
 
     /// Returns the orders of the upgrades that are under way, by number.
     #[must_use]
-    pub fn walk_orders(&self) -> BTreeMap<OrderId, OrderRecord> {
-        let walks = self.upgrades.walks().values();
-        let records = walks.filter_map(|walk| self.orders.get(walk.order_id));
+    pub fn upgrade_orders(&self) -> BTreeMap<OrderId, OrderRecord> {
+        let in_progress = self.upgrades.in_progress().values();
+        let records = in_progress.filter_map(|progress| self.orders.get(progress.order_id));
         let by_id = records.map(|record| (record.order_id, record.clone()));
         by_id.collect()
     }
--- a/crates/state/src/upgrades.rs
+++ b/crates/state/src/upgrades.rs
@@ -15,7 +15,7 @@
 
 /// Says how far an endpoint has come in its upgrade.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum WalkStep {
+pub enum EndpointStep {
     /// It takes no new work, and loads the new version beside the old one.
     Loading,
     /// It is told to serve the new version.
@@ -28,7 +28,7 @@
     RollingBack,
 }
 
-impl WalkStep {
+impl EndpointStep {
     /// Returns whether the endpoint is out of service.
     #[must_use]
     pub fn is_absent(self) -> bool {
@@ -39,7 +39,7 @@
     }
 }
 
-impl fmt::Display for WalkStep {
+impl fmt::Display for EndpointStep {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Loading => "loading",
@@ -53,7 +53,7 @@
 
 /// Describes the upgrade of one endpoint that is under way.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Walk {
+pub struct UpgradeProgress {
     /// Name of the plan.
     pub plan: Box<str>,
     /// Plan as it was when the endpoint began; a later change of the folder doesn't change what was ordered.
@@ -63,7 +63,7 @@
     /// When running work has ended at the latest.
     pub drained_by_ms: WallMs,
     /// How far it has come.
-    pub step: WalkStep,
+    pub step: EndpointStep,
     /// When the step began.
     pub step_at_ms: WallMs,
     /// Order of the step; 0 for none.
@@ -92,7 +92,7 @@
         /// Endpoint.
         instance: InstanceName,
         /// Step.
-        step: WalkStep,
+        step: EndpointStep,
     },
 }
 
@@ -130,7 +130,7 @@
 
 /// Counts the endpoints of a pool, so that ones that are gone count as absent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Census {
+pub struct PoolSize {
     /// Endpoints.
     pub endpoints: u64,
     /// When they were counted.
@@ -187,7 +187,8 @@
         endpoints: u64,
     },
     /// Notes until when the weight store is taken.
-    TakeStore {
+    #[serde(rename = "TakeStore")]
+    ReserveStore {
         /// When everything ordered so far has been read at the store's rate.
         busy_until_ms: WallMs,
     },
@@ -196,7 +197,8 @@
         /// Endpoint.
         instance: InstanceName,
         /// How it stands from now on.
-        walk: Walk,
+        #[serde(rename = "walk")]
+        progress: UpgradeProgress,
         /// Order to place.
         order: Option<StepOrder>,
     },
@@ -206,7 +208,8 @@
         instance: InstanceName,
     },
     /// Notes the version of an adapter that an endpoint holds; announcements name only models.
-    Hold {
+    #[serde(rename = "Hold")]
+    NoteAdapter {
         /// Endpoint.
         instance: InstanceName,
         /// Adapter.
@@ -229,7 +232,8 @@
         deadline_ms: u64,
     },
     /// Lets an instance take work again, unless an operator has drained it since.
-    LetBack {
+    #[serde(rename = "LetBack")]
+    EndDrain {
         /// Instance.
         instance: InstanceName,
         /// Plan or stop that drained it.
@@ -289,9 +293,11 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Upgrades {
     revision: u64,
-    walks: BTreeMap<InstanceName, Walk>,
+    #[serde(rename = "walks")]
+    in_progress: BTreeMap<InstanceName, UpgradeProgress>,
     stopped: BTreeMap<Box<str>, StoppedPlan>,
-    census: BTreeMap<Box<str>, Census>,
+    #[serde(rename = "census")]
+    pool_sizes: BTreeMap<Box<str>, PoolSize>,
     store_busy_until_ms: WallMs,
     /// Versions of adapters by endpoint and adapter.
     adapters: BTreeMap<InstanceName, BTreeMap<Box<str>, Box<str>>>,
@@ -307,8 +313,8 @@
 
     /// Returns the upgrades of endpoints that are under way.
     #[must_use]
-    pub fn walks(&self) -> &BTreeMap<InstanceName, Walk> {
-        &self.walks
+    pub fn in_progress(&self) -> &BTreeMap<InstanceName, UpgradeProgress> {
+        &self.in_progress
     }
 
     /// Returns the plans that have stopped, by name.
@@ -319,8 +325,8 @@
 
     /// Returns the last count of a pool's endpoints.
     #[must_use]
-    pub fn census(&self, pool: &str) -> Option<Census> {
-        self.census.get(pool).copied()
+    pub fn pool_size(&self, pool: &str) -> Option<PoolSize> {
+        self.pool_sizes.get(pool).copied()
     }
 
     /// Returns when the weight store has read everything ordered so far.
@@ -353,25 +359,25 @@
         self.revision += 1;
     }
 
-    pub(crate) fn put_walk(&mut self, instance: InstanceName, walk: Walk) {
-        self.walks.insert(instance, walk);
+    pub(crate) fn put_progress(&mut self, instance: InstanceName, progress: UpgradeProgress) {
+        self.in_progress.insert(instance, progress);
     }
 
     /// Ends an endpoint's upgrade; returns whether there was one.
-    pub(crate) fn end_walk(&mut self, instance: &str) -> bool {
-        self.walks.remove(instance).is_some()
+    pub(crate) fn end_progress(&mut self, instance: &str) -> bool {
+        self.in_progress.remove(instance).is_some()
     }
 
     /// Takes a step that concerns this record alone.
-    pub(crate) fn take(&mut self, step: UpgradeStep, now_ms: WallMs) {
+    pub(crate) fn apply(&mut self, step: UpgradeStep, now_ms: WallMs) {
         match step {
             UpgradeStep::Count { pool, endpoints } => {
                 let at_ms = now_ms;
-                self.census.insert(pool, Census { endpoints, at_ms });
+                self.pool_sizes.insert(pool, PoolSize { endpoints, at_ms });
             }
-            UpgradeStep::TakeStore { busy_until_ms } => self.store_busy_until_ms = busy_until_ms,
-            UpgradeStep::End { instance } => _ = self.walks.remove(&instance),
-            UpgradeStep::Hold {
+            UpgradeStep::ReserveStore { busy_until_ms } => self.store_busy_until_ms = busy_until_ms,
+            UpgradeStep::End { instance } => _ = self.in_progress.remove(&instance),
+            UpgradeStep::NoteAdapter {
                 instance,
                 adapter,
                 version,
@@ -410,7 +416,7 @@
                 }
             }
             UpgradeStep::ClearStop { name } => _ = self.stops.remove(&name),
-            UpgradeStep::Put { .. } | UpgradeStep::Drain { .. } | UpgradeStep::LetBack { .. } => {}
+            UpgradeStep::Put { .. } | UpgradeStep::Drain { .. } | UpgradeStep::EndDrain { .. } => {}
         }
     }
 }
--- a/crates/state/tests/members.rs
+++ b/crates/state/tests/members.rs
@@ -5,9 +5,9 @@
 
 use hinge_cases::cases;
 use hinge_schema::messages::{Announce, Member, MembersDelta, Renewal, Role};
-use hinge_state::members::{CHANGES_PER_TICK, DRAIN_SPREAD, FIRST_HOLD, FREE_RETURNS};
+use hinge_state::members::{CHANGES_PER_TICK, DRAIN_PROPAGATION, FIRST_HOLD, UNDAMPED_RETURNS};
 use hinge_state::roster::Adopted;
-use hinge_state::{MemberRules, Members, Roster};
+use hinge_state::{LeaseLimits, Members, Roster};
 use quickcheck::quickcheck;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -44,7 +44,7 @@
 impl Leader {
     fn new(followed: &Roster) -> Self {
         Self {
-            members: Members::open(7, Duration::ZERO, MemberRules::default(), followed),
+            members: Members::open(7, Duration::ZERO, LeaseLimits::default(), followed),
             now: Duration::ZERO,
             rng: StdRng::seed_from_u64(1),
         }
@@ -107,7 +107,7 @@
 cases! {
     a_silent_member_expires_after_its_lease => {
         let mut leader = Leader::new(&Roster::default());
-        leader.pass(MemberRules::default().longest_lease);
+        leader.pass(LeaseLimits::default().longest_lease);
         let lease = leader.announce(&announce("a", 1));
         leader.tick();
         assert!(leader.is_serving("a"));
@@ -119,7 +119,7 @@
         followed.announce(&announce("a", 1));
         followed.tick();
         let mut leader = Leader::new(followed.members.roster());
-        leader.pass(MemberRules::default().longest_lease.saturating_sub(2 * TICK));
+        leader.pass(LeaseLimits::default().longest_lease.saturating_sub(2 * TICK));
         assert!(leader.is_serving("a"));
         leader.pass(3 * TICK);
         assert!(leader.members.roster().get("a").is_none());
@@ -130,7 +130,7 @@
         leader.tick();
         assert_eq!(leader.members.delta_since(6, 40, &[]), None);
         assert!(leader.members.delta_since(0, 0, &[]).is_some());
-        leader.pass(MemberRules::default().longest_lease);
+        leader.pass(LeaseLimits::default().longest_lease);
         assert!(leader.members.delta_since(6, 40, &[]).is_some());
     }
     a_late_word_of_an_earlier_incarnation_changes_nothing => {
@@ -142,7 +142,7 @@
     }
     a_flapping_member_is_held_back_and_a_departure_never => {
         let mut leader = Leader::new(&Roster::default());
-        for incarnation in 0..=u64::from(FREE_RETURNS) {
+        for incarnation in 0..=u64::from(UNDAMPED_RETURNS) {
             leader.announce(&announce("a", incarnation));
             leader.tick();
             assert!(leader.is_serving("a"), "return {incarnation} is free");
@@ -175,7 +175,7 @@
         leader.members.set_drained(leader.now, &BTreeSet::from(["a".into(), "b".into()]));
         leader.announce(&idle);
         assert_eq!(leader.members.running("a"), Some(1));
-        leader.pass(DRAIN_SPREAD);
+        leader.pass(DRAIN_PROPAGATION);
         assert_eq!(leader.members.running("a"), Some(1));
         leader.announce(&idle);
         assert_eq!(leader.members.running("a"), Some(0));
@@ -183,7 +183,7 @@
         assert_eq!(leader.members.running("a"), Some(1));
         assert_eq!(leader.members.running("b"), None);
         leader.members.set_drained(leader.now, &BTreeSet::new());
-        leader.pass(DRAIN_SPREAD);
+        leader.pass(DRAIN_PROPAGATION);
         leader.announce(&idle);
         assert_eq!(leader.members.running("a"), Some(1));
     }
@@ -199,12 +199,12 @@
             running: Some(0),
             ejected: Some(true),
         };
-        leader.pass(DRAIN_SPREAD);
+        leader.pass(DRAIN_PROPAGATION);
         assert!(leader.members.renew(leader.now, &renewal));
         assert_eq!(leader.members.running("a"), Some(1));
-        leader.pass(MemberRules::default().longest_lease / 2);
+        leader.pass(LeaseLimits::default().longest_lease / 2);
         assert!(leader.members.renew(leader.now, &renewal));
-        leader.pass(MemberRules::default().longest_lease / 2);
+        leader.pass(LeaseLimits::default().longest_lease / 2);
         assert!(leader.members.renew(leader.now, &renewal));
         assert_eq!(leader.members.running("a"), Some(0));
         assert_eq!(leader.members.live().next().and_then(|member| member.ejected), Some(true));
@@ -237,7 +237,7 @@
         let leases = come_back(&mut leader, &mut watcher, 1);
         let (first, last) = (leases.first().expect("leases are given"), leases.last().expect("leases are given"));
         assert!(*last > *first + Duration::from_secs(2), "renewals spread over the lease");
-        leader.pass(MemberRules::default().longest_lease);
+        leader.pass(LeaseLimits::default().longest_lease);
         let mut gone = 0;
         while leader.tick() {
             gone += 1;
--- a/crates/state/tests/routing.rs
+++ b/crates/state/tests/routing.rs
@@ -4,8 +4,8 @@
 
 use hinge_cases::cases;
 use hinge_schema::routing::{CallerLimits, Endpoint, EndpointState, RouteTable};
-use hinge_state::routing::SILENCE;
-use hinge_state::{Command, EndpointCommand, Heard, Incarnation, Reply, State};
+use hinge_state::routing::REPORT_TIMEOUT;
+use hinge_state::{Command, EndpointCommand, Incarnation, LastReports, Reply, State};
 use quickcheck::quickcheck;
 use serde_bytes::ByteBuf;
 
@@ -48,8 +48,8 @@
     }
 }
 
-/// Describes a report of an endpoint that was born at some millisecond.
-fn born(id: &str, born_unix_ms: u64, sequence: u64) -> Endpoint {
+/// Describes a report of an endpoint that was started at some millisecond.
+fn started(id: &str, born_unix_ms: u64, sequence: u64) -> Endpoint {
     Endpoint {
         born_unix_ms: Some(born_unix_ms),
         ..endpoint(id, sequence)
@@ -132,36 +132,36 @@
     }
     an_endpoint_that_starts_again_under_its_id_is_taken_in_though_it_counts_anew => {
         let mut state = State::default();
-        change(&mut state, EndpointCommand::Note(born("e", 100, 900)));
-        change(&mut state, EndpointCommand::Note(born("e", 200, 1)));
+        change(&mut state, EndpointCommand::Note(started("e", 100, 900)));
+        change(&mut state, EndpointCommand::Note(started("e", 200, 1)));
         assert_eq!(listed(&state, "e"), Some((Some(200), EndpointState::Ready)));
         // A late report of the former start changes nothing, whatever its number.
-        assert!(!state.routing().is_news(&born("e", 100, 901)));
-        change(&mut state, EndpointCommand::Note(born("e", 100, 901)));
+        assert!(!state.routing().is_change(&started("e", 100, 901)));
+        change(&mut state, EndpointCommand::Note(started("e", 100, 901)));
         assert_eq!(listed(&state, "e"), Some((Some(200), EndpointState::Ready)));
     }
     a_drain_ends_with_the_incarnation_that_drains => {
         let mut state = State::default();
-        change(&mut state, EndpointCommand::Note(born("e", 100, 5)));
+        change(&mut state, EndpointCommand::Note(started("e", 100, 5)));
         change(&mut state, EndpointCommand::Note(Endpoint {
             state: EndpointState::Draining,
-            ..born("e", 100, 6)
+            ..started("e", 100, 6)
         }));
-        change(&mut state, EndpointCommand::Note(born("e", 100, 7)));
+        change(&mut state, EndpointCommand::Note(started("e", 100, 7)));
         assert_eq!(listed(&state, "e"), Some((Some(100), EndpointState::Draining)));
-        change(&mut state, EndpointCommand::Note(born("e", 200, 1)));
+        change(&mut state, EndpointCommand::Note(started("e", 200, 1)));
         assert_eq!(listed(&state, "e"), Some((Some(200), EndpointState::Ready)));
     }
     an_end_holds_for_the_incarnation_that_ended_and_those_before_it => {
         let mut state = State::default();
-        change(&mut state, EndpointCommand::Note(born("e", 100, 5)));
+        change(&mut state, EndpointCommand::Note(started("e", 100, 5)));
         change(&mut state, end("e", Some(100)));
         assert_eq!(listed(&state, "e"), None);
-        change(&mut state, EndpointCommand::Note(born("e", 100, 6)));
-        change(&mut state, EndpointCommand::Note(born("e", 90, 7)));
+        change(&mut state, EndpointCommand::Note(started("e", 100, 6)));
+        change(&mut state, EndpointCommand::Note(started("e", 90, 7)));
         change(&mut state, EndpointCommand::Note(endpoint("e", 8)));
         assert_eq!(listed(&state, "e"), None);
-        change(&mut state, EndpointCommand::Note(born("e", 200, 1)));
+        change(&mut state, EndpointCommand::Note(started("e", 200, 1)));
         assert_eq!(listed(&state, "e"), Some((Some(200), EndpointState::Ready)));
         // A late end of the former start does not take the new one away.
         change(&mut state, end("e", Some(100)));
@@ -169,36 +169,36 @@
     }
     an_end_that_names_no_birth_means_the_incarnation_that_is_known => {
         let mut state = State::default();
-        change(&mut state, EndpointCommand::Note(born("e", 100, 5)));
+        change(&mut state, EndpointCommand::Note(started("e", 100, 5)));
         change(&mut state, end("e", None));
-        change(&mut state, EndpointCommand::Note(born("e", 100, 6)));
+        change(&mut state, EndpointCommand::Note(started("e", 100, 6)));
         assert_eq!(listed(&state, "e"), None);
-        change(&mut state, EndpointCommand::Note(born("e", 200, 1)));
+        change(&mut state, EndpointCommand::Note(started("e", 200, 1)));
         assert_eq!(listed(&state, "e"), Some((Some(200), EndpointState::Ready)));
     }
     a_report_that_contradicts_its_incarnation_changes_nothing => {
         let mut state = State::default();
-        change(&mut state, EndpointCommand::Note(born("e", 100, 5)));
-        let elsewhere = Endpoint { address: ([10, 9, 9, 9], 1).into(), ..born("e", 100, 6) };
-        let renamed = Endpoint { service: "other".into(), ..born("e", 100, 7) };
+        change(&mut state, EndpointCommand::Note(started("e", 100, 5)));
+        let elsewhere = Endpoint { address: ([10, 9, 9, 9], 1).into(), ..started("e", 100, 6) };
+        let renamed = Endpoint { service: "other".into(), ..started("e", 100, 7) };
         for report in [elsewhere, renamed] {
             assert!(state.routing().contradicts(&report));
             change(&mut state, EndpointCommand::Note(report));
         }
         let list = state.routing().list();
-        assert_eq!(list.endpoints, [born("e", 100, 5)]);
+        assert_eq!(list.endpoints, [started("e", 100, 5)]);
         // A newer incarnation may listen anywhere.
-        let moved = Endpoint { address: ([10, 9, 9, 9], 1).into(), ..born("e", 200, 1) };
+        let moved = Endpoint { address: ([10, 9, 9, 9], 1).into(), ..started("e", 200, 1) };
         assert!(!state.routing().contradicts(&moved));
-        assert!(state.routing().is_news(&moved));
+        assert!(state.routing().is_change(&moved));
     }
     word_of_a_former_start_is_told_from_word_of_the_present_one => {
         let mut state = State::default();
-        change(&mut state, EndpointCommand::Note(born("e", 200, 5)));
-        assert!(state.routing().is_of_the_past(&born("e", 100, 9)));
-        assert!(state.routing().is_of_the_past(&endpoint("e", 9)));
-        assert!(!state.routing().is_of_the_past(&born("e", 200, 1)));
-        assert!(!state.routing().is_of_the_past(&born("e", 300, 1)));
+        change(&mut state, EndpointCommand::Note(started("e", 200, 5)));
+        assert!(state.routing().is_outdated(&started("e", 100, 9)));
+        assert!(state.routing().is_outdated(&endpoint("e", 9)));
+        assert!(!state.routing().is_outdated(&started("e", 200, 1)));
+        assert!(!state.routing().is_outdated(&started("e", 300, 1)));
     }
     ends_in_older_snapshots_are_read => {
         let written = rmp_serde::to_vec_named(&"gone").expect("text can be written");
@@ -240,18 +240,18 @@
     a_report_without_news_is_none => {
         let mut state = State::default();
         change(&mut state, EndpointCommand::Note(endpoint("e", 1)));
-        assert!(!state.routing().is_news(&endpoint("e", 2)));
-        assert!(state.routing().is_news(&draining("e", 3)));
-        assert!(state.routing().is_news(&endpoint("new", 1)));
+        assert!(!state.routing().is_change(&endpoint("e", 2)));
+        assert!(state.routing().is_change(&draining("e", 3)));
+        assert!(state.routing().is_change(&endpoint("new", 1)));
     }
     a_silent_endpoint_is_dropped_and_comes_back_with_its_next_report => {
         let mut state = State::default();
         change(&mut state, EndpointCommand::Note(endpoint("e", 1)));
-        let mut heard = Heard::default();
-        assert!(heard.silent(Duration::ZERO, state.routing()).is_empty());
-        let later = SILENCE.saturating_sub(Duration::from_millis(1));
-        assert!(heard.silent(later, state.routing()).is_empty());
-        assert_eq!(heard.silent(SILENCE, state.routing()), vec!["e".into()]);
+        let mut last_reports = LastReports::default();
+        assert!(last_reports.silent(Duration::ZERO, state.routing()).is_empty());
+        let later = REPORT_TIMEOUT.saturating_sub(Duration::from_millis(1));
+        assert!(last_reports.silent(later, state.routing()).is_empty());
+        assert_eq!(last_reports.silent(REPORT_TIMEOUT, state.routing()), vec!["e".into()]);
         change(&mut state, EndpointCommand::Drop("e".into()));
         assert_eq!(state_of(&state, "e"), None);
         change(&mut state, EndpointCommand::Note(endpoint("e", 2)));
@@ -262,23 +262,23 @@
         change(&mut state, EndpointCommand::Note(endpoint("old", 1)));
         change(&mut state, EndpointCommand::Note(endpoint("new", 1)));
         assert!(state_of(&state, "old").is_none());
-        let mut heard = Heard::default();
-        heard.note(Duration::ZERO, "old");
+        let mut last_reports = LastReports::default();
+        last_reports.note(Duration::ZERO, "old");
         for second in 1..=4 {
-            heard.note(Duration::from_secs(second), "new");
+            last_reports.note(Duration::from_secs(second), "new");
         }
-        assert!(heard.silent(Duration::from_secs(2), state.routing()).is_empty());
-        assert_eq!(heard.silent(Duration::from_secs(4), state.routing()), vec!["old".into()]);
+        assert!(last_reports.silent(Duration::from_secs(2), state.routing()).is_empty());
+        assert_eq!(last_reports.silent(Duration::from_secs(4), state.routing()), vec!["old".into()]);
     }
     a_new_leader_gives_every_endpoint_its_whole_time_again => {
         let mut state = State::default();
         change(&mut state, EndpointCommand::Note(endpoint("e", 1)));
-        let mut heard = Heard::default();
-        heard.note(Duration::ZERO, "e");
-        heard.clear();
-        let now = SILENCE * 3;
-        assert!(heard.silent(now, state.routing()).is_empty());
-        assert!(!heard.silent(now + SILENCE, state.routing()).is_empty());
+        let mut last_reports = LastReports::default();
+        last_reports.note(Duration::ZERO, "e");
+        last_reports.clear();
+        let now = REPORT_TIMEOUT * 3;
+        assert!(last_reports.silent(now, state.routing()).is_empty());
+        assert!(!last_reports.silent(now + REPORT_TIMEOUT, state.routing()).is_empty());
     }
 }
 
@@ -304,7 +304,7 @@
             change(&mut state, if *ends {
                 end("e", Some(birth))
             } else {
-                EndpointCommand::Note(born("e", birth, u64::from(*sequence)))
+                EndpointCommand::Note(started("e", birth, u64::from(*sequence)))
             });
             newest = newest.max(before.and_then(|(birth, _)| birth));
             listed(&state, "e").is_none_or(|(birth, _)| birth >= newest)
--- a/crates/upgrade/benches/planner.rs
+++ b/crates/upgrade/benches/planner.rs
@@ -1,16 +1,16 @@
 //! Measures one decision for 1,600 members in 8 pools.
 
-#[path = "../tests/night/world.rs"]
+#[path = "../tests/night/simulation.rs"]
 #[expect(dead_code, reason = "the tests use the rest")]
-mod world;
+mod simulation;
 
 use std::fmt::Write;
 use std::hint::black_box;
 
 use criterion::{Criterion, criterion_group, criterion_main};
-use world::World;
+use simulation::Simulation;
 
-fn world(plans: usize) -> World {
+fn simulation(plans: usize) -> Simulation {
     let mut text = String::new();
     for pool in 0..8 {
         write!(text, "[pools.p{pool}]\nkind = \"model\"\n").expect("a string takes text");
@@ -24,15 +24,17 @@
     }
     let names: Vec<_> = (0..8).map(|pool| format!("p{pool}")).collect();
     let pools: Vec<_> = names.iter().map(|name| (&**name, 200)).collect();
-    let mut world = World::new(1, &text, &pools);
-    world.run(3);
-    world
+    let mut simulation = Simulation::new(1, &text, &pools);
+    simulation.run(3);
+    simulation
 }
 
 fn planner(criterion: &mut Criterion) {
     for (name, plans) in [("no_plans", 0), ("8_plans_320_under_way", 8)] {
-        let world = world(plans);
-        criterion.bench_function(name, |bencher| bencher.iter(|| black_box(world.decide())));
+        let simulation = simulation(plans);
+        criterion.bench_function(name, |bencher| {
+            bencher.iter(|| black_box(simulation.decide()))
+        });
     }
 }
 
--- a/crates/upgrade/examples/night.rs
+++ b/crates/upgrade/examples/night.rs
@@ -1,13 +1,13 @@
 //! Prints how long an upgrade night takes in virtual time, for 8 pools of 200 endpoints.
 
-#[path = "../tests/night/world.rs"]
+#[path = "../tests/night/simulation.rs"]
 #[expect(dead_code, reason = "the tests use the rest")]
-mod world;
+mod simulation;
 
 use std::fmt::Write;
 
 use hinge_schema::messages::UpgradeState;
-use world::{OPENING_MS, World};
+use simulation::{OPENING_MS, Simulation};
 
 const POOLS: usize = 8;
 const ENDPOINTS: usize = 200;
@@ -37,23 +37,23 @@
 fn run(store_gigabytes: u64, max_parallel: usize) {
     let names: Vec<_> = (0..POOLS).map(|pool| format!("p{pool}")).collect();
     let pools: Vec<_> = names.iter().map(|name| (&**name, ENDPOINTS)).collect();
-    let mut world = World::new(1, &folder(store_gigabytes, max_parallel), &pools);
-    world.load_ms = LOAD_MS;
+    let mut simulation = Simulation::new(1, &folder(store_gigabytes, max_parallel), &pools);
+    simulation.load_ms = LOAD_MS;
     let mut most = 0;
     for _ in 0..LIMIT {
-        world.tick();
-        most = most.max(world.state.drains().len());
-        let last = world.last.as_ref().expect("a second has passed");
+        simulation.tick();
+        most = most.max(simulation.state.drains().len());
+        let last = simulation.last.as_ref().expect("a second has passed");
         let mut plans = last.plans.iter();
         if plans.all(|plan| plan.state() == UpgradeState::Done) {
             break;
         }
     }
-    let took_s = (world.now_ms - OPENING_MS) / 1000;
+    let took_s = (simulation.now_ms - OPENING_MS) / 1000;
     println!(
         "store {store_gigabytes} GB/s, max_parallel {max_parallel}: {} of {} serve v2 after {took_s} s; \
          most out of service at once {most}",
-        world.serving("v2"),
+        simulation.serving("v2"),
         POOLS * ENDPOINTS
     );
 }
--- a/crates/upgrade/src/capacity.rs
+++ b/crates/upgrade/src/capacity.rs
@@ -7,7 +7,7 @@
 use crate::fleet::Fleet;
 
 /// Parts of the whole.
-const WHOLE_PPM: u128 = 1_000_000;
+const PPM: u128 = 1_000_000;
 
 /// Counts a pool's endpoints.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -29,15 +29,15 @@
 
     /// Returns whether no endpoint may ever go out of service.
     #[must_use]
-    pub fn is_closed(&self) -> bool {
+    pub fn needs_all(&self) -> bool {
         self.needed >= self.total
     }
 }
 
 /// Returns the endpoints that a floor needs, rounded up.
 #[must_use]
-pub fn needed(floor_ppm: u32, total: u64) -> u64 {
-    let needed = (u128::from(floor_ppm) * u128::from(total)).div_ceil(WHOLE_PPM);
+pub fn required_endpoints(floor_ppm: u32, total: u64) -> u64 {
+    let needed = (u128::from(floor_ppm) * u128::from(total)).div_ceil(PPM);
     u64::try_from(needed).unwrap_or(u64::MAX)
 }
 
@@ -62,10 +62,10 @@
         }
         for (name, pool) in fleet.effective.pools.iter() {
             if let Some(capacity) = pools.get_mut(name) {
-                let counted = fleet.upgrades.census(name);
-                let counted = counted.map_or(0, |census| census.endpoints);
+                let counted = fleet.upgrades.pool_size(name);
+                let counted = counted.map_or(0, |size| size.endpoints);
                 capacity.total = capacity.total.max(counted);
-                capacity.needed = needed(pool.floor, capacity.total);
+                capacity.needed = required_endpoints(pool.floor, capacity.total);
             }
         }
         Self { pools }
@@ -76,7 +76,7 @@
     }
 
     /// Notes that an endpoint goes out of service; its pool may lie below its floor then.
-    pub(crate) fn take_one(&mut self, pool: &str) {
+    pub(crate) fn remove_one(&mut self, pool: &str) {
         if let Some(capacity) = self.pools.get_mut(pool) {
             capacity.in_service = capacity.in_service.saturating_sub(1);
         }
--- a/crates/upgrade/src/decide.rs
+++ b/crates/upgrade/src/decide.rs
@@ -9,14 +9,14 @@
 use crate::capacity::Pools;
 use crate::fleet::Fleet;
 use crate::report::{PlanReport, StopReport};
-use crate::store::Store;
-use crate::{plans, stops, walks};
+use crate::store::StoreBudget;
+use crate::{plans, progress, stops};
 
 /// Steps of one decision after which nothing new begins; the command stays below 256 KB, and the rest follows a tick later.
 pub const MAX_STEPS: usize = 512;
 
 /// Age of a count of a pool's endpoints after which it may fall; a night's upgrade is over by then.
-const CENSUS_AGE_MS: u64 = 12 * 60 * 60 * 1000;
+const POOL_SIZE_AGE_MS: u64 = 12 * 60 * 60 * 1000;
 
 /// Holds the steps that are due, and how plans and stops stand before them.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -34,11 +34,11 @@
 pub(crate) struct Draft<'a> {
     pub(crate) steps: Vec<UpgradeStep>,
     pub(crate) pools: Pools<'a>,
-    pub(crate) store: Store,
+    pub(crate) store: StoreBudget,
     /// Plans that a failure has stopped in this decision.
     pub(crate) stopped: BTreeMap<Box<str>, StopReason>,
     /// Instances that this decision drains; nothing else begins there.
-    pub(crate) taken: BTreeSet<&'a str>,
+    pub(crate) drained: BTreeSet<&'a str>,
 }
 
 impl Draft<'_> {
@@ -70,14 +70,14 @@
     let mut draft = Draft {
         steps: Vec::new(),
         pools: Pools::count(fleet),
-        store: Store::new(rate, fleet.upgrades.store_busy_until_ms()),
+        store: StoreBudget::new(rate, fleet.upgrades.store_busy_until_ms()),
         stopped: BTreeMap::new(),
-        taken: BTreeSet::new(),
+        drained: BTreeSet::new(),
     };
     count_pools(fleet, &mut draft);
     plans::clear(fleet, &mut draft);
-    for (instance, walk) in fleet.upgrades.walks() {
-        walks::advance(fleet, instance, walk, &mut draft);
+    for (instance, progress) in fleet.upgrades.in_progress() {
+        progress::advance(fleet, instance, progress, &mut draft);
     }
     let stops = stops::advance(fleet, &mut draft);
     let plans = plans::begin(fleet, &mut draft);
@@ -108,13 +108,13 @@
     let busy = busy_pools(fleet);
     for (name, _) in fleet.effective.pools.iter() {
         let live = u64::try_from(fleet.pool(name).count()).unwrap_or(u64::MAX);
-        let is_due = match fleet.upgrades.census(name) {
+        let is_due = match fleet.upgrades.pool_size(name) {
             None => live > 0,
-            Some(census) if live > census.endpoints => true,
+            Some(size) if live > size.endpoints => true,
             // A pool that shrank for good would hold its plans up forever.
-            Some(census) => {
-                let is_old = is_older(census.at_ms, CENSUS_AGE_MS, fleet.now_ms);
-                live < census.endpoints && is_old && !busy.contains(name)
+            Some(size) => {
+                let is_old = is_older(size.at_ms, POOL_SIZE_AGE_MS, fleet.now_ms);
+                live < size.endpoints && is_old && !busy.contains(name)
             }
         };
         if is_due {
@@ -128,8 +128,10 @@
 
 /// Returns the pools with an endpoint that is being upgraded or stopped.
 fn busy_pools<'a>(fleet: &'a Fleet<'_>) -> BTreeSet<&'a str> {
-    let walks = fleet.upgrades.walks().values();
-    let mut busy: BTreeSet<_> = walks.map(|walk| &*walk.upgrade.pool).collect();
+    let in_progress = fleet.upgrades.in_progress().values();
+    let mut busy: BTreeSet<_> = in_progress
+        .map(|progress| &*progress.upgrade.pool)
+        .collect();
     for record in fleet.upgrades.stops().values() {
         let is_draining = |phase: &StopPhase| matches!(phase, StopPhase::Draining { .. });
         if !record.instances.values().any(is_draining) {
@@ -137,7 +139,7 @@
         }
         match &record.stop.pool {
             Some(pool) => _ = busy.insert(pool),
-            // An instance that is gone has no pool in the record, so every pool may be concerned.
+            // An instance that is gone has no pool in the record, so every pool may be affected.
             None => busy.extend(fleet.effective.pools.iter().map(|(name, _)| name)),
         }
     }
--- a/crates/upgrade/src/fleet.rs
+++ b/crates/upgrade/src/fleet.rs
@@ -63,16 +63,16 @@
 
     /// Returns whether an endpoint takes work now.
     pub(crate) fn is_in_service(&self, endpoint: &Endpoint<'_>) -> bool {
-        let walks = self.upgrades.walks();
-        let walk: Option<_> = walks.get(endpoint.instance);
-        let is_walking = walk.is_some_and(|walk| walk.step.is_absent());
+        let in_progress = self.upgrades.in_progress();
+        let progress: Option<_> = in_progress.get(endpoint.instance);
+        let is_upgrading = progress.is_some_and(|progress| progress.step.is_absent());
         !(endpoint.is_leaving
             || endpoint.is_ejected
-            || is_walking
+            || is_upgrading
             || self.drained.contains(endpoint.instance))
     }
 
-    /// Returns the order of a walk, if the log still has it.
+    /// Returns the order of a progress, if the log still has it.
     pub(crate) fn order(&self, order_id: OrderId) -> Option<&OrderRecord> {
         self.orders.get(&order_id)
     }
--- a/crates/upgrade/src/lib.rs
+++ b/crates/upgrade/src/lib.rs
@@ -8,17 +8,17 @@
 mod decide;
 mod fleet;
 mod plans;
+mod progress;
 mod report;
 mod stops;
 mod store;
-mod walks;
 mod window;
 
 pub use crate::{
-    capacity::{Capacity, needed},
+    capacity::{Capacity, required_endpoints},
     decide::{Decision, MAX_STEPS, decide},
     fleet::{Endpoint, Fleet},
-    report::{PlanReport, StopReport, Wait},
-    store::BURST_MS,
-    walks::{LOAD_GRACE_MS, STEP_TIMEOUT_MS},
+    progress::{LOAD_GRACE_MS, STEP_TIMEOUT_MS},
+    report::{PlanReport, StopReport, WaitReason},
+    store::STORE_BURST_MS,
 };
--- a/crates/upgrade/src/plans.rs
+++ b/crates/upgrade/src/plans.rs
@@ -2,12 +2,12 @@
 
 use hinge_config::effective::Upgrade;
 use hinge_state::UpgradeStep;
-use hinge_state::upgrades::{Walk, WalkStep};
+use hinge_state::upgrades::{EndpointStep, UpgradeProgress};
 
 use crate::decide::Draft;
 use crate::fleet::{Endpoint, Fleet};
-use crate::report::{PlanReport, Wait};
-use crate::walks::{drainer, load_order, subject};
+use crate::progress::{drain_owner, load_order, subject};
+use crate::report::{PlanReport, WaitReason};
 use crate::window;
 
 /// Forgets that plans stopped which the folder holds otherwise by now, and adapters that it no longer names.
@@ -50,16 +50,16 @@
     if report.stopped.is_some() {
         return report;
     }
-    let lacking: Vec<_> = fleet
+    let outdated: Vec<_> = fleet
         .pool(&upgrade.pool)
         .filter(|endpoint| !has_version(fleet, endpoint, upgrade))
         .copied()
         .collect();
-    if let Some(other) = other_plan(fleet, name, upgrade) {
-        report.wait = (!lacking.is_empty()).then(|| Wait::OtherPlan { plan: other.into() });
+    if let Some(other) = conflicting_plan(fleet, name, upgrade) {
+        report.wait = (!outdated.is_empty()).then(|| WaitReason::OtherPlan { plan: other.into() });
         return report;
     }
-    let ready: Vec<_> = lacking
+    let ready: Vec<_> = outdated
         .iter()
         .filter(|endpoint| is_ready(fleet, endpoint, draft))
         .collect();
@@ -67,22 +67,22 @@
         if draft.is_full() {
             return report;
         }
-        if let Err(wait) = may_begin(fleet, upgrade, report.walking, draft) {
+        if let Err(wait) = may_begin(fleet, upgrade, report.upgrading, draft) {
             report.wait = Some(wait);
             return report;
         }
         begin_endpoint(fleet, name, upgrade, endpoint, draft);
-        report.walking += 1;
+        report.upgrading += 1;
     }
-    report.wait = what_remains(fleet, &report, &lacking, ready.len());
+    report.wait = remaining_wait(fleet, &report, &outdated, ready.len());
     report
 }
 
 fn report(fleet: &Fleet<'_>, name: &str, upgrade: &Upgrade, draft: &Draft<'_>) -> PlanReport {
     let endpoints = fleet.pool(&upgrade.pool);
     let done = endpoints.filter(|endpoint| has_version(fleet, endpoint, upgrade));
-    let walks = fleet.upgrades.walks().values();
-    let walking = walks.filter(|walk| *walk.plan == *name);
+    let in_progress = fleet.upgrades.in_progress().values();
+    let upgrading = in_progress.filter(|progress| *progress.plan == *name);
     let in_log = fleet.upgrades.stopped().get(name);
     let in_log = in_log.filter(|stopped| stopped.upgrade == *upgrade);
     let in_log = in_log.map(|stopped| &stopped.reason);
@@ -91,7 +91,7 @@
         pool: upgrade.pool.clone(),
         version: upgrade.version.clone(),
         done: to_u64(done.count()),
-        walking: to_u64(walking.count()),
+        upgrading: to_u64(upgrading.count()),
         total: draft.pools.get(&upgrade.pool).total,
         stopped: draft.stopped.get(name).or(in_log).cloned(),
         wait: None,
@@ -108,7 +108,7 @@
 }
 
 /// Returns an earlier plan about the same; two that name different versions would undo each other without end.
-fn other_plan<'a>(fleet: &'a Fleet<'_>, name: &str, upgrade: &Upgrade) -> Option<&'a str> {
+fn conflicting_plan<'a>(fleet: &'a Fleet<'_>, name: &str, upgrade: &Upgrade) -> Option<&'a str> {
     let earlier = fleet.effective.upgrades.iter();
     let mut earlier = earlier.take_while(|(other, _)| *other != name);
     let same = earlier.find(|(_, other)| {
@@ -121,41 +121,43 @@
 }
 
 fn is_ready(fleet: &Fleet<'_>, endpoint: &Endpoint<'_>, draft: &Draft<'_>) -> bool {
-    let is_walking = fleet.upgrades.walks().contains_key(endpoint.instance);
-    fleet.is_in_service(endpoint) && !is_walking && !draft.taken.contains(endpoint.instance)
+    let is_upgrading = fleet.upgrades.in_progress().contains_key(endpoint.instance);
+    fleet.is_in_service(endpoint) && !is_upgrading && !draft.drained.contains(endpoint.instance)
 }
 
 /// Returns why no further endpoint of a plan may begin now; the store comes last, because asking it takes its bytes.
 fn may_begin(
     fleet: &Fleet<'_>,
     upgrade: &Upgrade,
-    walking: u64,
+    upgrading: u64,
     draft: &mut Draft<'_>,
-) -> Result<(), Wait> {
+) -> Result<(), WaitReason> {
     if let Some(until_ms) = window::opens_at_ms(upgrade.window.as_ref(), fleet.now_ms) {
-        return Err(Wait::Window { until_ms });
+        return Err(WaitReason::Window { until_ms });
     }
-    if walking >= u64::from(upgrade.max_parallel) {
-        return Err(Wait::Parallel);
+    if upgrading >= u64::from(upgrade.max_parallel) {
+        return Err(WaitReason::Parallel);
     }
     let capacity = draft.pools.get(&upgrade.pool);
-    if capacity.is_closed() {
-        return Err(Wait::FloorNeedsAll);
+    if capacity.needs_all() {
+        return Err(WaitReason::FloorNeedsAll);
     }
     if !capacity.has_room() {
-        return Err(Wait::Floor {
+        return Err(WaitReason::Floor {
             in_service: capacity.in_service,
             needed: capacity.needed,
         });
     }
-    let taken = draft.store.take(fleet.now_ms, upgrade.weight_bytes);
-    match taken {
+    let reserved = draft.store.reserve(fleet.now_ms, upgrade.weight_bytes);
+    match reserved {
         Ok(None) => Ok(()),
         Ok(Some(busy_until_ms)) => {
-            draft.steps.push(UpgradeStep::TakeStore { busy_until_ms });
+            draft
+                .steps
+                .push(UpgradeStep::ReserveStore { busy_until_ms });
             Ok(())
         }
-        Err(until_ms) => Err(Wait::Store { until_ms }),
+        Err(until_ms) => Err(WaitReason::Store { until_ms }),
     }
 }
 
@@ -176,46 +178,46 @@
     let drain_ms = pool.map_or(0, |pool| pool.deadline_ms);
     draft.steps.push(UpgradeStep::Drain {
         instance: instance.into(),
-        by: drainer(plan),
+        by: drain_owner(plan),
         deadline_ms: drain_ms,
     });
     draft.steps.push(UpgradeStep::Put {
         instance: instance.into(),
-        walk: Walk {
+        progress: UpgradeProgress {
             plan: plan.into(),
             upgrade: upgrade.clone(),
             from_version: from_version.unwrap_or_default().into(),
             drained_by_ms: fleet.now_ms.saturating_add(drain_ms),
-            step: WalkStep::Loading,
+            step: EndpointStep::Loading,
             step_at_ms: fleet.now_ms,
             order_id: 0,
         },
         order: Some(load_order(upgrade)),
     });
-    draft.pools.take_one(endpoint.pool);
-    draft.taken.insert(instance);
+    draft.pools.remove_one(endpoint.pool);
+    draft.drained.insert(instance);
 }
 
 /// Returns why a plan isn't done although no endpoint is ready any more.
-fn what_remains(
+fn remaining_wait(
     fleet: &Fleet<'_>,
     report: &PlanReport,
-    lacking: &[Endpoint<'_>],
+    outdated: &[Endpoint<'_>],
     begun: usize,
-) -> Option<Wait> {
-    let walks = fleet.upgrades.walks();
+) -> Option<WaitReason> {
+    let in_progress = fleet.upgrades.in_progress();
     let is_own = |endpoint: &&Endpoint<'_>| {
-        let walk: Option<&Walk> = walks.get(endpoint.instance);
-        walk.is_some_and(|walk| walk.plan == report.plan)
+        let progress: Option<&UpgradeProgress> = in_progress.get(endpoint.instance);
+        progress.is_some_and(|progress| progress.plan == report.plan)
     };
-    let own = lacking.iter().filter(is_own).count();
-    let others = to_u64(lacking.len().saturating_sub(own + begun));
+    let own = outdated.iter().filter(is_own).count();
+    let others = to_u64(outdated.len().saturating_sub(own + begun));
     if others > 0 {
-        return Some(Wait::OutOfService { endpoints: others });
+        return Some(WaitReason::OutOfService { endpoints: others });
     }
-    let live = report.done + to_u64(lacking.len());
+    let live = report.done + to_u64(outdated.len());
     let gone = report.total.saturating_sub(live);
-    (gone > 0).then_some(Wait::Gone { endpoints: gone })
+    (gone > 0).then_some(WaitReason::Gone { endpoints: gone })
 }
 
 fn to_u64(count: usize) -> u64 {
--- a/crates/upgrade/src/walks.rs
+++ b/crates/upgrade/src/progress.rs
@@ -4,7 +4,7 @@
 use hinge_schema::messages::{OrderKind, OrderState};
 use hinge_schema::operator::OnFailure;
 use hinge_state::UpgradeStep;
-use hinge_state::upgrades::{StepOrder, StopReason, Walk, WalkStep};
+use hinge_state::upgrades::{EndpointStep, StepOrder, StopReason, UpgradeProgress};
 
 use crate::decide::{Draft, is_older};
 use crate::fleet::{Endpoint, Fleet};
@@ -16,10 +16,10 @@
 pub const LOAD_GRACE_MS: u64 = 30 * 60 * 1000;
 
 /// How many times as long as the store's rate says a load may take; other readers share it.
-const STORE_SLACK: u64 = 4;
+const LOAD_TIME_FACTOR: u64 = 4;
 
 /// How long an endpoint serves the new version before the old one is unloaded.
-const SETTLE_MS: u64 = 10_000;
+const UNLOAD_DELAY_MS: u64 = 10_000;
 
 /// Returns the model or adapter that a plan brings.
 pub(crate) fn subject(upgrade: &Upgrade) -> &str {
@@ -28,7 +28,7 @@
 }
 
 /// Returns who a plan is in drains.
-pub(crate) fn drainer(plan: &str) -> Box<str> {
+pub(crate) fn drain_owner(plan: &str) -> Box<str> {
     format!("upgrade/{plan}").into()
 }
 
@@ -50,13 +50,13 @@
 }
 
 /// Returns the order that takes an endpoint back; none when there is no version to go back to.
-fn back_order(walk: &Walk) -> Option<StepOrder> {
-    let upgrade = &walk.upgrade;
+fn roll_back_order(progress: &UpgradeProgress) -> Option<StepOrder> {
+    let upgrade = &progress.upgrade;
     if upgrade.adapter.is_some() {
         return Some(unload_order(upgrade, &upgrade.version));
     }
-    let has_version = !walk.from_version.is_empty();
-    has_version.then(|| order(upgrade, OrderKind::SetVersion, &walk.from_version))
+    let has_version = !progress.from_version.is_empty();
+    has_version.then(|| order(upgrade, OrderKind::SetVersion, &progress.from_version))
 }
 
 fn order(upgrade: &Upgrade, kind: OrderKind, version: &str) -> StepOrder {
@@ -76,67 +76,72 @@
 }
 
 /// Holds one endpoint's upgrade while it is looked at.
-struct Look<'a, 'f> {
+struct StepContext<'a, 'f> {
     fleet: &'a Fleet<'f>,
     instance: &'a str,
-    walk: &'a Walk,
+    progress: &'a UpgradeProgress,
     endpoint: Option<&'a Endpoint<'f>>,
 }
 
 /// Moves an endpoint's upgrade on by the step that is due, if one is.
-pub(crate) fn advance(fleet: &Fleet<'_>, instance: &str, walk: &Walk, draft: &mut Draft<'_>) {
+pub(crate) fn advance(
+    fleet: &Fleet<'_>,
+    instance: &str,
+    progress: &UpgradeProgress,
+    draft: &mut Draft<'_>,
+) {
     let endpoint = fleet.endpoints.get(instance);
-    let look = Look {
+    let context = StepContext {
         fleet,
         instance,
-        walk,
+        progress,
         endpoint,
     };
-    match walk.step {
-        WalkStep::Loading => look.load(draft),
-        WalkStep::Switching => look.switch(draft),
-        WalkStep::Verifying => look.verify(draft),
-        WalkStep::Unloading => look.unload(draft),
-        WalkStep::RollingBack => look.roll_back(draft),
+    match progress.step {
+        EndpointStep::Loading => context.load(draft),
+        EndpointStep::Switching => context.switch(draft),
+        EndpointStep::Verifying => context.verify(draft),
+        EndpointStep::Unloading => context.unload(draft),
+        EndpointStep::RollingBack => context.roll_back(draft),
     }
 }
 
-impl Look<'_, '_> {
+impl StepContext<'_, '_> {
     fn load(&self, draft: &mut Draft<'_>) {
         match self.order_state() {
-            OrderState::Open if self.is_late(self.load_timeout_ms()) => self.time_out(draft),
+            OrderState::Open if self.is_overdue(self.load_timeout_ms()) => self.time_out(draft),
             OrderState::Open => {}
             OrderState::Failed => {
                 // It still serves the old version, and nothing has to be taken back.
-                self.fail(draft);
-                self.let_back(draft);
+                self.stop_failed(draft);
+                self.end_drain(draft);
                 self.end(draft);
             }
-            OrderState::Superseded => self.give_way(draft),
-            OrderState::Done if self.goes_back(draft) => {
-                self.let_back(draft);
+            OrderState::Superseded => self.yield_to_operator(draft),
+            OrderState::Done if self.must_roll_back(draft) => {
+                self.end_drain(draft);
                 self.end(draft);
             }
             OrderState::Done if self.is_stuck() => {
                 // It still serves the old version, and what runs there goes on.
-                self.stop_late(draft);
-                self.let_back(draft);
+                self.stop_timed_out(draft);
+                self.end_drain(draft);
                 self.end(draft);
             }
             OrderState::Done if !self.is_drained() => {}
-            OrderState::Done if self.walk.upgrade.adapter.is_some() => {
-                draft.steps.push(UpgradeStep::Hold {
+            OrderState::Done if self.progress.upgrade.adapter.is_some() => {
+                draft.steps.push(UpgradeStep::NoteAdapter {
                     instance: self.instance.into(),
-                    adapter: subject(&self.walk.upgrade).into(),
-                    version: self.walk.upgrade.version.clone(),
+                    adapter: subject(&self.progress.upgrade).into(),
+                    version: self.progress.upgrade.version.clone(),
                 });
-                self.let_back(draft);
-                self.put(draft, WalkStep::Verifying, None);
+                self.end_drain(draft);
+                self.put(draft, EndpointStep::Verifying, None);
             }
             OrderState::Done => {
-                let upgrade = &self.walk.upgrade;
+                let upgrade = &self.progress.upgrade;
                 let switch = order(upgrade, OrderKind::SetVersion, &upgrade.version);
-                self.put(draft, WalkStep::Switching, Some(switch));
+                self.put(draft, EndpointStep::Switching, Some(switch));
             }
         }
     }
@@ -144,18 +149,26 @@
     fn switch(&self, draft: &mut Draft<'_>) {
         match self.order_state() {
             OrderState::Failed => {
-                self.fail(draft);
-                self.put(draft, WalkStep::RollingBack, back_order(self.walk));
+                self.stop_failed(draft);
+                self.put(
+                    draft,
+                    EndpointStep::RollingBack,
+                    roll_back_order(self.progress),
+                );
             }
-            OrderState::Superseded => self.give_way(draft),
-            OrderState::Done if self.goes_back(draft) => {
-                self.put(draft, WalkStep::RollingBack, back_order(self.walk));
+            OrderState::Superseded => self.yield_to_operator(draft),
+            OrderState::Done if self.must_roll_back(draft) => {
+                self.put(
+                    draft,
+                    EndpointStep::RollingBack,
+                    roll_back_order(self.progress),
+                );
             }
-            OrderState::Done if self.serves(&self.walk.upgrade.version) => {
-                self.let_back(draft);
-                self.put(draft, WalkStep::Verifying, None);
+            OrderState::Done if self.serves(&self.progress.upgrade.version) => {
+                self.end_drain(draft);
+                self.put(draft, EndpointStep::Verifying, None);
             }
-            OrderState::Open | OrderState::Done if self.is_late(STEP_TIMEOUT_MS) => {
+            OrderState::Open | OrderState::Done if self.is_overdue(STEP_TIMEOUT_MS) => {
                 self.time_out(draft);
             }
             OrderState::Open | OrderState::Done => {}
@@ -164,36 +177,36 @@
 
     fn verify(&self, draft: &mut Draft<'_>) {
         let endpoint = self.endpoint;
-        let is_new = self.serves(&self.walk.upgrade.version);
+        let is_new = self.serves(&self.progress.upgrade.version);
         let is_in_service = endpoint.is_some_and(|endpoint| self.fleet.is_in_service(endpoint));
-        let is_taken = self.fleet.drained.contains(self.instance)
+        let is_out_of_service = self.fleet.drained.contains(self.instance)
             || endpoint.is_some_and(|endpoint| endpoint.is_leaving);
         if is_new && is_in_service {
-            if self.goes_back(draft) || !self.has_old() {
+            if self.must_roll_back(draft) || !self.has_old_version() {
                 self.end(draft);
-            } else if self.is_late(SETTLE_MS) {
-                let unload = unload_order(&self.walk.upgrade, &self.walk.from_version);
-                self.put(draft, WalkStep::Unloading, Some(unload));
+            } else if self.is_overdue(UNLOAD_DELAY_MS) {
+                let unload = unload_order(&self.progress.upgrade, &self.progress.from_version);
+                self.put(draft, EndpointStep::Unloading, Some(unload));
             }
-        } else if is_new && is_taken {
+        } else if is_new && is_out_of_service {
             // An operator or a stop has it; the old version stays loaded, which does no harm.
             self.end(draft);
-        } else if self.is_late(STEP_TIMEOUT_MS) {
+        } else if self.is_overdue(STEP_TIMEOUT_MS) {
             // It is gone or has restarted with another version; what it serves it says itself.
-            self.stop_late(draft);
+            self.stop_timed_out(draft);
             self.end(draft);
         }
     }
 
     fn unload(&self, draft: &mut Draft<'_>) {
         match self.order_state() {
-            OrderState::Open if self.is_late(STEP_TIMEOUT_MS) => {
-                self.stop_late(draft);
+            OrderState::Open if self.is_overdue(STEP_TIMEOUT_MS) => {
+                self.stop_timed_out(draft);
                 self.end(draft);
             }
             OrderState::Open => {}
             OrderState::Failed => {
-                self.fail(draft);
+                self.stop_failed(draft);
                 self.end(draft);
             }
             OrderState::Done | OrderState::Superseded => self.end(draft),
@@ -203,62 +216,62 @@
     /// An endpoint that can't go back stays drained until an operator takes it over: what it serves isn't known.
     fn roll_back(&self, draft: &mut Draft<'_>) {
         match self.order_state() {
-            OrderState::Done if self.serves(&self.walk.from_version) => {
-                self.let_back(draft);
+            OrderState::Done if self.serves(&self.progress.from_version) => {
+                self.end_drain(draft);
                 self.end(draft);
             }
-            OrderState::Superseded if self.walk.order_id != 0 => self.give_way(draft),
+            OrderState::Superseded if self.progress.order_id != 0 => self.yield_to_operator(draft),
             _ => {}
         }
     }
 
     /// Returns the state of the step's order; one that the log no longer holds counts as replaced.
     fn order_state(&self) -> OrderState {
-        let order = self.fleet.order(self.walk.order_id);
+        let order = self.fleet.order(self.progress.order_id);
         order.map_or(OrderState::Superseded, |order| order.state)
     }
 
-    fn is_late(&self, limit_ms: u64) -> bool {
-        is_older(self.walk.step_at_ms, limit_ms, self.fleet.now_ms)
+    fn is_overdue(&self, limit_ms: u64) -> bool {
+        is_older(self.progress.step_at_ms, limit_ms, self.fleet.now_ms)
     }
 
     fn load_timeout_ms(&self) -> u64 {
         let rate = self.fleet.effective.limits.weight_store_bytes_per_second;
-        let bytes = u128::from(self.walk.upgrade.weight_bytes);
+        let bytes = u128::from(self.progress.upgrade.weight_bytes);
         let read_ms = (bytes * 1000).checked_div(u128::from(rate)).unwrap_or(0);
         let read_ms = u64::try_from(read_ms).unwrap_or(u64::MAX);
-        LOAD_GRACE_MS.saturating_add(read_ms.saturating_mul(STORE_SLACK))
+        LOAD_GRACE_MS.saturating_add(read_ms.saturating_mul(LOAD_TIME_FACTOR))
     }
 
     /// Returns whether running work has ended; where that isn't known, whether it has had its time.
     fn is_drained(&self) -> bool {
         match self.endpoint.and_then(|endpoint| endpoint.running) {
             Some(running) => running == 0,
-            None => self.fleet.now_ms >= self.walk.drained_by_ms,
+            None => self.fleet.now_ms >= self.progress.drained_by_ms,
         }
     }
 
     /// Returns whether work still runs long after its time; a plan doesn't wait for it without end.
     fn is_stuck(&self) -> bool {
-        let has_had_time = self.fleet.now_ms >= self.walk.drained_by_ms;
-        has_had_time && !self.is_drained() && self.is_late(self.load_timeout_ms())
+        let has_had_time = self.fleet.now_ms >= self.progress.drained_by_ms;
+        has_had_time && !self.is_drained() && self.is_overdue(self.load_timeout_ms())
     }
 
     /// Returns whether the endpoint says that it serves a version; announcements say nothing of adapters.
     fn serves(&self, version: &str) -> bool {
-        let is_adapter = self.walk.upgrade.adapter.is_some();
+        let is_adapter = self.progress.upgrade.adapter.is_some();
         self.endpoint
             .is_some_and(|endpoint| is_adapter || endpoint.model_version == version)
     }
 
-    fn has_old(&self) -> bool {
-        let walk = self.walk;
-        !walk.from_version.is_empty() && walk.from_version != walk.upgrade.version
+    fn has_old_version(&self) -> bool {
+        let progress = self.progress;
+        !progress.from_version.is_empty() && progress.from_version != progress.upgrade.version
     }
 
     /// Returns whether the plan was stopped, removed or given another target, and its endpoints go back then.
-    fn goes_back(&self, draft: &Draft<'_>) -> bool {
-        let (plan, began) = (&self.walk.plan, &self.walk.upgrade);
+    fn must_roll_back(&self, draft: &Draft<'_>) -> bool {
+        let (plan, began) = (&self.progress.plan, &self.progress.upgrade);
         let planned = self.fleet.effective.upgrades.get(plan);
         let is_planned = planned.is_some_and(|planned| has_same_target(planned, began));
         let stopped = self.fleet.upgrades.stopped().get(plan);
@@ -267,8 +280,8 @@
         began.on_failure == OnFailure::RollBack && (is_stopped || !is_planned)
     }
 
-    fn fail(&self, draft: &mut Draft<'_>) {
-        let Some(order) = self.fleet.order(self.walk.order_id) else {
+    fn stop_failed(&self, draft: &mut Draft<'_>) {
+        let Some(order) = self.fleet.order(self.progress.order_id) else {
             return;
         };
         let reason = StopReason::OrderFailed {
@@ -280,56 +293,60 @@
     }
 
     /// Lets the operator's later order stand.
-    fn give_way(&self, draft: &mut Draft<'_>) {
+    fn yield_to_operator(&self, draft: &mut Draft<'_>) {
         let instance = self.instance.into();
         self.stop(draft, StopReason::OrderReplaced { instance });
-        self.let_back(draft);
+        self.end_drain(draft);
         self.end(draft);
     }
 
     /// The order may still act later, so going back takes its place with a higher number.
     fn time_out(&self, draft: &mut Draft<'_>) {
-        self.stop_late(draft);
-        self.put(draft, WalkStep::RollingBack, back_order(self.walk));
+        self.stop_timed_out(draft);
+        self.put(
+            draft,
+            EndpointStep::RollingBack,
+            roll_back_order(self.progress),
+        );
     }
 
-    fn stop_late(&self, draft: &mut Draft<'_>) {
+    fn stop_timed_out(&self, draft: &mut Draft<'_>) {
         let reason = StopReason::TimedOut {
             instance: self.instance.into(),
-            step: self.walk.step,
+            step: self.progress.step,
         };
         self.stop(draft, reason);
     }
 
-    /// Stops the plan as it stands in the folder; one that has another target by now isn't concerned.
+    /// Stops the plan as it stands in the folder; one that has another target by now isn't affected.
     fn stop(&self, draft: &mut Draft<'_>, reason: StopReason) {
-        let plan = &self.walk.plan;
+        let plan = &self.progress.plan;
         let planned = self.fleet.effective.upgrades.get(plan);
         let is_stopped = self.fleet.upgrades.stopped().get(plan);
         let is_stopped = is_stopped.is_some_and(|stopped| Some(&stopped.upgrade) == planned);
         if let Some(planned) = planned
-            && has_same_target(planned, &self.walk.upgrade)
+            && has_same_target(planned, &self.progress.upgrade)
             && !is_stopped
         {
             draft.stop_plan(plan, planned, reason);
         }
     }
 
-    fn put(&self, draft: &mut Draft<'_>, step: WalkStep, order: Option<StepOrder>) {
+    fn put(&self, draft: &mut Draft<'_>, step: EndpointStep, order: Option<StepOrder>) {
         draft.steps.push(UpgradeStep::Put {
             instance: self.instance.into(),
-            walk: Walk {
+            progress: UpgradeProgress {
                 step,
-                ..self.walk.clone()
+                ..self.progress.clone()
             },
             order,
         });
     }
 
-    fn let_back(&self, draft: &mut Draft<'_>) {
-        draft.steps.push(UpgradeStep::LetBack {
+    fn end_drain(&self, draft: &mut Draft<'_>) {
+        draft.steps.push(UpgradeStep::EndDrain {
             instance: self.instance.into(),
-            by: drainer(&self.walk.plan),
+            by: drain_owner(&self.progress.plan),
         });
     }
 
--- a/crates/upgrade/src/report.rs
+++ b/crates/upgrade/src/report.rs
@@ -8,7 +8,7 @@
 
 /// Says why no further endpoint of a plan begins.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Wait {
+pub enum WaitReason {
     /// The window is closed.
     Window {
         /// When it opens.
@@ -47,7 +47,7 @@
     },
 }
 
-impl Wait {
+impl WaitReason {
     /// Returns when the reason ends, if a time is known.
     #[must_use]
     pub fn until_ms(&self) -> Option<WallMs> {
@@ -58,7 +58,7 @@
     }
 }
 
-impl fmt::Display for Wait {
+impl fmt::Display for WaitReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Window { .. } => f.write_str("the window is closed"),
@@ -94,13 +94,13 @@
     /// Endpoints that serve the version.
     pub done: u64,
     /// Endpoints under way.
-    pub walking: u64,
+    pub upgrading: u64,
     /// Endpoints of the pool.
     pub total: u64,
     /// Why it has stopped.
     pub stopped: Option<StopReason>,
     /// Why no further endpoint begins.
-    pub wait: Option<Wait>,
+    pub wait: Option<WaitReason>,
 }
 
 impl PlanReport {
@@ -109,7 +109,7 @@
     pub fn state(&self) -> UpgradeState {
         if self.stopped.is_some() {
             UpgradeState::Stopped
-        } else if self.walking > 0 {
+        } else if self.upgrading > 0 {
             UpgradeState::Walking
         } else if self.done >= self.total {
             UpgradeState::Done
@@ -121,7 +121,7 @@
     /// Returns the report as operators get it.
     #[must_use]
     pub fn to_status(&self) -> UpgradeStatus {
-        let waits = self.wait.as_ref().map(Wait::to_string);
+        let waits = self.wait.as_ref().map(WaitReason::to_string);
         let stops = self.stopped.as_ref().map(StopReason::to_string);
         UpgradeStatus {
             plan: self.plan.clone(),
@@ -129,10 +129,14 @@
             version: self.version.clone(),
             state: self.state(),
             done: to_count(self.done),
-            walking: to_count(self.walking),
+            walking: to_count(self.upgrading),
             total: to_count(self.total),
             detail: stops.or(waits).unwrap_or_default().into(),
-            until_ms: self.wait.as_ref().and_then(Wait::until_ms).unwrap_or(0),
+            until_ms: self
+                .wait
+                .as_ref()
+                .and_then(WaitReason::until_ms)
+                .unwrap_or(0),
         }
     }
 }
--- a/crates/upgrade/src/stops.rs
+++ b/crates/upgrade/src/stops.rs
@@ -26,9 +26,9 @@
 fn clear(name: &str, record: &StopRecord, draft: &mut Draft<'_>) {
     for (instance, phase) in &record.instances {
         if matches!(phase, StopPhase::Draining { .. }) {
-            draft.steps.push(UpgradeStep::LetBack {
+            draft.steps.push(UpgradeStep::EndDrain {
                 instance: instance.clone(),
-                by: drainer(name),
+                by: drain_owner(name),
             });
         }
     }
@@ -53,7 +53,7 @@
             report.has_begun = true;
             for (instance, phase) in &record.instances {
                 report.total += 1;
-                move_on(fleet, stop, instance, *phase, draft, &mut report);
+                advance_instance(fleet, stop, instance, *phase, draft, &mut report);
             }
             if is_whole_data_center(stop) {
                 report.below_floor = below_floor(fleet, record, draft);
@@ -69,8 +69,8 @@
 /// Fixes which instances a stop concerns: those that live when it begins, so that later ones aren't stopped for nothing.
 fn begin(fleet: &Fleet<'_>, name: &str, stop: &Stop, draft: &mut Draft<'_>) {
     let endpoints = fleet.endpoints.values();
-    let concerned = endpoints.filter(|endpoint| is_concerned(stop, endpoint));
-    let instances = concerned.map(|endpoint| {
+    let affected = endpoints.filter(|endpoint| is_affected(stop, endpoint));
+    let instances = affected.map(|endpoint| {
         let incarnation = endpoint.incarnation;
         let phase = StopPhase::Waiting { incarnation };
         (Fleet::name(endpoint.instance), phase)
@@ -84,7 +84,7 @@
     });
 }
 
-fn is_concerned(stop: &Stop, endpoint: &Endpoint<'_>) -> bool {
+fn is_affected(stop: &Stop, endpoint: &Endpoint<'_>) -> bool {
     let is_instance = stop.instance.as_deref();
     if let Some(instance) = is_instance {
         return instance == endpoint.instance;
@@ -99,7 +99,7 @@
     stop.data_center.is_some() && stop.pool.is_none()
 }
 
-fn move_on<'a>(
+fn advance_instance<'a>(
     fleet: &Fleet<'a>,
     stop: &Stop,
     instance: &str,
@@ -140,14 +140,14 @@
 }
 
 fn may_drain(fleet: &Fleet<'_>, stop: &Stop, endpoint: &Endpoint<'_>, draft: &Draft<'_>) -> bool {
-    let is_walking = fleet.upgrades.walks().contains_key(endpoint.instance);
-    if draft.is_full() || is_walking {
+    let is_upgrading = fleet.upgrades.in_progress().contains_key(endpoint.instance);
+    if draft.is_full() || is_upgrading {
         return false;
     }
     // Another stop of this decision may have taken it already.
     let serves = endpoint.role == Role::Sidecar
         && fleet.is_in_service(endpoint)
-        && !draft.taken.contains(endpoint.instance);
+        && !draft.drained.contains(endpoint.instance);
     is_whole_data_center(stop) || !serves || draft.pools.get(endpoint.pool).has_room()
 }
 
@@ -159,13 +159,13 @@
     report: &mut StopReport,
 ) {
     let instance = Fleet::name(endpoint.instance);
-    let is_first = draft.taken.insert(endpoint.instance);
+    let is_first = draft.drained.insert(endpoint.instance);
     if is_first && endpoint.role == Role::Sidecar && fleet.is_in_service(endpoint) {
-        draft.pools.take_one(endpoint.pool);
+        draft.pools.remove_one(endpoint.pool);
     }
     draft.steps.push(UpgradeStep::Drain {
         instance: instance.clone(),
-        by: drainer(&report.stop),
+        by: drain_owner(&report.stop),
         deadline_ms: stop.deadline_ms,
     });
     draft.steps.push(UpgradeStep::MoveStop {
@@ -181,9 +181,9 @@
 
 /// Lets an instance back that has been stopped and started again.
 fn end(name: &str, instance: &str, draft: &mut Draft<'_>) {
-    draft.steps.push(UpgradeStep::LetBack {
+    draft.steps.push(UpgradeStep::EndDrain {
         instance: instance.into(),
-        by: drainer(name),
+        by: drain_owner(name),
     });
     draft.steps.push(UpgradeStep::MoveStop {
         name: name.into(),
@@ -197,14 +197,14 @@
         .instances
         .keys()
         .filter_map(|name| fleet.endpoints.get(&**name));
-    let concerned: Vec<_> = endpoints.map(|endpoint| endpoint.pool).collect();
+    let affected: Vec<_> = endpoints.map(|endpoint| endpoint.pool).collect();
     let below = draft.pools.below_floor();
     below
-        .filter(|pool| concerned.contains(pool))
+        .filter(|pool| affected.contains(pool))
         .map(Box::from)
         .collect()
 }
 
-fn drainer(stop: &str) -> Box<str> {
+fn drain_owner(stop: &str) -> Box<str> {
     format!("stop/{stop}").into()
 }
--- a/crates/upgrade/tests/fence.rs
+++ b/crates/upgrade/tests/fence.rs
@@ -10,7 +10,7 @@
 use rand::{RngExt, SeedableRng};
 
 /// Holds one endpoint with its sidecar, two leaders' delayed messages, and what the engine did.
-struct World {
+struct Simulation {
     state: State,
     index: u64,
     term: u64,
@@ -19,12 +19,12 @@
     lowest_valid: Option<u64>,
     engine_checks: bool,
     delayed: Vec<OrderRecord>,
-    acted: Vec<OrderRecord>,
+    executed: Vec<OrderRecord>,
 }
 
-impl World {
+impl Simulation {
     fn new(engine_checks: bool) -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             state: State::default(),
             index: 0,
             term: 0,
@@ -32,10 +32,10 @@
             lowest_valid: None,
             engine_checks,
             delayed: Vec::new(),
-            acted: Vec::new(),
+            executed: Vec::new(),
         };
-        world.lead();
-        world
+        simulation.open_term();
+        simulation
     }
 
     fn apply(&mut self, command: Command) {
@@ -43,7 +43,7 @@
         self.state.apply(self.index, self.term, command);
     }
 
-    fn lead(&mut self) {
+    fn open_term(&mut self) {
         self.term += 1;
         self.apply(Command::OpenTerm { now_ms: 0 });
     }
@@ -60,13 +60,13 @@
         }));
     }
 
-    /// Sends the oldest open order as the leader does; the message may arrive at any later time, and more than once.
+    /// Sends the oldest open order as the leader does; the message may deliver at any later time, and more than once.
     fn send(&mut self) {
         let oldest = self.state.orders().open().next().cloned();
         self.delayed.extend(oldest);
     }
 
-    fn arrive(&mut self, at: usize, repeats: bool) {
+    fn deliver(&mut self, at: usize, repeats: bool) {
         let order = self.delayed[at].clone();
         if !repeats {
             self.delayed.remove(at);
@@ -74,57 +74,57 @@
         if self.sidecar.check(order.fence, self.lowest_valid) != FenceCheck::Valid {
             return;
         }
-        let highest = self.acted.iter().map(|acted| acted.fence).max();
-        let engine_takes =
+        let highest = self.executed.iter().map(|executed| executed.fence).max();
+        let engine_accepts =
             !self.engine_checks || highest.is_none_or(|highest| highest <= order.fence);
-        if engine_takes {
-            self.acted.push(order.clone());
+        if engine_accepts {
+            self.executed.push(order.clone());
         }
         self.apply(Command::SettleOrder(OrderResult {
             order_id: order.order_id,
             fence: order.fence,
-            done: engine_takes,
+            done: engine_accepts,
             detail: Box::default(),
         }));
     }
 }
 
-fn run(seed: u64, engine_checks: bool) -> World {
+fn run(seed: u64, engine_checks: bool) -> Simulation {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut world = World::new(engine_checks);
+    let mut simulation = Simulation::new(engine_checks);
     for number in 0..400 {
         match rng.random_range(0..10) {
-            0 => world.lead(),
-            1 | 2 => world.place(number),
-            3 => world.lowest_valid = Some(world.state.orders().lowest_valid()),
-            4..7 => world.send(),
-            _ if world.delayed.is_empty() => {}
+            0 => simulation.open_term(),
+            1 | 2 => simulation.place(number),
+            3 => simulation.lowest_valid = Some(simulation.state.orders().lowest_valid()),
+            4..7 => simulation.send(),
+            _ if simulation.delayed.is_empty() => {}
             _ => {
-                let at = rng.random_range(0..world.delayed.len());
-                world.arrive(at, rng.random_bool(0.3));
+                let at = rng.random_range(0..simulation.delayed.len());
+                simulation.deliver(at, rng.random_bool(0.3));
             }
         }
     }
-    world
+    simulation
 }
 
 fn never_goes_back(engine_checks: bool) {
-    fn numbers_only_grow(acted: &[OrderRecord]) -> bool {
-        acted.is_sorted_by_key(|order| order.fence)
+    fn numbers_only_grow(executed: &[OrderRecord]) -> bool {
+        executed.is_sorted_by_key(|order| order.fence)
     }
     fn holds(seed: u64, engine_checks: bool) -> bool {
-        let world = run(seed, engine_checks);
+        let simulation = run(seed, engine_checks);
         let mut last = BTreeMap::new();
-        for order in &world.acted {
+        for order in &simulation.executed {
             last.insert(order.subject.clone(), order.order_id);
         }
         // Nothing older acts after an order that the log holds as done.
-        let orders = world.state.orders().list("", 1000);
+        let orders = simulation.state.orders().list("", 1000);
         let mut done = orders
             .iter()
             .filter(|order| order.state == OrderState::Done);
         let done = done.all(|order| last.get(&order.subject) >= Some(&order.order_id));
-        numbers_only_grow(&world.acted) && done
+        numbers_only_grow(&simulation.executed) && done
     }
     fn checked(seed: u64) -> bool {
         holds(seed, true)
@@ -142,17 +142,17 @@
 
 hinge_cases::cases! {
     a_sidecar_that_has_just_started_waits_for_the_lowest_number => {
-        let mut world = World::new(false);
-        world.place(1);
-        world.send();
-        world.lead();
-        world.arrive(0, true);
-        assert!(world.acted.is_empty());
-        world.lowest_valid = Some(world.state.orders().lowest_valid());
-        world.arrive(0, true);
-        assert!(world.acted.is_empty(), "the old leader's order acted");
-        world.send();
-        world.arrive(1, false);
-        assert_eq!(world.acted.len(), 1);
+        let mut simulation = Simulation::new(false);
+        simulation.place(1);
+        simulation.send();
+        simulation.open_term();
+        simulation.deliver(0, true);
+        assert!(simulation.executed.is_empty());
+        simulation.lowest_valid = Some(simulation.state.orders().lowest_valid());
+        simulation.deliver(0, true);
+        assert!(simulation.executed.is_empty(), "the old leader's order executed");
+        simulation.send();
+        simulation.deliver(1, false);
+        assert_eq!(simulation.executed.len(), 1);
     }
 }
--- a/crates/upgrade/tests/night/main.rs
+++ b/crates/upgrade/tests/night/main.rs
@@ -1,15 +1,15 @@
 //! Checks upgrade nights and planned stops in virtual time.
 
-mod world;
+mod simulation;
 
 use hinge_cases::cases;
 use hinge_schema::messages::{OrderKind, OrderState, StopState, UpgradeState};
-use hinge_state::upgrades::{StopReason, WalkStep};
+use hinge_state::upgrades::{EndpointStep, StopReason};
 use hinge_state::{Command, DrainCommand};
-use hinge_upgrade::Wait;
+use hinge_upgrade::WaitReason;
 use quickcheck::QuickCheck;
 
-use crate::world::{Announces, DAY_MS, Faults, OPENING_MS, World};
+use crate::simulation::{Announces, DAY_MS, Faults, OPENING_MS, Simulation};
 
 const HOUR: u64 = 3600;
 
@@ -22,55 +22,55 @@
     )
 }
 
-fn night(plan: &str) -> World {
-    World::new(7, &folder(plan), &[("llm", 10)])
+fn night(plan: &str) -> Simulation {
+    Simulation::new(7, &folder(plan), &[("llm", 10)])
 }
 
-fn plan_state(world: &World) -> UpgradeState {
-    let last = world.last.as_ref().expect("a second has passed");
+fn plan_state(simulation: &Simulation) -> UpgradeState {
+    let last = simulation.last.as_ref().expect("a second has passed");
     last.plans[0].state()
 }
 
-fn wait(world: &World) -> Option<Wait> {
-    let last = world.last.as_ref().expect("a second has passed");
+fn wait(simulation: &Simulation) -> Option<WaitReason> {
+    let last = simulation.last.as_ref().expect("a second has passed");
     last.plans[0].wait.clone()
 }
 
-fn stop_state(world: &World) -> StopState {
-    let last = world.last.as_ref().expect("a second has passed");
+fn stop_state(simulation: &Simulation) -> StopState {
+    let last = simulation.last.as_ref().expect("a second has passed");
     last.stops[0].state()
 }
 
-fn has_failed(world: &World) -> bool {
-    let orders = world.state.orders().list("", 100);
+fn has_failed(simulation: &Simulation) -> bool {
+    let orders = simulation.state.orders().list("", 100);
     orders.iter().any(|order| order.state == OrderState::Failed)
 }
 
 /// Runs a night with faults, which must not break a rule, and an hour without any, after which all is settled.
-fn run_with_faults(seed: u64, forgets: bool) -> World {
+fn run_with_faults(seed: u64, restores_state: bool) -> Simulation {
     let second = "[pools.tags]\nkind = \"model\"\nfloor = 50\ndeadline_ms = 20000\n\
         [upgrades.tags]\npool = \"tags\"\nmodel = \"t\"\nversion = \"v2\"\nmax_parallel = 2\n\
         weight_bytes = 30000\n";
     let on_failure = ["roll_back", "finish"][usize::from(seed.is_multiple_of(2))];
     let plans = format!("on_failure = \"{on_failure}\"\n{second}");
     let pools = [("llm", 10), ("tags", 4)];
-    let mut world = World::new(seed, &folder(&plans), &pools);
-    world.forgets = forgets;
-    world.run(1);
-    world.faults = Faults {
+    let mut simulation = Simulation::new(seed, &folder(&plans), &pools);
+    simulation.restores_state = restores_state;
+    simulation.run(1);
+    simulation.faults = Faults {
         gone: 5,
         failed_orders: 10,
         new_leader: 20,
         lost: 100,
         repeated: 200,
     };
-    world.run(400);
-    world.faults = Faults::default();
-    world.forgets = false;
-    // A hanging load takes half an hour to time out; nothing happens in between that needs a look each second.
-    world.step_ms = 10_000;
-    world.run(HOUR / 10);
-    world
+    simulation.run(400);
+    simulation.faults = Faults::default();
+    simulation.restores_state = false;
+    // A hanging load takes half an hour to time out; nothing happens in between that needs a context each second.
+    simulation.step_ms = 10_000;
+    simulation.run(HOUR / 10);
+    simulation
 }
 
 /// Runs that a debug build ends in seconds; each has hundreds of decisions.
@@ -78,11 +78,11 @@
     QuickCheck::new().tests(12).quickcheck(holds);
 }
 
-fn needs_nothing((floor, total, want): (u32, u64, u64)) {
-    assert_eq!(hinge_upgrade::needed(floor, total), want);
+fn floor_needs((floor, total, want): (u32, u64, u64)) {
+    assert_eq!(hinge_upgrade::required_endpoints(floor, total), want);
 }
 
-cases! { needs_nothing:
+cases! { floor_needs:
     a_floor_is_rounded_up => (700_000, 3, 3),
     a_whole_number_stays => (700_000, 10, 7),
     no_floor => (0, 10, 0),
@@ -91,26 +91,26 @@
 
 cases! {
     a_quiet_night_upgrades_everything_once => {
-        let mut world = night("");
-        world.run(HOUR);
-        assert_eq!(plan_state(&world), UpgradeState::Done);
-        assert_eq!(world.serving("v2"), 10);
+        let mut simulation = night("");
+        simulation.run(HOUR);
+        assert_eq!(plan_state(&simulation), UpgradeState::Done);
+        assert_eq!(simulation.serving("v2"), 10);
         for kind in [OrderKind::LoadModel, OrderKind::SetVersion, OrderKind::UnloadModel] {
-            assert_eq!(world.count(kind), 10, "{kind}");
+            assert_eq!(simulation.count(kind), 10, "{kind}");
         }
-        assert!(world.state.drains().is_empty() && !world.has_open_orders());
+        assert!(simulation.state.drains().is_empty() && !simulation.has_open_orders());
     }
     no_rule_breaks_under_faults => {
         fn holds(seed: u64) -> bool {
-            let world = run_with_faults(seed, false);
-            let drains = world.state.drains().len();
-            let rolling = world.walking(WalkStep::RollingBack);
-            let last = world.last.as_ref().expect("seconds have passed");
+            let simulation = run_with_faults(seed, false);
+            let drains = simulation.state.drains().len();
+            let rolling = simulation.at_step(EndpointStep::RollingBack);
+            let last = simulation.last.as_ref().expect("seconds have passed");
             let is_settled = last.plans.iter().all(|plan| {
                 matches!(plan.state(), UpgradeState::Done | UpgradeState::Stopped)
             });
             // Only an endpoint that failed to go back as well stays out of service.
-            is_settled && drains == rolling && world.state.upgrades().walks().len() == rolling
+            is_settled && drains == rolling && simulation.state.upgrades().in_progress().len() == rolling
         }
         check(holds);
     }
@@ -121,173 +121,173 @@
         check(holds);
     }
     the_first_failure_stops_the_plan_and_goes_back => {
-        let mut world = night("");
-        world.run(30);
-        world.faults.failed_orders = 1000;
-        while world.state.upgrades().stopped().is_empty() {
-            world.tick();
+        let mut simulation = night("");
+        simulation.run(30);
+        simulation.faults.failed_orders = 1000;
+        while simulation.state.upgrades().stopped().is_empty() {
+            simulation.tick();
         }
-        world.faults.failed_orders = 0;
-        let (loads, served) = (world.count(OrderKind::LoadModel), world.serving("v2"));
-        world.run(HOUR);
-        assert_eq!(plan_state(&world), UpgradeState::Stopped);
-        let reason = &world.state.upgrades().stopped()["night"].reason;
+        simulation.faults.failed_orders = 0;
+        let (loads, served) = (simulation.count(OrderKind::LoadModel), simulation.serving("v2"));
+        simulation.run(HOUR);
+        assert_eq!(plan_state(&simulation), UpgradeState::Stopped);
+        let reason = &simulation.state.upgrades().stopped()["night"].reason;
         assert!(matches!(reason, StopReason::OrderFailed { .. }));
-        assert_eq!(world.count(OrderKind::LoadModel), loads);
-        assert!(world.serving("v2") <= served && loads < 10);
-        assert_eq!(world.serving("v1") + world.serving("v2"), 10);
-        assert!(world.state.upgrades().walks().is_empty() && world.state.drains().is_empty());
-        world.put_folder(&folder("attempt = 2"));
-        world.run(HOUR);
-        assert_eq!(plan_state(&world), UpgradeState::Done);
+        assert_eq!(simulation.count(OrderKind::LoadModel), loads);
+        assert!(simulation.serving("v2") <= served && loads < 10);
+        assert_eq!(simulation.serving("v1") + simulation.serving("v2"), 10);
+        assert!(simulation.state.upgrades().in_progress().is_empty() && simulation.state.drains().is_empty());
+        simulation.put_folder(&folder("attempt = 2"));
+        simulation.run(HOUR);
+        assert_eq!(plan_state(&simulation), UpgradeState::Done);
     }
     a_plan_that_finishes_brings_endpoints_under_way_to_the_new_version => {
-        let mut world = night("on_failure = \"finish\"");
-        world.run(5);
-        let under_way = world.state.upgrades().walks().len();
-        world.faults.failed_orders = 1000;
-        while !has_failed(&world) {
-            world.tick();
+        let mut simulation = night("on_failure = \"finish\"");
+        simulation.run(5);
+        let under_way = simulation.state.upgrades().in_progress().len();
+        simulation.faults.failed_orders = 1000;
+        while !has_failed(&simulation) {
+            simulation.tick();
         }
-        world.faults.failed_orders = 0;
-        world.run(HOUR);
-        assert_eq!(plan_state(&world), UpgradeState::Stopped);
-        assert!(under_way > 1 && world.serving("v2") > 0);
+        simulation.faults.failed_orders = 0;
+        simulation.run(HOUR);
+        assert_eq!(plan_state(&simulation), UpgradeState::Stopped);
+        assert!(under_way > 1 && simulation.serving("v2") > 0);
     }
     an_endpoint_that_fails_to_switch_goes_back_before_it_takes_work => {
-        let mut world = night("");
-        world.fails = Some(OrderKind::SetVersion);
-        while !has_failed(&world) {
-            world.tick();
+        let mut simulation = night("");
+        simulation.failing_kind = Some(OrderKind::SetVersion);
+        while !has_failed(&simulation) {
+            simulation.tick();
         }
-        world.tick();
-        world.fails = None;
-        assert!(world.walking(WalkStep::RollingBack) > 0);
-        world.run(HOUR / 10);
-        assert_eq!((world.serving("v1"), world.state.drains().len()), (10, 0));
-        assert!(world.state.upgrades().walks().is_empty());
+        simulation.tick();
+        simulation.failing_kind = None;
+        assert!(simulation.at_step(EndpointStep::RollingBack) > 0);
+        simulation.run(HOUR / 10);
+        assert_eq!((simulation.serving("v1"), simulation.state.drains().len()), (10, 0));
+        assert!(simulation.state.upgrades().in_progress().is_empty());
     }
     an_endpoint_that_hangs_times_out_and_goes_back_when_it_answers => {
-        let mut world = night("");
-        world.run(1);
-        let name = world.state.upgrades().walks().keys().next().expect("one began").clone();
+        let mut simulation = night("");
+        simulation.run(1);
+        let name = simulation.state.upgrades().in_progress().keys().next().expect("one began").clone();
         let back_ms = OPENING_MS + 2 * 3_600_000;
-        world.instances.get_mut(&name).expect("it exists").gone_until_ms = back_ms;
-        world.run(HOUR);
-        let reason = world.state.upgrades().stopped()["night"].reason.clone();
-        let step = WalkStep::Loading;
+        simulation.instances.get_mut(&name).expect("it exists").gone_until_ms = back_ms;
+        simulation.run(HOUR);
+        let reason = simulation.state.upgrades().stopped()["night"].reason.clone();
+        let step = EndpointStep::Loading;
         assert_eq!(reason, StopReason::TimedOut { instance: name.clone(), step });
-        world.run(HOUR + 60);
-        assert_eq!(&*world.instances[&name].serving, "v1");
-        assert!(world.is_in_service(&name) && world.state.upgrades().walks().is_empty());
+        simulation.run(HOUR + 60);
+        assert_eq!(&*simulation.instances[&name].serving, "v1");
+        assert!(simulation.is_in_service(&name) && simulation.state.upgrades().in_progress().is_empty());
     }
     outside_the_window_only_running_steps_end => {
-        let mut world = night("");
-        world.now_ms = OPENING_MS + 3 * 3_600_000 - 20_000;
-        world.run(20 + HOUR);
-        let loads = world.count(OrderKind::LoadModel);
+        let mut simulation = night("");
+        simulation.now_ms = OPENING_MS + 3 * 3_600_000 - 20_000;
+        simulation.run(20 + HOUR);
+        let loads = simulation.count(OrderKind::LoadModel);
         assert!(loads > 0 && loads < 10);
-        assert_eq!(world.serving("v2"), loads);
-        assert_eq!(wait(&world), Some(Wait::Window { until_ms: OPENING_MS + DAY_MS }));
+        assert_eq!(simulation.serving("v2"), loads);
+        assert_eq!(wait(&simulation), Some(WaitReason::Window { until_ms: OPENING_MS + DAY_MS }));
     }
     a_window_may_pass_midnight => {
         let plan = folder("").replace("02:00", "23:00").replace("05:00", "01:00");
-        let mut world = World::new(1, &plan, &[("llm", 10)]);
-        world.now_ms = OPENING_MS - 3_600_001;
-        world.tick();
-        assert_eq!(wait(&world), Some(Wait::Window { until_ms: OPENING_MS + 21 * 3_600_000 }));
-        world.now_ms = OPENING_MS + 21 * 3_600_000;
-        world.tick();
-        assert!(!world.state.upgrades().walks().is_empty());
+        let mut simulation = Simulation::new(1, &plan, &[("llm", 10)]);
+        simulation.now_ms = OPENING_MS - 3_600_001;
+        simulation.tick();
+        assert_eq!(wait(&simulation), Some(WaitReason::Window { until_ms: OPENING_MS + 21 * 3_600_000 }));
+        simulation.now_ms = OPENING_MS + 21 * 3_600_000;
+        simulation.tick();
+        assert!(!simulation.state.upgrades().in_progress().is_empty());
     }
     a_floor_that_needs_every_endpoint_says_so => {
-        let mut world = World::new(1, &folder(""), &[("llm", 3)]);
-        world.run(60);
-        assert_eq!(wait(&world), Some(Wait::FloorNeedsAll));
-        assert_eq!(world.count(OrderKind::LoadModel), 0);
+        let mut simulation = Simulation::new(1, &folder(""), &[("llm", 3)]);
+        simulation.run(60);
+        assert_eq!(wait(&simulation), Some(WaitReason::FloorNeedsAll));
+        assert_eq!(simulation.count(OrderKind::LoadModel), 0);
     }
     endpoints_that_are_gone_count_as_absent => {
         let plan = folder("").replace("02:00", "02:01");
-        let mut world = World::new(1, &plan, &[("llm", 10)]);
-        world.run(5);
+        let mut simulation = Simulation::new(1, &plan, &[("llm", 10)]);
+        simulation.run(5);
         for number in 0..3 {
             let name = format!("llm-{number:03}");
-            world.instances.get_mut(&*name).expect("it exists").gone_until_ms = u64::MAX;
+            simulation.instances.get_mut(&*name).expect("it exists").gone_until_ms = u64::MAX;
         }
-        world.run(600);
-        assert_eq!(wait(&world), Some(Wait::Floor { in_service: 7, needed: 7 }));
-        assert_eq!(world.count(OrderKind::LoadModel), 0);
+        simulation.run(600);
+        assert_eq!(wait(&simulation), Some(WaitReason::Floor { in_service: 7, needed: 7 }));
+        assert_eq!(simulation.count(OrderKind::LoadModel), 0);
     }
     a_load_larger_than_the_burst_passes_once_a_bucket => {
         let plan = folder("").replace("weight_bytes = 4000", "weight_bytes = 60000");
-        let mut world = World::new(1, &plan, &[("llm", 10)]);
-        world.run(59);
-        assert_eq!(world.count(OrderKind::LoadModel), 1);
-        assert!(matches!(wait(&world), Some(Wait::Store { .. })));
-        world.run(2);
-        assert_eq!(world.count(OrderKind::LoadModel), 2);
+        let mut simulation = Simulation::new(1, &plan, &[("llm", 10)]);
+        simulation.run(59);
+        assert_eq!(simulation.count(OrderKind::LoadModel), 1);
+        assert!(matches!(wait(&simulation), Some(WaitReason::Store { .. })));
+        simulation.run(2);
+        assert_eq!(simulation.count(OrderKind::LoadModel), 2);
     }
     a_drain_ends_when_nothing_runs => {
         let seconds = |announces| {
-            let mut world = night("");
-            (world.announces, world.request_ms) = (announces, 1_000);
-            world.tick();
-            while plan_state(&world) != UpgradeState::Done {
-                world.tick();
+            let mut simulation = night("");
+            (simulation.announces, simulation.request_ms) = (announces, 1_000);
+            simulation.tick();
+            while plan_state(&simulation) != UpgradeState::Done {
+                simulation.tick();
             }
-            (world.now_ms - OPENING_MS) / 1000
+            (simulation.now_ms - OPENING_MS) / 1000
         };
         let (known, unknown) = (seconds(Announces::Running), seconds(Announces::Nothing));
         assert!(known + 20 < unknown, "{known} s and {unknown} s");
     }
     a_request_beyond_the_deadline_is_waited_for => {
-        let mut world = night("");
-        (world.announces, world.request_ms) = (Announces::Running, 90_000);
-        world.run(HOUR);
-        assert_eq!((plan_state(&world), world.serving("v2")), (UpgradeState::Done, 10));
+        let mut simulation = night("");
+        (simulation.announces, simulation.request_ms) = (Announces::Running, 90_000);
+        simulation.run(HOUR);
+        assert_eq!((plan_state(&simulation), simulation.serving("v2")), (UpgradeState::Done, 10));
     }
     a_request_without_end_stops_the_plan_and_goes_on => {
-        let mut world = night("");
-        (world.announces, world.request_ms) = (Announces::Running, DAY_MS);
-        world.run(HOUR);
-        let stopped = &world.state.upgrades().stopped()["night"].reason;
-        assert!(matches!(stopped, StopReason::TimedOut { step: WalkStep::Loading, .. }));
-        assert_eq!((world.count(OrderKind::SetVersion), world.state.drains().len()), (0, 0));
+        let mut simulation = night("");
+        (simulation.announces, simulation.request_ms) = (Announces::Running, DAY_MS);
+        simulation.run(HOUR);
+        let stopped = &simulation.state.upgrades().stopped()["night"].reason;
+        assert!(matches!(stopped, StopReason::TimedOut { step: EndpointStep::Loading, .. }));
+        assert_eq!((simulation.count(OrderKind::SetVersion), simulation.state.drains().len()), (0, 0));
     }
     ejected_endpoints_count_as_absent => {
-        let mut world = night("");
-        world.ejected = (0..3).map(|number| format!("llm-{number:03}").into()).collect();
-        world.run(600);
-        assert_eq!(wait(&world), Some(Wait::Floor { in_service: 7, needed: 7 }));
-        assert_eq!(world.count(OrderKind::LoadModel), 0);
-        world.ejected.clear();
-        world.run(HOUR);
-        assert_eq!(plan_state(&world), UpgradeState::Done);
+        let mut simulation = night("");
+        simulation.ejected = (0..3).map(|number| format!("llm-{number:03}").into()).collect();
+        simulation.run(600);
+        assert_eq!(wait(&simulation), Some(WaitReason::Floor { in_service: 7, needed: 7 }));
+        assert_eq!(simulation.count(OrderKind::LoadModel), 0);
+        simulation.ejected.clear();
+        simulation.run(HOUR);
+        assert_eq!(plan_state(&simulation), UpgradeState::Done);
     }
     a_second_plan_for_the_same_models_waits => {
         let more = "[upgrades.other]\npool = \"llm\"\nmodel = \"m\"\nversion = \"v3\"";
-        let mut world = night(more);
-        world.run(HOUR);
-        assert_eq!((world.serving("v2"), world.serving("v3")), (10, 0));
-        let last = world.last.as_ref().expect("an hour has passed");
+        let mut simulation = night(more);
+        simulation.run(HOUR);
+        assert_eq!((simulation.serving("v2"), simulation.serving("v3")), (10, 0));
+        let last = simulation.last.as_ref().expect("an hour has passed");
         let plan = "night".into();
-        assert_eq!(last.plans[1].wait, Some(Wait::OtherPlan { plan }));
+        assert_eq!(last.plans[1].wait, Some(WaitReason::OtherPlan { plan }));
     }
     an_adapter_is_loaded_once_and_never_set_as_the_version => {
         let plan = folder("").replace("model = \"m\"", "adapter = \"a\"");
-        let mut world = World::new(1, &plan, &[("llm", 10)]);
-        world.run(HOUR);
-        assert_eq!(plan_state(&world), UpgradeState::Done);
-        assert_eq!((world.count(OrderKind::LoadAdapter), world.placed.len()), (10, 10));
-        world.put_folder(&plan.replace("v2", "v3"));
-        world.run(HOUR);
-        assert_eq!(world.count(OrderKind::UnloadAdapter), 10);
+        let mut simulation = Simulation::new(1, &plan, &[("llm", 10)]);
+        simulation.run(HOUR);
+        assert_eq!(plan_state(&simulation), UpgradeState::Done);
+        assert_eq!((simulation.count(OrderKind::LoadAdapter), simulation.placed.len()), (10, 10));
+        simulation.put_folder(&plan.replace("v2", "v3"));
+        simulation.run(HOUR);
+        assert_eq!(simulation.count(OrderKind::UnloadAdapter), 10);
     }
     an_operator_who_ends_the_drain_takes_the_endpoint_over => {
-        let mut world = night("");
-        world.run(2);
-        let name = world.state.upgrades().walks().keys().next().expect("one began").clone();
-        world.apply(Command::Drain(DrainCommand {
+        let mut simulation = night("");
+        simulation.run(2);
+        let name = simulation.state.upgrades().in_progress().keys().next().expect("one began").clone();
+        simulation.apply(Command::Drain(DrainCommand {
             instance: name.clone(),
             draining: false,
             operator: "ana".into(),
@@ -295,40 +295,40 @@
             deadline_ms: 0,
             now_ms: 0,
         }));
-        assert!(!world.state.upgrades().walks().contains_key(&name));
-        assert!(world.is_in_service(&name));
+        assert!(!simulation.state.upgrades().in_progress().contains_key(&name));
+        assert!(simulation.is_in_service(&name));
     }
     a_stop_of_a_pool_goes_in_waves_above_the_floor => {
         let stop = format!("[stops.kernel]\npool = \"llm\"\nfrom = {OPENING_MS}\ndeadline_ms = 5000");
         let text = folder(&stop).replace("02:00", "20:00").replace("05:00", "21:00");
-        let mut world = World::new(1, &text, &[("llm", 10)]);
+        let mut simulation = Simulation::new(1, &text, &[("llm", 10)]);
         let mut most = 0;
         for _ in 0..10 {
-            world.run(3);
-            let drains = world.state.drains();
+            simulation.run(3);
+            let drains = simulation.state.drains();
             most = most.max(drains.len());
             for drain in &drains {
-                let at = world.instances.get_mut(&drain.instance).expect("it exists");
+                let at = simulation.instances.get_mut(&drain.instance).expect("it exists");
                 at.incarnation = 2;
             }
         }
         assert_eq!(most, 3);
-        assert_eq!(stop_state(&world), StopState::Done);
-        assert!(world.state.drains().is_empty());
+        assert_eq!(stop_state(&simulation), StopState::Done);
+        assert!(simulation.state.drains().is_empty());
     }
     a_stop_of_a_data_center_may_go_below_the_floor_and_says_so => {
         let stop = format!("[stops.a]\ndata_center = \"hall-a\"\nfrom = {OPENING_MS}\ndeadline_ms = 5000");
         let text = folder(&stop).replace("02:00", "20:00").replace("05:00", "21:00");
-        let mut world = World::new(1, &text, &[("llm", 10)]);
-        world.run(4);
-        assert_eq!(world.state.drains().len(), 4);
-        let report = world.last.as_ref().expect("seconds have passed").stops[0].clone();
+        let mut simulation = Simulation::new(1, &text, &[("llm", 10)]);
+        simulation.run(4);
+        assert_eq!(simulation.state.drains().len(), 4);
+        let report = simulation.last.as_ref().expect("seconds have passed").stops[0].clone();
         assert_eq!(report.below_floor, [Box::from("llm")]);
         assert_eq!(report.state(), StopState::Draining);
-        world.run(5);
-        assert_eq!(stop_state(&world), StopState::Late);
-        world.put_folder(&text.replace("stops.a", "stops.b").replace("hall-a", "hall-none"));
-        world.run(2);
-        assert!(world.state.drains().is_empty());
+        simulation.run(5);
+        assert_eq!(stop_state(&simulation), StopState::Late);
+        simulation.put_folder(&text.replace("stops.a", "stops.b").replace("hall-a", "hall-none"));
+        simulation.run(2);
+        assert!(simulation.state.drains().is_empty());
     }
 }
--- a/crates/upgrade/tests/night/world.rs
+++ b/crates/upgrade/tests/night/simulation.rs
@@ -4,9 +4,9 @@
 
 use hinge_config::effective::Effective;
 use hinge_schema::messages::{ConfigFile, OrderKind, OrderRecord, OrderState, Role};
-use hinge_state::upgrades::{UpgradeCommand, WalkStep};
+use hinge_state::upgrades::{EndpointStep, UpgradeCommand};
 use hinge_state::{ChangeCommand, Command, OrderResult, State, UpgradeStep};
-use hinge_upgrade::{Decision, Endpoint, Fleet, decide, needed};
+use hinge_upgrade::{Decision, Endpoint, Fleet, decide, required_endpoints};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
@@ -46,7 +46,7 @@
     pub repeated: u32,
 }
 
-pub struct World {
+pub struct Simulation {
     pub now_ms: u64,
     pub state: State,
     pub effective: Effective,
@@ -54,12 +54,12 @@
     pub rng: StdRng,
     pub faults: Faults,
     pub step_ms: u64,
-    /// Kind of order that every endpoint fails.
-    pub fails: Option<OrderKind>,
+    /// Kind of order that every endpoint failing_kind.
+    pub failing_kind: Option<OrderKind>,
     /// What loading takes beside the few seconds of any order.
     pub load_ms: u64,
     /// Whether everything but the log is forgotten at each step.
-    pub forgets: bool,
+    pub restores_state: bool,
     pub announces: Announces,
     /// How long the longest request runs.
     pub request_ms: u64,
@@ -69,14 +69,14 @@
     pub last: Option<Decision>,
     index: u64,
     term: u64,
-    late: Option<UpgradeCommand>,
+    previous: Option<UpgradeCommand>,
     loads: Vec<(u64, u64)>,
-    in_walk: BTreeSet<(Box<str>, OrderKind, Box<str>)>,
+    ordered: BTreeSet<(Box<str>, OrderKind, Box<str>)>,
 }
 
-impl World {
+impl Simulation {
     pub fn new(seed: u64, folder: &str, pools: &[(&str, usize)]) -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             now_ms: OPENING_MS,
             state: State::default(),
             effective: Effective::default(),
@@ -84,9 +84,9 @@
             rng: StdRng::seed_from_u64(seed),
             faults: Faults::default(),
             step_ms: 1000,
-            fails: None,
+            failing_kind: None,
             load_ms: 0,
-            forgets: false,
+            restores_state: false,
             announces: Announces::Nothing,
             request_ms: REQUEST_MS,
             ejected: BTreeSet::new(),
@@ -94,9 +94,9 @@
             last: None,
             index: 0,
             term: 1,
-            late: None,
+            previous: None,
             loads: Vec::new(),
-            in_walk: BTreeSet::new(),
+            ordered: BTreeSet::new(),
         };
         for (pool, count) in pools {
             for number in 0..*count {
@@ -111,13 +111,13 @@
                     busy_until_ms: 0,
                 };
                 let name = format!("{pool}-{number:03}");
-                world.instances.insert(name.into(), instance);
+                simulation.instances.insert(name.into(), instance);
             }
         }
-        let now_ms = world.now_ms;
-        world.apply(Command::OpenTerm { now_ms });
-        world.put_folder(folder);
-        world
+        let now_ms = simulation.now_ms;
+        simulation.apply(Command::OpenTerm { now_ms });
+        simulation.put_folder(folder);
+        simulation
     }
 
     pub fn apply(&mut self, command: Command) {
@@ -170,7 +170,7 @@
             (&**name, endpoint)
         });
         let drains = self.state.drains();
-        let orders = self.state.walk_orders();
+        let orders = self.state.upgrade_orders();
         decide(&Fleet {
             now_ms: self.now_ms.max(self.state.now_ms()),
             config_version: self.state.changes().folder().version(),
@@ -187,7 +187,7 @@
         self.now_ms += self.step_ms;
         self.fault();
         self.serve();
-        if self.forgets {
+        if self.restores_state {
             let bytes = self.state.encode();
             self.state = State::restore(&bytes).expect("a state restores from its own bytes");
         }
@@ -196,8 +196,8 @@
             self.propose(command);
         }
         self.last = Some(decision);
-        self.carry_out();
-        self.check_walks();
+        self.execute_orders();
+        self.check_progress();
     }
 
     pub fn run(&mut self, seconds: u64) {
@@ -242,7 +242,7 @@
         self.check_floor(&command);
         let is_lost = self.happens(self.faults.lost);
         if self.happens(self.faults.repeated)
-            && let Some(late) = self.late.clone()
+            && let Some(late) = self.previous.clone()
         {
             self.take(late);
         }
@@ -252,21 +252,21 @@
         if self.happens(self.faults.repeated) {
             self.take(command.clone());
         }
-        self.late = Some(command);
+        self.previous = Some(command);
     }
 
     fn take(&mut self, command: UpgradeCommand) {
         let before = self.state.upgrades().clone();
         self.apply(Command::Upgrade(command));
-        for (name, walk) in before.walks() {
-            if !self.state.upgrades().walks().contains_key(name) {
-                self.in_walk.retain(|(instance, ..)| instance != name);
-                let (instance, walk_to) = (&self.instances[name], &walk.upgrade.version);
-                let known = [&walk.from_version, walk_to];
+        for (name, progress) in before.in_progress() {
+            if !self.state.upgrades().in_progress().contains_key(name) {
+                self.ordered.retain(|(instance, ..)| instance != name);
+                let (instance, target) = (&self.instances[name], &progress.upgrade.version);
+                let known = [&progress.from_version, target];
                 // An adapter comes beside the model, whose version stays as it is.
                 let is_known = known.contains(&&instance.serving);
                 assert!(
-                    is_known || walk.upgrade.adapter.is_some(),
+                    is_known || progress.upgrade.adapter.is_some(),
                     "{name} serves neither"
                 );
             }
@@ -280,12 +280,16 @@
                 continue;
             }
             let key = (order.instance.clone(), order.kind, order.version.clone());
-            assert!(self.in_walk.insert(key), "{order:?} was given twice");
+            assert!(self.ordered.insert(key), "{order:?} was given twice");
             if matches!(order.kind, OrderKind::LoadModel | OrderKind::LoadAdapter) {
-                let walk = &self.state.upgrades().walks()[&order.instance];
+                let progress = &self.state.upgrades().in_progress()[&order.instance];
                 let stopped = self.state.upgrades().stopped();
-                assert!(!stopped.contains_key(&walk.plan), "a stopped plan began");
-                self.loads.push((self.now_ms, walk.upgrade.weight_bytes));
+                assert!(
+                    !stopped.contains_key(&progress.plan),
+                    "a stopped plan began"
+                );
+                self.loads
+                    .push((self.now_ms, progress.upgrade.weight_bytes));
                 self.check_store();
             }
         }
@@ -303,7 +307,7 @@
             let names: Vec<_> = of_pool.map(|(name, _)| name).collect();
             let left = names.iter().filter(|name| self.is_in_service(name));
             let left = left.filter(|name| !taken.contains(*name)).count() as u64;
-            let needed = needed(settings.floor, names.len() as u64);
+            let needed = required_endpoints(settings.floor, names.len() as u64);
             let takes_any = names.iter().any(|name| taken.contains(*name));
             assert!(!takes_any || left >= needed, "{pool}: {left} of {needed}");
         }
@@ -315,20 +319,22 @@
         self.is_live(name) && !is_drained
     }
 
-    fn check_walks(&self) {
+    fn check_progress(&self) {
         let upgrades = self.state.upgrades();
         let drains = self.state.drains();
         let drained = Fleet::drained_names(&drains);
-        for (name, walk) in upgrades.walks() {
-            let is_out = !walk.step.is_absent() || drained.contains(&**name);
-            assert!(is_out, "{name} takes work while {}", walk.step);
+        for (name, progress) in upgrades.in_progress() {
+            let is_out = !progress.step.is_absent() || drained.contains(&**name);
+            assert!(is_out, "{name} takes work while {}", progress.step);
         }
         for (name, plan) in self.effective.upgrades.iter() {
-            let walks = upgrades.walks().values();
-            let walks = walks.filter(|walk| *walk.plan == *name).count();
+            let in_progress = upgrades.in_progress().values();
+            let in_progress = in_progress
+                .filter(|progress| *progress.plan == *name)
+                .count();
             assert!(
-                walks as u64 <= u64::from(plan.max_parallel),
-                "{name}: {walks}"
+                in_progress as u64 <= u64::from(plan.max_parallel),
+                "{name}: {in_progress}"
             );
         }
         for (name, instance) in &self.instances {
@@ -346,14 +352,14 @@
         let mut bytes = 0;
         for (at_ms, more) in self.loads.iter().rev() {
             bytes += more;
-            let budget = rate * (until_ms - at_ms + hinge_upgrade::BURST_MS) / 1000;
+            let budget = rate * (until_ms - at_ms + hinge_upgrade::STORE_BURST_MS) / 1000;
             let single = last.max(*more);
             assert!(bytes <= budget.max(single) + single, "{bytes} of {budget}");
         }
     }
 
     /// Lets endpoints do what they are ordered, one order each at a time.
-    fn carry_out(&mut self) {
+    fn execute_orders(&mut self) {
         let mut seen = BTreeSet::new();
         let open: Vec<_> = self.state.orders().open().cloned().collect();
         for order in open {
@@ -367,9 +373,10 @@
             if !seen.insert(order.instance.clone()) || !is_due || !self.is_live(&order.instance) {
                 continue;
             }
-            let done = !self.happens(self.faults.failed_orders) && self.fails != Some(order.kind);
+            let done =
+                !self.happens(self.faults.failed_orders) && self.failing_kind != Some(order.kind);
             if done {
-                self.obey(&order);
+                self.execute(&order);
             }
             self.apply(Command::SettleOrder(OrderResult {
                 order_id: order.order_id,
@@ -380,7 +387,7 @@
         }
     }
 
-    fn obey(&mut self, order: &OrderRecord) {
+    fn execute(&mut self, order: &OrderRecord) {
         let now_ms = self.now_ms;
         let instance = self.instances.get_mut(&order.instance);
         let instance = instance.expect("the instance exists");
@@ -415,9 +422,9 @@
         instances.filter(|at| *at.serving == *version).count()
     }
 
-    pub fn walking(&self, step: WalkStep) -> usize {
-        let walks = self.state.upgrades().walks().values();
-        walks.filter(|walk| walk.step == step).count()
+    pub fn at_step(&self, step: EndpointStep) -> usize {
+        let in_progress = self.state.upgrades().in_progress().values();
+        in_progress.filter(|progress| progress.step == step).count()
     }
 
     pub fn has_open_orders(&self) -> bool {
