--- a/crates/control/src/upgrade.rs
+++ b/crates/control/src/upgrade.rs
@@ -202,7 +202,9 @@
 fn log_steps(steps: &[UpgradeStep]) {
     for step in steps {
         match step {
-            UpgradeStep::Put { instance, progress, .. } => info!(
+            UpgradeStep::Put {
+                instance, progress, ..
+            } => info!(
                 Part::Control,
                 "An upgrade moves on.",
                 plan = progress.plan,
--- a/crates/state/src/changes.rs
+++ b/crates/state/src/changes.rs
@@ -1,9 +1,9 @@
-//! Holds the operators' folder by versions, and the first answer to each change.
+//! The operators' folder with its history, and the first answer to each change.
 //!
-//! Among changes that are based on the same version exactly one wins: the first in the log whose result is valid. A change
-//! that comes again gets its first answer again, for [`KEEP_ANSWERS`] changes, [`KEEP_ANSWERS_MS`] and
-//! [`KEEP_ANSWERS_BYTES`], whichever ends first. An accepted change that comes later still finds a newer version in position of
-//! its base, so it can't be accepted twice.
+//! Of the changes that are based on the same version exactly one is accepted: the first in the log whose result is valid. A
+//! resent change gets its first answer again, as long as the answer is kept: within [`KEEP_ANSWERS`], [`KEEP_ANSWERS_MS`]
+//! and [`KEEP_ANSWERS_BYTES`]. An accepted change that is resent even later conflicts with a newer version than its base, so
+//! it can't be accepted twice.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -17,19 +17,19 @@
 use crate::folder::{Change, Folder};
 use crate::{ChangeId, WallMs};
 
-/// Answers that are kept: three days at 2,500 changes a day, and each takes about 100 bytes.
+/// Answers kept: three days at 2,500 changes a day, at about 100 bytes each.
 pub const KEEP_ANSWERS: usize = 8192;
 
-/// Time for which an answer is kept, in milliseconds: three days, so that a change resent after a weekend finds its answer.
+/// Time for which an answer is kept: three days, so that a change resent after a weekend still gets its answer.
 pub const KEEP_ANSWERS_MS: u64 = 3 * 24 * 60 * 60 * 1000;
 
-/// Bytes of kept answers; only refusals with many problems are long, and control has 32 MB.
+/// Bytes of kept answers; only refusals with many problems are long, and control's memory limit is 32 MB.
 pub const KEEP_ANSWERS_BYTES: usize = 2 << 20;
 
-/// Changes that the history lists, without their texts.
+/// Changes kept in the history, without their texts.
 pub const KEEP_HISTORY: usize = 2048;
 
-/// What an answer takes beside its problems, in bytes; an estimate for the bound on memory.
+/// Estimated size of an answer without its problems, for the bound on memory.
 const ANSWER_BYTES: usize = 160;
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -61,13 +61,13 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct Answer {
-    /// Tells a resent change from another one with the same number.
+    /// Distinguishes a resent change from another change with the same id.
     fingerprint: u64,
     at_ms: WallMs,
     verdict: Verdict,
 }
 
-/// Holds the folder, its history and the answers.
+/// The folder, its history, and the answers to changes.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Changes {
     folder: Folder,
@@ -78,7 +78,7 @@
 }
 
 impl Changes {
-    /// Applies a change, and returns what was found in the folder if it was accepted now.
+    /// Applies a change, and returns the result of the folder's check if the change was newly accepted.
     pub(crate) fn apply(
         &mut self,
         change: ChangeCommand,
@@ -111,7 +111,7 @@
     }
 
     fn decide_stale_base(&self, change: &ChangeCommand) -> Verdict {
-        // A change whose answer is forgotten may meet itself as the winner; then it was accepted.
+        // If this change's own answer has been removed, the winner may be the change itself; then it was accepted.
         let winner = self.entry(change.base_version.saturating_add(1));
         match winner {
             Some(winner) if winner.change_id == change.change_id => Verdict::Accepted {
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Describes the winner; its texts are in the answer as long as the change is kept whole.
+    /// Describes the change that was accepted instead; the reply includes its texts as long as they are kept.
     fn conflict(&self, base_version: u64, current_version: u64) -> Conflict {
         let winner_version = base_version.saturating_add(1);
         let entry = self.entry(winner_version);
@@ -227,7 +227,7 @@
         self.forget_answers(at_ms);
     }
 
-    /// Forgets answers beyond the bounds, the oldest first.
+    /// Removes answers beyond the bounds, oldest first.
     pub(crate) fn forget_answers(&mut self, now_ms: WallMs) {
         while let Some(oldest) = self.answer_order.front() {
             let answer = &self.answers[oldest];
@@ -249,7 +249,7 @@
         &self.folder
     }
 
-    /// Returns accepted changes below a version, newest first; 0 stands for all.
+    /// Returns accepted changes below a version, newest first; 0 means all.
     #[must_use]
     pub fn history(&self, before_version: u64, limit: usize) -> Vec<HistoryEntry> {
         let entries = self.history.iter().rev();
@@ -264,7 +264,7 @@
     }
 }
 
-/// Hashes what the operator sent, without the leader's time.
+/// Returns a hash of what the operator sent, without the leader's time.
 fn fingerprint(change: &ChangeCommand) -> u64 {
     let parts = (
         &change.operator,
@@ -273,6 +273,6 @@
         &change.put,
         &change.removed,
     );
-    let bytes = rmp_serde::to_vec(&parts).expect("texts and numbers have a MessagePack form");
+    let bytes = rmp_serde::to_vec(&parts).expect("text and numbers can be encoded as MessagePack");
     crate::keys::fnv1a(&bytes)
 }
--- a/crates/state/src/command.rs
+++ b/crates/state/src/command.rs
@@ -1,4 +1,4 @@
-//! Defines the commands that the log carries, and the replies to them.
+//! The commands that the log carries, and the replies to them.
 
 use hinge_config::effective::Effective;
 use hinge_routing::{IncarnationHash, RequestKey};
@@ -13,38 +13,38 @@
 use crate::upgrades::UpgradeCommand;
 use crate::{ChangeId, Fence, InstanceName, OrderId, WallMs};
 
-/// Problems in one refusal; an operator mends the first ones first.
+/// Problems listed in one refusal; the rest show up once the first ones are fixed.
 const MAX_PROBLEMS: usize = 20;
 
-/// Holds one command of the state machine.
+/// A command of the state machine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Opens a leader's term; orders of earlier terms are fenced off from here on.
+    /// Opens a leader's term; orders of earlier terms are invalid from here on.
     OpenTerm {
         /// Time of the leader.
         now_ms: WallMs,
     },
     /// Changes the operators' folder.
     ApplyChange(ChangeCommand),
-    /// Claims idempotency keys, and notes ends of earlier claims.
+    /// Claims idempotency keys, and records the outcomes of earlier claims.
     ClaimKeys {
-        /// Claims, answered in order.
+        /// Claims; the replies have the same order.
         claims: Vec<ClaimKey>,
-        /// Ends, which take effect before the claims.
+        /// Outcomes, which take effect before the claims.
         finished: Vec<FinishKey>,
         /// Time of the leader.
         now_ms: WallMs,
     },
-    /// Notes that earlier incarnations of a sidecar are gone.
+    /// Records that earlier incarnations of a sidecar are gone.
     HolderLost {
         /// Name of the sidecar.
         sidecar: InstanceName,
-        /// Lowest incarnation that may still live.
+        /// Lowest incarnation that may still be alive.
         incarnation: u64,
         /// Time of the leader.
         now_ms: WallMs,
     },
-    /// Drops expired keys and answers.
+    /// Removes expired keys and answers.
     Sweep {
         /// Time of the leader.
         now_ms: WallMs,
@@ -53,75 +53,75 @@
     Drain(DrainCommand),
     /// Places an order to an endpoint.
     PlaceOrder(OrderCommand),
-    /// Notes what an endpoint answered to an order.
+    /// Records an endpoint's answer to an order.
     SettleOrder(OrderResult),
-    /// Moves upgrades and planned stops on.
+    /// Advances upgrades and planned stops.
     Upgrade(UpgradeCommand),
-    /// Notes the name and address of a control instance.
+    /// Records the name and address of a control instance.
     NameControl {
-        /// Incarnation in the log.
+        /// Node id of the instance's incarnation in the log.
         node_id: u64,
         /// Name of the instance.
         instance: InstanceName,
         /// Address for other control instances.
         address: Box<str>,
-        /// Whether it keeps the log in memory only; missing in entries of programs that knew no such instances.
+        /// Whether it keeps the log in memory only; missing in entries of versions before diskless instances.
         #[serde(default)]
         diskless: bool,
     },
-    /// Forgets a control instance that left the log.
+    /// Removes a control instance that has left the log's members.
     ForgetControl {
-        /// Incarnation in the log.
+        /// Node id of the instance's incarnation in the log.
         node_id: u64,
     },
     /// Puts a route table in force, if its number is the highest so far.
     PutTable(Box<RouteTable>),
-    /// Changes what is known of the endpoints.
+    /// Updates the list of endpoints.
     Endpoint(EndpointCommand),
-    /// Notes ends of endpoints under requests.
+    /// Records which requests endpoints were working on when they ended.
     Suspects(SuspectsCommand),
 }
 
-/// Holds what a gateway has seen of suspected requests.
+/// A gateway's report on requests that are suspected of ending endpoints.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectsCommand {
-    /// Requests with the start of the endpoint that ended while it worked on them.
+    /// Requests, each with the incarnation of the endpoint that ended while working on it.
     pub ends: Vec<(RequestKey, IncarnationHash)>,
     /// Suspected requests that have completed since.
     pub completed: Vec<RequestKey>,
 }
 
-/// Holds an operator's change of the folder.
+/// An operator's change of the configuration folder.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeCommand {
-    /// Number that the operator drew.
+    /// Id that the operator drew.
     pub change_id: ChangeId,
-    /// Who proposes.
+    /// Operator who proposes the change.
     pub operator: Box<str>,
     /// Version that the change was based on.
     pub base_version: u64,
-    /// Why.
+    /// Reason that the operator gives.
     pub note: Box<str>,
     /// Files to add or change.
     pub put: Vec<ConfigFile>,
     /// Names of files to remove.
     pub removed: Vec<Box<str>>,
-    /// Time of the leader that took the change in.
+    /// Time of the leader that accepted the change.
     pub accepted_at_ms: WallMs,
-    /// What the leader found in the folder that results from the change on its base version.
+    /// Result of the leader's check of the folder that results from the change on its base version.
     ///
-    /// It only counts where the base is the version in force, and so it is about exactly the folder that results. With it
-    /// a restart needs no check of every change in the log, and instances of different programs can't differ on one.
+    /// It is used only if the base is the version in force, since only then was exactly the resulting folder checked. It saves
+    /// a restart from checking every change in the log, and keeps instances of different versions from differing on a change.
     #[serde(default)]
     pub checked: Option<Checked>,
 }
 
-/// Holds what was found in a folder.
+/// The result of checking a folder.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Checked {
-    /// Mistakes; none for a valid folder.
+    /// Problems; empty for a valid folder.
     pub problems: Vec<ConfigProblem>,
-    /// Idempotency keys that a team may hold under it.
+    /// Idempotency keys that a team may hold under this folder.
     pub max_keys_per_team: u32,
 }
 
@@ -145,71 +145,71 @@
     }
 }
 
-/// Holds an operator's request to drain an instance or to end its drain.
+/// An operator's request to drain an instance or to end its drain.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainCommand {
     /// Instance.
     pub instance: InstanceName,
     /// Whether the instance takes no new work.
     pub draining: bool,
-    /// Who asks.
+    /// Operator who asks.
     pub operator: Box<str>,
-    /// Why.
+    /// Reason that the operator gives.
     pub note: Box<str>,
-    /// Time in which running work ends, in milliseconds.
+    /// Time within which running work must end, in milliseconds.
     pub deadline_ms: u64,
     /// Time of the leader.
     pub now_ms: WallMs,
 }
 
-/// Holds an operator's order to an endpoint.
+/// An operator's order to an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderCommand {
-    /// Number that the operator drew.
+    /// Id that the operator drew.
     pub change_id: ChangeId,
     /// Sidecar of the endpoint.
     pub instance: InstanceName,
-    /// Who asks.
+    /// Operator who asks.
     pub operator: Box<str>,
     /// What to do.
     pub kind: OrderKind,
     /// Model, adapter or role.
     pub subject: Box<str>,
-    /// Version; empty when it does not matter.
+    /// Version; empty if the order needs none.
     pub version: Box<str>,
     /// Time of the leader.
     pub now_ms: WallMs,
 }
 
-/// Holds an endpoint's last word on an order.
+/// An endpoint's final answer to an order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderResult {
     /// Number of the order.
     pub order_id: OrderId,
-    /// Fencing number under which it was given.
+    /// Fencing number under which the order was sent.
     pub fence: Fence,
-    /// Whether the endpoint has done it.
+    /// Whether the endpoint has carried out the order.
     pub done: bool,
-    /// What the endpoint said.
+    /// Text of the endpoint's answer.
     pub detail: Box<str>,
 }
 
-/// Answers a command.
+/// The reply to a command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reply {
-    /// The command takes effect, and there is nothing to say.
+    /// The command was applied and returns no data.
     Done,
-    /// What became of a change.
+    /// The result of a change.
     Change(ApplyReply),
-    /// What became of claims.
+    /// The results of claims.
     Claims(ClaimBatchReply),
     /// All drained instances.
     Drains(Vec<DrainRecord>),
-    /// The order as it stands.
+    /// The current record of the order.
     Order(OrderRecord),
     /// Number of the route table in force.
     TableNumber(u64),
-    /// Requests that are held now and were not before.
+    /// Requests that are newly held.
     Held(Vec<RequestKey>),
 }
 
@@ -218,11 +218,11 @@
     ///
     /// # Panics
     ///
-    /// Panics when a command has no MessagePack form, which none lacks.
+    /// Panics if the command can't be encoded as MessagePack; every command can.
     #[must_use]
     pub fn encode(&self) -> Box<[u8]> {
         rmp_serde::to_vec_named(self)
-            .expect("every command has a MessagePack form")
+            .expect("every command can be encoded as MessagePack")
             .into_boxed_slice()
     }
 
@@ -230,8 +230,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when a later program wrote a command that this one doesn't know; skipping it would let the
-    /// instances' states drift apart.
+    /// Returns an error when a newer version wrote a command that this version doesn't know; skipping it would let the
+    /// instances' states diverge.
     pub fn decode(bytes: &[u8]) -> Result<Self, rmp_serde::decode::Error> {
         rmp_serde::from_slice(bytes)
     }
--- a/crates/state/src/folder.rs
+++ b/crates/state/src/folder.rs
@@ -1,4 +1,4 @@
-//! Holds the operators' folder in force, and the recent changes that led to it.
+//! The operators' folder in force, and the recent changes that led to it.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -7,16 +7,16 @@
 use hinge_schema::messages::{ConfigDelta, ConfigFile};
 use serde::{Deserialize, Serialize};
 
-/// Changes that are kept whole for watchers that lag and for the answers to losers.
+/// Changes kept with their texts, for watchers that lag behind and for replies to conflicting changes.
 pub const KEEP_CHANGES: usize = 64;
 
-/// Bytes of changes that are kept whole; a watcher that lags further gets the whole folder.
+/// Bytes of changes kept with their texts; a watcher that lags further behind gets the whole folder.
 pub const KEEP_CHANGES_BYTES: usize = 512 * 1024;
 
-/// Holds one accepted change.
+/// An accepted change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Version that the change made.
+    /// Version that results from the change.
     pub version: u64,
     /// Files added or changed.
     pub put: Vec<ConfigFile>,
@@ -35,9 +35,9 @@
     }
 }
 
-/// Holds the folder by versions.
+/// The folder in force, with the recent changes.
 ///
-/// A clone shares the texts, so that readers can keep one while the next change is applied.
+/// A clone shares the texts, so that readers can keep a copy while the next change is applied.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Folder {
     version: u64,
@@ -72,7 +72,7 @@
         &self.files
     }
 
-    /// Returns a change, as long as it is kept whole.
+    /// Returns a change, as long as its texts are kept.
     #[must_use]
     pub fn change(&self, version: u64) -> Option<&Change> {
         let change = self.recent.iter().find(|change| change.version == version);
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Returns what leads from `version` to the version in force: recent changes merged_delta, or else the whole folder.
+    /// Returns the delta from `version` to the version in force: the merged recent changes, or else the whole folder.
     #[must_use]
     pub fn delta_since(&self, version: u64) -> Option<ConfigDelta> {
         if version >= self.version {
--- a/crates/state/src/keys.rs
+++ b/crates/state/src/keys.rs
@@ -1,4 +1,4 @@
-//! Brings claims of idempotency keys from their messages to the key table and back.
+//! Conversion of idempotency key claims between messages and the key table.
 
 use hinge_outcome::keys::{
     ClaimAnswer, KeyOutcome as StoredOutcome, KeyRules, KeyTable, key_digest,
@@ -10,10 +10,10 @@
 
 use crate::WallMs;
 
-/// Wait that a claimer is told whose key is running, in milliseconds; a request takes seconds.
+/// Retry delay for a claim whose key is already running; a request takes seconds.
 const RUNNING_RETRY_MS: u64 = 1000;
 
-/// Applies the ends and then the claims of a batch.
+/// Applies the outcomes and then the claims of a batch.
 pub(crate) fn apply(
     table: &mut KeyTable,
     rules: &KeyRules,
@@ -39,7 +39,7 @@
     let holder = holder(&end.sidecar, end.incarnation, end.claim_id);
     let key = key_digest(&end.key);
     let outcome = match end.outcome {
-        // The message carries neither status nor length; a duplicate is only told that the run completed.
+        // The message carries neither status nor length; a duplicate request only learns that the first one completed.
         KeyOutcome::Completed => StoredOutcome::Completed {
             status: 0,
             answer_bytes: 0,
@@ -70,7 +70,7 @@
         ClaimAnswer::Finished { outcome } => {
             (ClaimVerdict::Finished, Some(outcome_name(*outcome)), 0)
         }
-        // A claimer that has released its key meets its own earlier word; it must not run the request after all.
+        // A claimer that has already released its key must not run the request after all.
         ClaimAnswer::Conflict | ClaimAnswer::Withdrawn => (ClaimVerdict::Conflict, None, 0),
         ClaimAnswer::Full { retry_after_ms } => (ClaimVerdict::Full, None, *retry_after_ms),
     };
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decides what the entries of the replicated log mean, and keeps the soft state of the members.
+//! The state machine above the replicated log, and the leader's soft state of the members.
 //!
 //! [`State`] is the state machine above the log: every instance applies the same commands in the same order and holds the
-//! same state. [`members::Members`] isn't in the log: the leader learns it from announcements, and the other instances and
-//! relays follow it by versions. Both are pure: the time and the randomness are arguments.
+//! same state. [`members::Members`] isn't in the log: the leader builds it from announcements, and the other instances and
+//! relays follow it by version. Both are deterministic: time and randomness are passed in as arguments.
 
 pub mod changes;
 pub mod command;
@@ -28,17 +28,17 @@
 pub use state::{ControlName, RestoreError, State};
 pub use upgrades::{UpgradeCommand, UpgradeStep, Upgrades};
 
-/// Numbers an operator's change; the operator draws it, and a resent change carries the same.
+/// The id of an operator's change, which the operator draws at random; a resent change carries the same id.
 pub type ChangeId = Box<str>;
 
-/// Names an instance.
+/// The name of an instance.
 pub type InstanceName = Box<str>;
 
-/// Numbers orders so that an endpoint can refuse an old leader's; it never falls.
+/// The fencing number of an order, by which an endpoint refuses orders of earlier leaders; it never decreases.
 pub type Fence = u64;
 
-/// Numbers an order.
+/// The number of an order.
 pub type OrderId = u64;
 
-/// Counts milliseconds since 1970 by the leaders' clocks; in the log it never goes back.
+/// Unix time in milliseconds by the leaders' clocks; within the log it never goes back.
 pub type WallMs = u64;
--- a/crates/state/src/members.rs
+++ b/crates/state/src/members.rs
@@ -1,12 +1,12 @@
-//! Keeps the leases of the live processes at the leader, and decides what is published of them.
+//! The leases of the live processes at the leader, and the list of members that it publishes.
 //!
-//! The state is soft: a new leader starts from the list that it followed, and expires nobody before the longest lease has
+//! The state is soft: a new leader starts from the list that it followed, and expires no lease before the longest lease has
 //! passed. Changes are published at ticks, at most [`CHANGES_PER_TICK`] at once, those of leaving members first.
 //!
-//! A member that flaps is damped. Each return counts one: a new incarnation, an announcement after an expiry, or the end
-//! of `leaving`. The count halves every [`FLAP_HALF_LIFE`]. From the fourth on, a return is held back for [`FIRST_HOLD`],
-//! doubled with each further one up to [`LONGEST_HOLD`]: the member is listed as leaving until then. A departure is
-//! never held back.
+//! Flapping members are damped. A return is a new incarnation, an announcement after an expiry, or the end of `leaving`.
+//! The count of a member's returns halves every [`FLAP_HALF_LIFE`]. Returns beyond [`UNDAMPED_RETURNS`] are held back for
+//! [`FIRST_HOLD`], doubled with each further return up to [`LONGEST_HOLD`]; the member is listed as leaving until then.
+//! Departures are never held back.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -17,48 +17,49 @@
 use crate::InstanceName;
 use crate::roster::Roster;
 
-/// Changes that are published at one tick; 1,600 sidecars are back after seven ticks, and a delta stays below 64 KB.
+/// Changes published per tick; 1,600 returning sidecars take seven ticks, and a delta stays below 64 KB.
 pub const CHANGES_PER_TICK: usize = 256;
 
-/// Leases that expire at one tick.
+/// Leases that expire per tick.
 pub const EXPIRED_PER_TICK: usize = 256;
 
-/// Time in which the count of a member's returns halves.
+/// Half-life of the count of a member's returns.
 pub const FLAP_HALF_LIFE: Duration = Duration::from_mins(1);
 
-/// How long after a drain an entry may still send work that it chose before it knew; the list is published within 0.1 s and
-/// watched without a pause, so that one second is several times what it takes.
+/// Time after a drain within which entries may still send work that they placed before they learned of it.
+///
+/// The list is published within 0.1 s and watched continuously, so one second is several times what propagation takes.
 pub const DRAIN_PROPAGATION: Duration = Duration::from_secs(1);
 
-/// Returns that are published at once; a restart and a second one right after it are ordinary.
+/// Returns that are published without a hold; a restart and a second one right after it are ordinary.
 pub const UNDAMPED_RETURNS: u32 = 3;
 
-/// How long the first return after the free ones is held back.
+/// Hold of the first damped return.
 pub const FIRST_HOLD: Duration = Duration::from_secs(5);
 
-/// Longest time that a return is held back; a member that is well again serves within a minute.
+/// Longest hold of a return, so that a recovered member serves within a minute.
 pub const LONGEST_HOLD: Duration = Duration::from_mins(1);
 
-/// Members whose returns are remembered after they went; more than one day's restarts.
+/// Members whose counts of returns are kept after they left; more than one day's restarts.
 const MAX_FLAP_RECORDS: usize = 1024;
 
-/// Part of a lease by which an answer may be shorter, as one part of this many.
+/// Divisor of a lease that gives its jitter: a granted lease is shorter by up to a quarter.
 ///
-/// A data centre that comes back announces itself at one moment; with leases that differ by a quarter its renewals have
-/// spread over their whole period after a few rounds.
+/// The members of a data centre that comes back all announce themselves at once; with this jitter their renewals are spread
+/// over the whole period after a few rounds.
 const LEASE_JITTER_DIVISOR: u32 = 4;
 
-/// Bounds the leases.
+/// The bounds of leases.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseLimits {
-    /// Shortest lease that is given.
+    /// Shortest lease that is granted.
     pub shortest_lease: Duration,
-    /// Longest lease that is given, and the time for which a new leader expires nobody.
+    /// Longest lease that is granted, and the time for which a new leader expires no member.
     pub longest_lease: Duration,
 }
 
 impl Default for LeaseLimits {
-    /// Returns 1 s and 15 s: shorter ones would cost a busy process its place, and longer ones keep a dead one listed.
+    /// Returns 1 s and 15 s: with shorter leases a busy process would expire, and longer ones keep a dead process listed.
     fn default() -> Self {
         Self {
             shortest_lease: Duration::from_secs(1),
@@ -67,21 +68,21 @@
     }
 }
 
-/// Says what an announcement brought.
+/// The result of an announcement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseGrant {
-    /// Lease that is given.
+    /// Granted lease.
     pub lease: Duration,
-    /// Whether earlier incarnations of a sidecar, if there were any, are gone, so that its claims' outcomes are unknown.
+    /// Whether any earlier incarnations of this sidecar are gone, so that the outcomes of their claims are unknown.
     pub replaces_sidecar: bool,
 }
 
 #[derive(Debug, Clone)]
 struct LeasedMember {
-    /// As announced, with the versions that the process holds now.
+    /// Announced member, with the versions that it reported last.
     member: Member,
     highest_fence: u64,
-    /// When the process counted what runs, at the earliest.
+    /// Earliest time at which the process may have counted its running requests.
     counted_at: Duration,
     lease: Duration,
     expires_at: Duration,
@@ -102,7 +103,7 @@
     }
 }
 
-/// Holds the leases, and the list that is published.
+/// The leases of the live members, and the published list.
 #[derive(Debug)]
 pub struct Members {
     rules: LeaseLimits,
@@ -111,9 +112,9 @@
     expiries: BTreeSet<(Duration, InstanceName)>,
     holds: BTreeSet<(Duration, InstanceName)>,
     flaps: BTreeMap<InstanceName, Flaps>,
-    /// Drained instances, with when this leader learned of each.
+    /// Drained instances, with the time at which this leader learned of each.
     drained: BTreeMap<InstanceName, Duration>,
-    /// Changes to publish; those of leaving members stand in front.
+    /// Members with changes to publish; leaving members come first.
     changed: VecDeque<InstanceName>,
     queued: BTreeSet<InstanceName>,
     expires_from: Duration,
@@ -122,7 +123,7 @@
 }
 
 impl Members {
-    /// Opens the leader's view of an epoch with the members that this instance followed until now.
+    /// Opens the leader's view of an epoch, with the members of the list that this instance has followed.
     #[must_use]
     pub fn open(epoch: u64, now: Duration, rules: LeaseLimits, followed: &Roster) -> Self {
         let expires_from = now + rules.longest_lease;
@@ -160,9 +161,9 @@
         members
     }
 
-    /// Takes in an announcement, and gives a lease.
+    /// Records an announcement, and grants a lease.
     ///
-    /// An announcement of an earlier incarnation came late; it changes nothing.
+    /// A late announcement of an earlier incarnation changes nothing.
     pub fn announce(
         &mut self,
         now: Duration,
@@ -194,7 +195,7 @@
         self.put_lease(now, announce, lease, held_until);
         LeaseGrant {
             lease,
-            // A leader that starts from nothing can't tell; an incarnation that was never lost is not touched.
+            // Without a followed list a leader can't tell whether there were earlier ones; the announced one is unaffected.
             replaces_sidecar: (is_restarted || is_new) && announce.role == Role::Sidecar,
         }
     }
@@ -235,7 +236,7 @@
         }
     }
 
-    /// Renews the lease of a process that is as announced before; returns false if it must announce itself whole.
+    /// Renews the lease of a process that is otherwise unchanged; returns false if it must send a full announcement.
     pub fn renew(&mut self, now: Duration, renewal: &Renewal) -> bool {
         let Some(known) = self.known.get_mut(&renewal.instance) else {
             return false;
@@ -255,7 +256,7 @@
         true
     }
 
-    /// Notes that an announcement came through a relay, which may have held it for as long as a lease.
+    /// Records that an announcement came through a relay, which may have delayed it by up to a lease.
     pub fn note_relayed(&mut self, instance: &str) {
         if let Some(known) = self.known.get_mut(instance) {
             let longest = self.rules.longest_lease;
@@ -263,10 +264,10 @@
         }
     }
 
-    /// Returns how much runs at a member's endpoint; none when it doesn't say.
+    /// Returns the number of requests running at a member's endpoint; none if it does not report one.
     ///
-    /// A count from before every entry had the time to learn of the drain says nothing of what was granted since, so the
-    /// endpoint counts as busy until there is a later one.
+    /// A count from before every entry could learn of the drain does not cover requests granted since, so the endpoint counts
+    /// as busy until it reports a later count.
     #[must_use]
     pub fn running(&self, instance: &str) -> Option<u32> {
         let known = self.known.get(instance)?;
@@ -276,13 +277,13 @@
         Some(if is_fresh { running } else { running.max(1) })
     }
 
-    /// Returns whether an operator, an upgrade or a stop drains an instance.
+    /// Returns whether an instance is drained, by an operator, an upgrade or a planned stop.
     #[must_use]
     pub fn is_drained(&self, instance: &str) -> bool {
         self.drained.contains_key(instance)
     }
 
-    /// Notes the configuration version that a member holds, as its watch says; it never falls.
+    /// Records the configuration version that a member's watch reports; it never decreases.
     pub fn note_version(&mut self, instance: &str, config_version: u64) {
         if let Some(known) = self.known.get_mut(instance) {
             let held = &mut known.member.config_version;
@@ -290,7 +291,7 @@
         }
     }
 
-    /// Sets which instances an operator drains; they are listed as leaving.
+    /// Sets which instances are drained; they are listed as leaving.
     pub fn set_drained(&mut self, now: Duration, drained: &BTreeSet<InstanceName>) {
         let before = std::mem::take(&mut self.drained);
         for name in drained {
@@ -307,7 +308,7 @@
         }
     }
 
-    /// Expires leases, ends holds, and publishes changes, all within bounds; returns whether watchers have news.
+    /// Expires leases, ends holds and publishes changes, each within bounds; returns whether watchers have anything new.
     pub fn tick(&mut self, now: Duration) -> bool {
         let has_grace_ended = !self.is_grace_over && now >= self.expires_from;
         self.is_grace_over |= has_grace_ended;
@@ -367,7 +368,7 @@
         has_news
     }
 
-    /// Returns how a member is listed: as leaving while it is drained or held back.
+    /// Returns a member as it is published: as leaving while it is drained or held back.
     fn listed(&self, now: Duration, name: &str) -> Option<Member> {
         let known = self.known.get(name)?;
         let leaving = known.member.leaving || self.is_drained(name) || now < known.held_until;
@@ -393,7 +394,7 @@
         }
     }
 
-    /// Counts a return, and returns until when it is held back.
+    /// Counts a return of a member, and returns the end of its hold.
     fn count_return(&mut self, now: Duration, name: &str) -> Duration {
         let known = self.flaps.get(name);
         let count = known
@@ -407,7 +408,7 @@
         now + (FIRST_HOLD * (1 << doublings)).min(LONGEST_HOLD)
     }
 
-    /// Remembers that a member went, so that its announcement counts as a return.
+    /// Records a departure, so that the member's next announcement counts as a return.
     fn record_departure(&mut self, now: Duration, name: &str) {
         let departed = Flaps {
             count: 0,
@@ -430,10 +431,10 @@
         rng.random_range(shortest..=whole)
     }
 
-    /// Returns what leads a watcher to the list held.
+    /// Returns the delta that brings a watcher up to date.
     ///
-    /// A leader that followed no list and is within its first lease gives watchers of earlier epochs nothing, because its
-    /// list still lacks members that live.
+    /// A leader that followed no list returns nothing to watchers of earlier epochs until its first lease has passed, because
+    /// its list still lacks live members.
     #[must_use]
     pub fn delta_since(
         &self,
@@ -448,37 +449,37 @@
         self.roster.delta_since(epoch, version, pools)
     }
 
-    /// Returns the list that is published.
+    /// Returns the published list.
     #[must_use]
     pub fn roster(&self) -> &Roster {
         &self.roster
     }
 
-    /// Returns whether every live process had the time to announce itself to this leader.
+    /// Returns whether every live process has had time to announce itself to this leader.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.is_grace_over
     }
 
-    /// Yields the live members with the versions that they hold now, by name.
+    /// Yields the live members, by name, with the versions that they reported last.
     pub fn live(&self) -> impl Iterator<Item = &Member> {
         self.known.values().map(|known| &known.member)
     }
 
-    /// Yields the names of live members that hold an older configuration than `version`.
+    /// Yields the names of live members whose configuration is older than `version`.
     pub fn with_older_config(&self, version: u64) -> impl Iterator<Item = &InstanceName> {
         let live = self.live();
         let outdated = live.filter(move |member| member.config_version < version);
         outdated.map(|member| &member.instance)
     }
 
-    /// Returns the highest fencing number that a member has seen.
+    /// Returns the highest fencing number that a member has reported.
     #[must_use]
     pub fn highest_fence(&self, instance: &str) -> Option<u64> {
         self.known.get(instance).map(|known| known.highest_fence)
     }
 
-    /// Returns the number of changes that wait for a tick.
+    /// Returns the number of changes that are not published yet.
     #[must_use]
     pub fn pending_changes(&self) -> usize {
         self.changed.len()
@@ -503,7 +504,9 @@
     }
 }
 
-/// Returns whether two announcements list alike; what only control needs changes too often to be published.
+/// Returns whether two announcements are published alike.
+///
+/// Fields that only control needs are left out, because they change too often to be published.
 fn has_same_listing(left: &Member, right: &Member) -> bool {
     let with_version = Member {
         config_version: right.config_version,
--- a/crates/state/src/orders.rs
+++ b/crates/state/src/orders.rs
@@ -1,8 +1,8 @@
-//! Keeps orders to endpoints, and the fencing numbers that they carry.
+//! Orders to endpoints, and their fencing numbers.
 //!
-//! A fencing number is a leader's term and a counter within the term, so it grows from order to order and from leader to
-//! leader. When a leader's term opens, every open order takes a number of that term. From then on the endpoint's
-//! sidecar refuses whatever an earlier leader still sends, because it has learned the lowest valid number.
+//! A fencing number consists of a leader's term and a counter within the term, so it grows from order to order and from
+//! leader to leader. When a leader's term opens, every open order gets a number of that term. Once an endpoint's sidecar has
+//! learned the lowest valid number, it refuses whatever an earlier leader still sends.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -15,7 +15,7 @@
 /// Bits of a fencing number below the term: 16 million orders in one term.
 const COUNTER_BITS: u32 = 24;
 
-/// Settled orders that are kept for operators and resent requests: a nightly upgrade of 1,600 endpoints.
+/// Settled orders kept for operators and resent requests; enough for a nightly upgrade of 1,600 endpoints.
 pub const KEEP_SETTLED: usize = 2048;
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -24,7 +24,7 @@
     record: OrderRecord,
 }
 
-/// Holds the orders, open and settled.
+/// The open orders and the recently settled ones.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Orders {
     lowest_valid: Fence,
@@ -41,7 +41,7 @@
         self.lowest_valid
     }
 
-    /// Opens a leader's term: open orders take numbers of this term.
+    /// Opens a leader's term, and gives open orders fencing numbers of this term.
     pub(crate) fn open_term(&mut self, term: u64) {
         self.lowest_valid = self.lowest_valid.max(term << COUNTER_BITS);
         self.last_fence = self.last_fence.max(self.lowest_valid);
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Places an order; one with a number that is known is the known order. An empty number is never known.
+    /// Places an order, or returns the known order if it has the same change id; an empty id never matches.
     pub(crate) fn place(&mut self, command: OrderCommand) -> OrderRecord {
         let same =
             |kept: &&StoredOrder| !kept.change_id.is_empty() && kept.change_id == command.change_id;
@@ -83,7 +83,7 @@
         record
     }
 
-    /// Ends open orders to the same endpoint about the same subject: the later order is what the operator wants now.
+    /// Supersedes open orders to the same endpoint about the same subject: the latest order is what the operator wants.
     fn supersede(&mut self, command: &OrderCommand) {
         let is_replaced = |record: &OrderRecord| {
             record.state == OrderState::Open
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Notes an endpoint's answer; one to an earlier number of the order says nothing about the later number.
+    /// Records an endpoint's answer; an answer under an earlier fencing number of the order is ignored.
     pub(crate) fn settle(&mut self, result: &OrderResult) {
         let is_current = self.kept.get(&result.order_id).is_some_and(|kept| {
             kept.record.state == OrderState::Open && kept.record.fence == result.fence
@@ -147,7 +147,7 @@
         records.filter(|record| record.state == OrderState::Open)
     }
 
-    /// Returns orders, newest first; an empty instance stands for all.
+    /// Returns orders, newest first; an empty instance means all.
     #[must_use]
     pub fn list(&self, instance: &str, limit: usize) -> Vec<OrderRecord> {
         let records = self.kept.values().rev().map(|kept| &kept.record);
--- a/crates/state/src/roster.rs
+++ b/crates/state/src/roster.rs
@@ -1,7 +1,7 @@
-//! Holds the published list of members by versions, and the deltas between them.
+//! The published list of members with its versions, and the deltas between them.
 //!
-//! The leader publishes into its roster; the other control instances and the relays adopt the leader's deltas under the
-//! leader's epoch and versions. So a watcher may change between instances, and never steps back within an epoch.
+//! The leader publishes changes to its roster; the other control instances and the relays adopt the leader's deltas with the
+//! leader's epoch and versions. So a watcher may switch between instances, and never goes back within an epoch.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -9,17 +9,17 @@
 
 use crate::InstanceName;
 
-/// Removed instances that are remembered for watchers that lag; a data centre of 200 instances fits ten times.
+/// Removals kept for watchers that lag behind; ten times a data centre of 200 instances.
 pub const KEEP_REMOVED: usize = 2048;
 
-/// Says what became of a delta.
+/// The result of adopting a delta.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Adopted {
     /// The list advanced.
     Advanced,
-    /// The delta leads to the list held, or an older one.
+    /// The delta leads to the current version, or an older one.
     Ignored,
-    /// The delta is based on another version than the one held; a full one is needed.
+    /// The delta is based on another version than the current one; a full list is needed.
     NeedsFull,
 }
 
@@ -27,11 +27,11 @@
 struct Row {
     member: Member,
     changed_version: u64,
-    /// Whether the pool has changed, so that watchers of the former pool must drop the instance.
+    /// Whether the pool has changed, so that watchers of the former pool must remove the instance.
     moved: bool,
 }
 
-/// Holds the published list.
+/// The published list of members.
 #[derive(Debug, Clone, Default)]
 pub struct Roster {
     epoch: u64,
@@ -39,12 +39,12 @@
     rows: BTreeMap<InstanceName, Row>,
     changed: BTreeSet<(u64, InstanceName)>,
     removed: VecDeque<(u64, InstanceName)>,
-    /// Versions below this one can't be brought forward by a delta.
+    /// Watchers at versions below this one need the full list.
     full_below: u64,
 }
 
 impl Roster {
-    /// Returns an empty list of an epoch.
+    /// Returns an empty list for an epoch.
     #[must_use]
     pub fn open(epoch: u64) -> Self {
         Self {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Returns the epoch; 0 for a list that has adopted none yet.
+    /// Returns the epoch; 0 before the first list is adopted.
     #[must_use]
     pub fn epoch(&self) -> u64 {
         self.epoch
@@ -88,7 +88,7 @@
         self.rows.get(instance).map(|row| &row.member)
     }
 
-    /// Publishes changes under the next version.
+    /// Publishes changes as the next version.
     pub fn publish(&mut self, put: Vec<Member>, removed: Vec<InstanceName>) {
         self.advance(self.version + 1, put, removed);
     }
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Takes in a delta of the instance that this list follows.
+    /// Applies a delta from the instance that this list follows.
     pub fn adopt(&mut self, delta: &MembersDelta) -> Adopted {
         let is_older = delta.epoch < self.epoch
             || (delta.epoch == self.epoch && delta.version <= self.version);
@@ -156,7 +156,7 @@
         self.advance(delta.version, delta.put.clone(), Vec::new());
     }
 
-    /// Returns what leads a watcher of some pools from its version to the one held; no pools stand for all.
+    /// Returns the delta that brings a watcher of some pools to the current version; an empty list of pools means all.
     #[must_use]
     pub fn delta_since(
         &self,
--- a/crates/state/src/routing.rs
+++ b/crates/state/src/routing.rs
@@ -1,8 +1,8 @@
-//! Keeps the operator's route table and the endpoints that report themselves.
+//! The operator's route table, and the endpoints that report themselves.
 //!
 //! Both are in the log, because an acknowledged table must never be lost, and an endpoint that was acknowledged as
-//! leaving must stay so under every later leader. Reports that only say "still there" are not: the leader keeps them
-//! in memory ([`LastReports`]), and a new leader starts by giving every endpoint a whole [`REPORT_TIMEOUT`] again.
+//! leaving must stay so under every later leader. Reports that change nothing are not in the log: the leader keeps their
+//! times in memory ([`LastReports`]), and under a new leader every endpoint has a full [`REPORT_TIMEOUT`] again.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -15,16 +15,16 @@
 
 use crate::command::SuspectsCommand;
 
-/// Names an endpoint; one that starts again may keep its name.
+/// The id of an endpoint; an endpoint that restarts may keep its id.
 pub type EndpointId = Box<str>;
 
-/// Unix millisecond of an endpoint's start; none where it does not say.
+/// Start of an endpoint in Unix milliseconds; none if it does not report one.
 pub type StartTime = Option<u64>;
 
-/// Names one start of an endpoint.
+/// One start of an endpoint.
 ///
-/// An incarnation knows nothing of the one before, and counts its reports anew; so whatever is compared or remembered of
-/// an endpoint is that of one incarnation. Of two with the same id the one that was born later is the newer one.
+/// An incarnation knows nothing of the previous one, and its report sequence starts over, so reports are compared only within
+/// one incarnation. Of two incarnations with the same id, the one that started later is the newer one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "StoredIncarnation")]
 pub struct Incarnation {
@@ -34,7 +34,7 @@
     pub born_unix_ms: StartTime,
 }
 
-/// Reads an incarnation as it stands in logs and snapshots; older ones hold the id alone.
+/// An incarnation as stored in logs and snapshots; older ones hold the id alone.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum StoredIncarnation {
@@ -57,41 +57,44 @@
     }
 }
 
-/// Ended endpoints that are remembered; a late report of one of them changes nothing. Several nights of replacing a
-/// fleet of 1,600 endpoints would be needed to push one out while its reports are still on their way.
+/// Ended incarnations that are kept, so that their late reports are ignored.
+///
+/// It would take several nights of replacing a fleet of 1,600 endpoints to evict one while its reports are in flight.
 const KEEP_RETIRED: usize = 4096;
 
-/// Time without a report after which an endpoint is dropped. Reports come about every second and may be seconds
-/// late; the gateways notice a dead endpoint by its connections long before.
+/// Time without a report after which an endpoint is dropped.
+///
+/// Reports come about every second and may be seconds late; the gateways notice a dead endpoint by its connections long
+/// before.
 pub const REPORT_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Time without a report after which an endpoint is dropped whose address another one reports: two reports may be lost.
+/// Time without a report after which an endpoint is dropped if another one reports its address; two reports may be lost.
 pub const REPLACED_REPORT_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Changes what is known of the endpoints.
+/// A change of the list of endpoints.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointCommand {
-    /// Notes an endpoint as it has reported itself.
+    /// Records an endpoint's report of itself.
     Note(Endpoint),
-    /// Forgets an incarnation that has ended or is about to; its later reports change nothing. One that does not say when it
-    /// was born means the one that is known.
+    /// Retires an incarnation that has ended or is about to; its later reports are ignored. Without a start time, the known
+    /// incarnation is meant.
     Retire(Incarnation),
-    /// Drops an endpoint that is silent; a later report brings it back.
+    /// Drops an endpoint that has stopped reporting; a later report adds it again.
     Drop(EndpointId),
 }
 
-/// Holds the route table in force and the endpoints.
+/// The route table in force and the endpoints.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Routing {
     table: Option<Arc<RouteTable>>,
     endpoints: Arc<BTreeMap<EndpointId, Endpoint>>,
-    /// Endpoints at whose address another one has reported itself since, and that other one.
+    /// Endpoints whose address another endpoint has reported since, each with that other endpoint.
     #[serde(default)]
     replaced: BTreeMap<EndpointId, EndpointId>,
     retired: VecDeque<Incarnation>,
-    /// Place in the log of the last change of the endpoints.
+    /// Log index of the last change of the endpoints.
     endpoints_version: u64,
-    /// Requests under which endpoints ended; missing in snapshots of programs that knew none.
+    /// Requests that endpoints were working on when they ended; missing in snapshots of versions before this record.
     #[serde(default)]
     suspects: Arc<Suspects>,
 }
@@ -115,11 +118,11 @@
         self.endpoints_version
     }
 
-    /// Returns the endpoints as a list for the gateways, without those that another one has replaced at their address.
+    /// Returns the endpoints for the gateways, without those that another endpoint has replaced at their address.
     ///
-    /// The load pattern: all engines lose power and come back at their addresses under new ids. The former ones are listed until
-    /// they have been silent for seconds; each gateway would send requests to every one of them to learn that it is gone, and a
-    /// request that may be sent once is lost by that.
+    /// When all engines lose power and come back at their addresses under new ids, the former endpoints stay known until they
+    /// time out. If they were listed, each gateway would find out by sending requests to each of them, and a request that may
+    /// be sent only once would be lost.
     #[must_use]
     pub fn list(&self) -> EndpointList {
         let endpoints = self.endpoints.values();
@@ -130,19 +133,19 @@
         }
     }
 
-    /// Returns whether another endpoint has reported itself at an endpoint's address since, and is still known there.
+    /// Returns whether another endpoint has since reported an endpoint's address, and is still known there.
     fn is_replaced(&self, endpoint: &Endpoint) -> bool {
         let next = self.replaced.get(&endpoint.id);
         let next = next.and_then(|next| self.endpoints.get(next));
         next.is_some_and(|next| next.address == endpoint.address)
     }
 
-    /// Returns the numbers of all endpoints.
+    /// Returns the ids of all endpoints.
     pub fn ids(&self) -> impl Iterator<Item = &EndpointId> {
         self.endpoints.keys()
     }
 
-    /// Returns whether a report changes anything beyond being heard.
+    /// Returns whether a report changes anything but the time of the last report.
     #[must_use]
     pub fn is_change(&self, report: &Endpoint) -> bool {
         if self.is_outdated(report) || self.contradicts(report) {
@@ -156,13 +159,13 @@
         if is_late || drains_again {
             return false;
         }
-        // How long an endpoint is still warming up runs down by itself, so a new value of it is no news.
+        // The remaining warm-up time counts down by itself, so a new value of it is no change.
         known.state != report.state
             || known.software_version != report.software_version
             || known.slots != report.slots
     }
 
-    /// Returns whether a report is of an incarnation that has ended, or that a newer one has followed.
+    /// Returns whether a report is from an incarnation that has ended or has been followed by a newer one.
     #[must_use]
     pub fn is_outdated(&self, report: &Endpoint) -> bool {
         let known = self.endpoints.get(&report.id);
@@ -170,9 +173,9 @@
         is_followed || self.is_retired(&report.id, report.born_unix_ms)
     }
 
-    /// Returns whether a report tells what the incarnation that it names can't have become: another writer has sent it.
+    /// Returns whether a report contradicts what is fixed for its incarnation, so that another process must have sent it.
     ///
-    /// A process does not move to another address or service while it runs. Taken in, such a report would take a sound endpoint out.
+    /// A process keeps its address and service while it runs. Accepting such a report would remove a healthy endpoint.
     #[must_use]
     pub fn contradicts(&self, report: &Endpoint) -> bool {
         self.same_incarnation(report).is_some_and(|known| {
@@ -187,14 +190,14 @@
         known.filter(|known| known.born_unix_ms == report.born_unix_ms)
     }
 
-    /// Returns whether the end of an incarnation, or of one that followed it, was noted already.
+    /// Returns whether the end of an incarnation, or of a later one, is already recorded.
     #[must_use]
     pub fn is_retired(&self, id: &str, born: StartTime) -> bool {
         let mut ends = self.retired.iter();
         ends.any(|ended| *ended.id == *id && born <= ended.born_unix_ms)
     }
 
-    /// Returns the incarnation that an end means: the one that it names, or else the one that is known.
+    /// Returns the incarnation that an end refers to: the one with its start time, or without one the known incarnation.
     #[must_use]
     pub fn resolve(&self, end: &Incarnation) -> Incarnation {
         let known = self.endpoints.get(&end.id);
@@ -205,7 +208,7 @@
         }
     }
 
-    /// Puts a table in force if its number is higher than any before; returns the number in force.
+    /// Puts a table in force if its number is the highest so far; returns the number in force.
     pub fn put_table(&mut self, table: RouteTable) -> u64 {
         if table.number > self.table_number() {
             self.table = Some(Arc::new(table));
@@ -213,13 +216,13 @@
         self.table_number()
     }
 
-    /// Returns the requests under which endpoints ended.
+    /// Returns the record of requests that endpoints were working on when they ended.
     #[must_use]
     pub fn suspects(&self) -> &Suspects {
         &self.suspects
     }
 
-    /// Notes ends under requests at a place in the log, and returns the requests that are held from now on.
+    /// Records at a log index which requests endpoints ended under, and returns the requests that are newly held.
     pub fn note_suspects(&mut self, index: u64, command: &SuspectsCommand) -> Vec<RequestKey> {
         let held_before = self.suspects.held().clone();
         let suspects = Arc::make_mut(&mut self.suspects);
@@ -227,7 +230,7 @@
         suspects.held().difference(&held_before).copied().collect()
     }
 
-    /// Applies a change of the endpoints at a place in the log.
+    /// Applies a change of the endpoints at a log index.
     pub fn apply(&mut self, index: u64, command: EndpointCommand) {
         let changes = match command {
             EndpointCommand::Note(endpoint) => self.note(endpoint),
@@ -250,9 +253,9 @@
         true
     }
 
-    /// Notes the endpoints that a new one replaces: two processes can't listen at one address.
+    /// Records the endpoints that a new one replaces: two processes can't listen on one address.
     ///
-    /// A late report of a replaced one, which is still known, does not turn this round.
+    /// A late report of a replaced endpoint that is still known does not reverse this.
     fn note_replaced(&mut self, new: &Endpoint) {
         self.replaced.remove(&new.id);
         let others = self.endpoints.values();
@@ -286,14 +289,14 @@
     }
 }
 
-/// Holds when the leader last heard of each endpoint.
+/// The times at which the leader last received a report of each endpoint.
 #[derive(Debug, Default)]
 pub struct LastReports {
     last: BTreeMap<EndpointId, Duration>,
 }
 
 impl LastReports {
-    /// Notes a report.
+    /// Records the time of a report.
     pub fn note(&mut self, now: Duration, id: &str) {
         if let Some(last) = self.last.get_mut(id) {
             *last = now;
@@ -302,7 +305,7 @@
         }
     }
 
-    /// Returns the endpoints that have been silent for too long; one that was never heard counts from now on.
+    /// Returns the endpoints whose reports have timed out; for one without a report yet, the time starts now.
     pub fn silent(&mut self, now: Duration, routing: &Routing) -> Vec<EndpointId> {
         let listed: BTreeSet<&EndpointId> = routing.ids().collect();
         self.last.retain(|id, _| listed.contains(id));
@@ -329,7 +332,7 @@
         silent.map(|endpoint| endpoint.id.clone()).collect()
     }
 
-    /// Forgets everything, as when leadership ends.
+    /// Clears all times, for the end of a leader's term.
     pub fn clear(&mut self) {
         self.last.clear();
     }
--- a/crates/state/src/service.rs
+++ b/crates/state/src/service.rs
@@ -1,4 +1,4 @@
-//! Brings sums of service from their messages to the merge of `hinge-fair` and back.
+//! Conversion of service sums and totals between messages and the types of `hinge-fair`.
 
 use hinge_fair as fair;
 use hinge_schema::messages::{
@@ -21,7 +21,7 @@
     }
 }
 
-/// Returns the report that a message holds.
+/// Converts a message to a report.
 #[must_use]
 pub fn report_from(message: &ServiceReport) -> fair::SumsReport {
     let origin = fair::Origin {
@@ -48,7 +48,7 @@
     }
 }
 
-/// Returns the message that carries a report on a pool.
+/// Converts a report on a pool to its message.
 #[must_use]
 pub fn report_message(pool: &str, report: &fair::SumsReport) -> ServiceReport {
     let sums = report.teams.iter().map(|team| ServiceSum {
@@ -71,7 +71,7 @@
     }
 }
 
-/// Returns the totals that a message holds.
+/// Converts a message to totals.
 #[must_use]
 pub fn totals_from(message: &ServiceTotals) -> fair::TotalsReply {
     let teams = message.totals.iter().map(|total| fair::TeamTotal {
@@ -94,7 +94,7 @@
     }
 }
 
-/// Returns the message that carries the totals of a pool.
+/// Converts the totals of a pool to their message.
 #[must_use]
 pub fn totals_message(pool: &str, reply: &fair::TotalsReply) -> ServiceTotals {
     let totals = reply.teams.iter().map(|total| ServiceTotal {
--- a/crates/state/src/state.rs
+++ b/crates/state/src/state.rs
@@ -1,4 +1,4 @@
-//! Holds the state machine above the log.
+//! The state machine above the log.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -16,28 +16,28 @@
 use crate::upgrades::{UpgradeCommand, UpgradeStep, Upgrades};
 use crate::{InstanceName, OrderId, WallMs, keys};
 
-/// Starts the operator's name in drains and orders that a plan or planned stop asked for.
+/// Prefix of the operator's name in drains and orders that an upgrade plan or planned stop asked for.
 pub const PLANNED_PREFIX: &str = "planned/";
 
-/// Returns whether a plan or planned stop asked for a drain, and no operator.
+/// Returns whether a plan or planned stop, rather than an operator, asked for a drain.
 #[must_use]
 pub fn is_planned(operator: &str) -> bool {
     operator.starts_with(PLANNED_PREFIX)
 }
 
-/// Names a control instance.
+/// The name and address of a control instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlName {
     /// Name of the instance.
     pub instance: InstanceName,
     /// Address for other control instances.
     pub address: Box<str>,
-    /// Whether it keeps the log in memory only, and so nothing when it ends.
+    /// Whether it keeps the log in memory only, and so loses it when it stops.
     #[serde(default)]
     pub diskless: bool,
 }
 
-/// Holds everything that the log's entries have built up.
+/// The state that results from applying the log's entries.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct State {
     applied_index: u64,
@@ -47,10 +47,10 @@
     orders: Orders,
     drains: BTreeMap<InstanceName, DrainRecord>,
     control: BTreeMap<u64, ControlName>,
-    /// Missing in snapshots of programs that knew no upgrades.
+    /// Missing in snapshots of versions before upgrades.
     #[serde(default)]
     upgrades: Upgrades,
-    /// Missing in snapshots of programs that knew no route tables.
+    /// Missing in snapshots of versions before route tables.
     #[serde(default)]
     routing: Routing,
     /// Idempotency keys that a team may hold under the folder in force.
@@ -79,11 +79,11 @@
     ///
     /// # Panics
     ///
-    /// Panics when an index comes a second time, which would make this instance's state differ from the others'.
+    /// Panics if an index is not above the last one, because applying an entry twice would make the instances' states diverge.
     pub fn apply(&mut self, index: u64, term: u64, command: Command) -> Reply {
         assert!(
             index > self.applied_index,
-            "entry {index} was applied already, up to {}",
+            "entry {index} was already applied; the last applied index is {}",
             self.applied_index
         );
         self.applied_index = index;
@@ -180,7 +180,7 @@
                 asked_at_ms: now_ms,
                 deadline_ms: drain.deadline_ms,
             };
-            // A request that comes again keeps the time of the first one; an operator takes a plan's drain over.
+            // A repeated request keeps the time of the first one; an operator's request replaces a plan's drain.
             let drains = &mut self.drains;
             let known = drains.get(&drain.instance);
             if known.is_none_or(|known| is_planned(&known.operator)) {
@@ -188,7 +188,7 @@
             }
         } else {
             self.drains.remove(&drain.instance);
-            // The operator takes the endpoint over from its plan.
+            // An operator who ends the drain takes the endpoint out of its plan's control.
             if self.upgrades.end_progress(&drain.instance) {
                 self.upgrades.advance();
             }
@@ -196,7 +196,7 @@
         Reply::Drains(self.drains())
     }
 
-    /// Takes steps that were decided on what the state still holds; others come late, and change nothing.
+    /// Applies steps that were decided on the current revision; outdated steps are ignored.
     fn apply_steps(&mut self, command: UpgradeCommand) {
         let now_ms = self.advance_clock(command.now_ms);
         let is_current = command.revision == self.upgrades.revision()
@@ -221,7 +221,7 @@
                 progress.order_id = order.map_or(0, |order| {
                     let operator = format!("{PLANNED_PREFIX}{}", progress.plan);
                     let command = OrderCommand {
-                        // The revision already keeps the step from being taken twice.
+                        // The revision already keeps the step from being applied twice.
                         change_id: Box::default(),
                         instance: instance.clone(),
                         operator: operator.into(),
@@ -259,7 +259,7 @@
         }
     }
 
-    /// Moves the log's time on; a leader whose clock is behind can't turn it back.
+    /// Advances the log's time; a leader whose clock is behind can't set it back.
     fn advance_clock(&mut self, now_ms: WallMs) -> WallMs {
         self.now_ms = self.now_ms.max(now_ms);
         self.now_ms
@@ -302,13 +302,13 @@
         self.drains.values().cloned().collect()
     }
 
-    /// Returns how far upgrades and planned stops have come.
+    /// Returns the progress of upgrades and planned stops.
     #[must_use]
     pub fn upgrades(&self) -> &Upgrades {
         &self.upgrades
     }
 
-    /// Returns the orders of the upgrades that are under way, by number.
+    /// Returns the orders of the upgrades in progress, by order number.
     #[must_use]
     pub fn upgrade_orders(&self) -> BTreeMap<OrderId, OrderRecord> {
         let in_progress = self.upgrades.in_progress().values();
@@ -323,13 +323,13 @@
         self.now_ms
     }
 
-    /// Returns the number of idempotency keys that are held.
+    /// Returns the number of idempotency keys in the table.
     #[must_use]
     pub fn key_count(&self) -> usize {
         self.keys.len()
     }
 
-    /// Returns the names of the control instances by their incarnation in the log.
+    /// Returns the names of the control instances, by node id.
     #[must_use]
     pub fn control(&self) -> &BTreeMap<u64, ControlName> {
         &self.control
@@ -339,19 +339,19 @@
     ///
     /// # Panics
     ///
-    /// Panics when the state has no MessagePack form, which it never lacks.
+    /// Panics if the state can't be encoded as MessagePack; it always can.
     #[must_use]
     pub fn encode(&self) -> Box<[u8]> {
         rmp_serde::to_vec_named(self)
-            .expect("the state has a MessagePack form")
+            .expect("the state can be encoded as MessagePack")
             .into_boxed_slice()
     }
 
-    /// Restores the state of a snapshot; no bytes stand for the state before the first entry.
+    /// Restores the state from a snapshot; an empty snapshot is the state before the first entry.
     ///
     /// # Errors
     ///
-    /// Returns an error when the bytes don't hold a state.
+    /// Returns an error if the bytes don't decode to a state.
     pub fn restore(bytes: &[u8]) -> Result<Self, RestoreError> {
         if bytes.is_empty() {
             return Ok(Self::default());
@@ -360,7 +360,7 @@
     }
 }
 
-/// Says that a snapshot's bytes don't hold a state.
+/// The error for a snapshot that does not decode to a state.
 #[derive(Debug)]
 pub struct RestoreError(rmp_serde::decode::Error);
 
--- a/crates/state/src/upgrades.rs
+++ b/crates/state/src/upgrades.rs
@@ -1,8 +1,8 @@
-//! Keeps how far upgrades and planned stops have come.
+//! The record of the progress of upgrades and planned stops.
 //!
-//! Whoever plans holds nothing: it reads this record, the orders, the drains and the announcements, and proposes steps
-//! for exactly one revision of the record. Steps for another revision change nothing, so a step that two leaders propose,
-//! or that comes late, is taken once.
+//! The planner is stateless: it reads this record, the orders, the drains and the announcements, and proposes steps for
+//! exactly one revision of the record. Steps for another revision are ignored, so a step that two leaders propose, or that
+//! arrives late, is applied once.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -13,18 +13,18 @@
 
 use crate::{InstanceName, OrderId, WallMs};
 
-/// Says how far an endpoint has come in its upgrade.
+/// The step that an endpoint's upgrade is at.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointStep {
-    /// It takes no new work, and loads the new version beside the old one.
+    /// The endpoint takes no new work, and loads the new version beside the old one.
     Loading,
-    /// It is told to serve the new version.
+    /// The endpoint is ordered to serve the new version.
     Switching,
-    /// It is back in service, and must be seen to serve the new version.
+    /// The endpoint is back in service, and must report that it serves the new version.
     Verifying,
-    /// It serves the new version, and unloads the old one.
+    /// The endpoint serves the new version, and unloads the old one.
     Unloading,
-    /// It goes back to the old version.
+    /// The endpoint goes back to the old version.
     RollingBack,
 }
 
@@ -51,38 +51,38 @@
     }
 }
 
-/// Describes the upgrade of one endpoint that is under way.
+/// The progress of one endpoint's upgrade.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpgradeProgress {
     /// Name of the plan.
     pub plan: Box<str>,
-    /// Plan as it was when the endpoint began; a later change of the folder doesn't change what was ordered.
+    /// Plan as it was when this upgrade began; later changes of the folder don't affect what was ordered.
     pub upgrade: Upgrade,
-    /// Version to go back to; empty when the endpoint announced none.
+    /// Version to roll back to; empty if the endpoint announced none.
     pub from_version: Box<str>,
-    /// When running work has ended at the latest.
+    /// Deadline of running work.
     pub drained_by_ms: WallMs,
-    /// How far it has come.
+    /// Current step.
     pub step: EndpointStep,
-    /// When the step began.
+    /// Start of the step.
     pub step_at_ms: WallMs,
-    /// Order of the step; 0 for none.
+    /// Order of the step; 0 if there is none.
     pub order_id: OrderId,
 }
 
-/// Says why a plan has stopped.
+/// The reason why a plan has stopped.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StopReason {
     /// An endpoint failed an order.
     OrderFailed {
         /// Endpoint.
         instance: InstanceName,
-        /// What it was told.
+        /// Kind of the order.
         kind: OrderKind,
-        /// What it said.
+        /// Text of the endpoint's answer.
         detail: Box<str>,
     },
-    /// A later order of an operator took the place of the plan's, or the order is no longer on record.
+    /// An operator's later order replaced the plan's, or the order is no longer recorded.
     OrderReplaced {
         /// Endpoint.
         instance: InstanceName,
@@ -117,58 +117,58 @@
     }
 }
 
-/// Describes a plan that has stopped; it goes on once the folder holds another plan under its name.
+/// A plan that has stopped; it resumes once the folder holds a different plan under its name.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoppedPlan {
     /// Plan that stopped.
     pub upgrade: Upgrade,
-    /// Why.
+    /// Reason.
     pub reason: StopReason,
-    /// When.
+    /// Time of the stop.
     pub at_ms: WallMs,
 }
 
-/// Counts the endpoints of a pool, so that ones that are gone count as absent.
+/// The recorded size of a pool, by which missing endpoints count as out of service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolSize {
     /// Endpoints.
     pub endpoints: u64,
-    /// When they were counted.
+    /// Time of the count.
     pub at_ms: WallMs,
 }
 
-/// Says how far a planned stop of one instance has come.
+/// The phase of one instance's planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StopPhase {
-    /// It still takes work, because the floor allows no further stop or its upgrade is under way.
+    /// The instance still takes work, because the floor allows no further stop or its upgrade is in progress.
     Waiting {
-        /// Incarnation that lived when the stop began.
+        /// Incarnation that was live when the stop began.
         incarnation: u64,
     },
-    /// It takes no new work.
+    /// The instance takes no new work.
     Draining {
-        /// Incarnation that stops; a later one has been stopped and is back.
+        /// Incarnation to stop; a later one means that the instance was stopped and is back.
         incarnation: u64,
-        /// When it was told.
+        /// Time at which the drain was requested.
         asked_at_ms: WallMs,
     },
-    /// It was stopped and is back.
+    /// The instance was stopped and is back.
     Done,
 }
 
-/// Describes a planned stop that has begun.
+/// A planned stop that has begun.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StopRecord {
     /// Stop as it was when it began.
     pub stop: Stop,
-    /// Instances that lived then, by name.
+    /// Instances that were live then, by name.
     pub instances: BTreeMap<InstanceName, StopPhase>,
 }
 
-/// Holds an order that comes with a step.
+/// An order that is placed with a step.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepOrder {
-    /// What to do.
+    /// Kind of order.
     pub kind: OrderKind,
     /// Model or adapter.
     pub subject: Box<str>,
@@ -176,27 +176,27 @@
     pub version: Box<str>,
 }
 
-/// Changes the record by one step.
+/// One change of the upgrade record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UpgradeStep {
-    /// Notes the size of a pool.
+    /// Records the size of a pool.
     Count {
         /// Pool.
         pool: Box<str>,
         /// Endpoints.
         endpoints: u64,
     },
-    /// Notes until when the weight store is taken.
+    /// Reserves the weight store for a load.
     #[serde(rename = "TakeStore")]
     ReserveStore {
-        /// When everything ordered so far has been read at the store's rate.
+        /// Time by which everything ordered so far has been read at the store's rate.
         busy_until_ms: WallMs,
     },
-    /// Begins or moves on an endpoint's upgrade, with an order if one is due; the state fills in its number and the time.
+    /// Begins or advances an endpoint's upgrade, with an order if one is due; the state sets the order's number and the time.
     Put {
         /// Endpoint.
         instance: InstanceName,
-        /// How it stands from now on.
+        /// New progress.
         #[serde(rename = "walk")]
         progress: UpgradeProgress,
         /// Order to place.
@@ -207,7 +207,7 @@
         /// Endpoint.
         instance: InstanceName,
     },
-    /// Notes the version of an adapter that an endpoint holds; announcements name only models.
+    /// Records the version of an adapter on an endpoint; announcements cover only models.
     #[serde(rename = "Hold")]
     NoteAdapter {
         /// Endpoint.
@@ -217,26 +217,26 @@
         /// Version.
         version: Box<str>,
     },
-    /// Forgets an adapter that no plan of the folder names; a plan that comes back loads it once more.
+    /// Removes the record of an adapter that no plan of the folder names; a plan that returns loads it again.
     ForgetAdapter {
         /// Adapter.
         adapter: Box<str>,
     },
-    /// Tells an instance to take no new work.
+    /// Drains an instance.
     Drain {
         /// Instance.
         instance: InstanceName,
-        /// Plan or stop that asks.
+        /// Plan or planned stop that asks for the drain.
         by: Box<str>,
-        /// Time in which running work ends, in milliseconds.
+        /// Time within which running work must end, in milliseconds.
         deadline_ms: u64,
     },
-    /// Lets an instance take work again, unless an operator has drained it since.
+    /// Ends the drain of an instance, unless an operator has drained it since.
     #[serde(rename = "LetBack")]
     EndDrain {
         /// Instance.
         instance: InstanceName,
-        /// Plan or stop that drained it.
+        /// Plan or planned stop that drained it.
         by: Box<str>,
     },
     /// Stops a plan.
@@ -245,10 +245,10 @@
         plan: Box<str>,
         /// Plan that stops.
         upgrade: Upgrade,
-        /// Why.
+        /// Reason.
         reason: StopReason,
     },
-    /// Forgets that a plan stopped.
+    /// Removes the record that a plan stopped.
     ClearPlan {
         /// Name of the plan.
         plan: Box<str>,
@@ -257,26 +257,26 @@
     BeginStop {
         /// Name of the stop.
         name: Box<str>,
-        /// Stop with its instances.
+        /// Stop and its instances.
         record: StopRecord,
     },
-    /// Notes how far a planned stop of an instance has come.
+    /// Records the phase of an instance's planned stop.
     MoveStop {
         /// Name of the stop.
         name: Box<str>,
         /// Instance.
         instance: InstanceName,
-        /// How far.
+        /// New phase.
         phase: StopPhase,
     },
-    /// Forgets a planned stop that is no longer in the folder.
+    /// Removes the record of a planned stop that is no longer in the folder.
     ClearStop {
         /// Name of the stop.
         name: Box<str>,
     },
 }
 
-/// Holds steps that were decided on one revision; they are taken all or not at all.
+/// Steps that were decided on one revision; either all of them are applied or none.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpgradeCommand {
     /// Revision of the record.
@@ -289,7 +289,7 @@
     pub now_ms: WallMs,
 }
 
-/// Holds the upgrades and stops that are under way, and what must outlast them.
+/// The upgrades and planned stops in progress, and the records that outlive them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Upgrades {
     revision: u64,
@@ -305,13 +305,13 @@
 }
 
 impl Upgrades {
-    /// Returns the number that rises with every change of this record.
+    /// Returns the revision, which increases with every change of this record.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Returns the upgrades of endpoints that are under way.
+    /// Returns the endpoint upgrades in progress, by instance.
     #[must_use]
     pub fn in_progress(&self) -> &BTreeMap<InstanceName, UpgradeProgress> {
         &self.in_progress
@@ -323,26 +323,26 @@
         &self.stopped
     }
 
-    /// Returns the last count of a pool's endpoints.
+    /// Returns the recorded size of a pool.
     #[must_use]
     pub fn pool_size(&self, pool: &str) -> Option<PoolSize> {
         self.pool_sizes.get(pool).copied()
     }
 
-    /// Returns when the weight store has read everything ordered so far.
+    /// Returns the time by which the weight store has read everything ordered so far.
     #[must_use]
     pub fn store_busy_until_ms(&self) -> WallMs {
         self.store_busy_until_ms
     }
 
-    /// Returns the version of an adapter that an endpoint was last brought to.
+    /// Returns the version of an adapter that was last loaded on an endpoint.
     #[must_use]
     pub fn adapter(&self, instance: &str, adapter: &str) -> Option<&str> {
         let version = self.adapters.get(instance)?.get(adapter)?;
         Some(version)
     }
 
-    /// Returns the names of the adapters that any endpoint holds.
+    /// Returns the names of the adapters recorded on any endpoint.
     #[must_use]
     pub fn adapters(&self) -> BTreeSet<&str> {
         let held = self.adapters.values().flat_map(BTreeMap::keys);
@@ -368,7 +368,7 @@
         self.in_progress.remove(instance).is_some()
     }
 
-    /// Takes a step that concerns this record alone.
+    /// Applies a step that changes only this record.
     pub(crate) fn apply(&mut self, step: UpgradeStep, now_ms: WallMs) {
         match step {
             UpgradeStep::Count { pool, endpoints } => {
--- a/crates/state/tests/changes.rs
+++ b/crates/state/tests/changes.rs
@@ -1,4 +1,4 @@
-//! Checks that one change wins for each version, and that answers stay as they were.
+//! Tests that one change is accepted per version, and that a resent change gets its first answer again.
 
 use std::collections::BTreeMap;
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// Applies changes in the order of the log.
+/// A state with the log index of its last change.
 struct Log {
     state: State,
     index: u64,
@@ -62,7 +62,7 @@
     }
 }
 
-/// Compares answers but for the mark of a resent change.
+/// Returns whether two answers agree apart from the `resent` flag, which the second must have.
 fn is_same(first: &ApplyReply, again: &ApplyReply) -> bool {
     match (first, again) {
         (ApplyReply::Accepted(first), ApplyReply::Accepted(again)) => {
@@ -140,7 +140,7 @@
                 Some((sent, first)) => (sent.clone(), Some(first.clone())),
                 None => (new, None),
             };
-            // What the leader found on the base in force must give the same as a check by each instance.
+            // The leader's check on the version in force must give the same result as a check by each instance.
             let files = log.state.changes().folder().after(&sent.put, &sent.removed);
             let checked = (sent.base_version == before).then(|| Checked::of(&files));
             let mut other = State::restore(&log.state.encode()).expect("the state can be restored");
--- a/crates/state/tests/log.rs
+++ b/crates/state/tests/log.rs
@@ -1,4 +1,4 @@
-//! Checks keys, orders and drains as the log applies them.
+//! Tests idempotency keys, orders and drains as commands of the log.
 
 use std::collections::BTreeMap;
 
@@ -74,7 +74,7 @@
 }
 
 cases! {
-    a_finished_key_never_runs_again_and_a_returned_one_does => {
+    a_finished_key_is_never_granted_again_and_a_released_one_is => {
         let mut state = State::default();
         assert_eq!(claims(&mut state, vec![claim("a", 1), claim("a", 2), claim("b", 3)], vec![]),
             [ClaimVerdict::Granted, ClaimVerdict::AlreadyRunning, ClaimVerdict::Granted]);
@@ -96,7 +96,7 @@
         apply(&mut state, 2, Command::SettleOrder(OrderResult { fence, ..stale }));
         assert_eq!(state.orders().open().count(), 0);
     }
-    an_order_sent_again_is_the_same_and_a_later_one_takes_its_place => {
+    a_resent_order_is_the_same_and_a_later_one_supersedes_it => {
         let mut state = State::default();
         let first = place(&mut state, 1, order("one", "m"));
         assert_eq!(place(&mut state, 1, order("one", "m")), first);
@@ -118,7 +118,7 @@
 }
 
 quickcheck! {
-    fn a_key_is_granted_to_one_claim_under_any_order(steps: Vec<(u8, u8, bool)>) -> bool {
+    fn a_key_is_granted_to_one_claim_in_any_order(steps: Vec<(u8, u8, bool)>) -> bool {
         let mut state = State::default();
         let mut holders: BTreeMap<u8, u64> = BTreeMap::new();
         steps.into_iter().all(|(key, claim_id, ends)| {
--- a/crates/state/tests/members.rs
+++ b/crates/state/tests/members.rs
@@ -1,4 +1,4 @@
-//! Checks leases, damping, and the published list, in virtual time.
+//! Tests leases, flap damping and the published list, in virtual time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -34,7 +34,7 @@
     }
 }
 
-/// Runs the leader's view with a clock of its own.
+/// The leader's view of the members, with a virtual clock.
 struct Leader {
     members: Members,
     now: Duration,
@@ -76,7 +76,7 @@
     }
 }
 
-/// Follows deltas as a watcher does.
+/// A watcher that applies deltas.
 #[derive(Default)]
 struct Watcher {
     epoch: u64,
@@ -124,7 +124,7 @@
         leader.pass(3 * TICK);
         assert!(leader.members.roster().get("a").is_none());
     }
-    a_leader_without_a_list_takes_none_away_within_the_first_lease => {
+    a_leader_without_a_list_sends_no_deltas_to_earlier_epochs_within_the_first_lease => {
         let mut leader = Leader::new(&Roster::default());
         leader.announce(&announce("a", 1));
         leader.tick();
@@ -133,7 +133,7 @@
         leader.pass(LeaseLimits::default().longest_lease);
         assert!(leader.members.delta_since(6, 40, &[]).is_some());
     }
-    a_late_word_of_an_earlier_incarnation_changes_nothing => {
+    a_late_announcement_of_an_earlier_incarnation_changes_nothing => {
         let mut leader = Leader::new(&Roster::default());
         leader.announce(&announce("a", 2));
         leader.announce(&Announce { leaving: true, ..announce("a", 1) });
@@ -166,7 +166,7 @@
         leader.tick();
         assert!(leader.is_serving("a"));
     }
-    a_count_from_before_entries_know_of_a_drain_is_busy => {
+    a_running_count_from_before_a_drain_propagated_counts_as_busy => {
         let mut leader = Leader::new(&Roster::default());
         let idle = Announce { running: Some(0), ejected: Some(false), ..announce("a", 1) };
         leader.announce(&idle);
@@ -187,7 +187,7 @@
         leader.announce(&idle);
         assert_eq!(leader.members.running("a"), Some(1));
     }
-    a_renewal_through_a_relay_brings_an_old_count => {
+    a_running_count_in_a_renewal_may_be_as_old_as_the_longest_lease => {
         let mut leader = Leader::new(&Roster::default());
         leader.announce(&Announce { running: Some(3), ..announce("a", 1) });
         leader.members.set_drained(leader.now, &BTreeSet::from(["a".into()]));
@@ -209,7 +209,7 @@
         assert_eq!(leader.members.running("a"), Some(0));
         assert_eq!(leader.members.live().next().and_then(|member| member.ejected), Some(true));
     }
-    what_runs_and_ejections_are_not_published => {
+    running_counts_and_ejections_are_not_published => {
         let mut leader = Leader::new(&Roster::default());
         leader.announce(&Announce { running: Some(3), ..announce("a", 1) });
         leader.tick();
@@ -218,7 +218,7 @@
         let listed = leader.members.roster().get("a").expect("it is listed");
         assert_eq!((listed.running, listed.ejected), (None, None));
     }
-    a_data_centre_goes_and_comes_back_within_bounds => {
+    a_data_centre_leaves_and_returns_in_bounded_deltas => {
         let mut leader = Leader::new(&Roster::default());
         let names: Vec<_> = (0..800).map(|number| format!("sidecar-{number}")).collect();
         let mut watcher = Watcher::default();
@@ -227,7 +227,7 @@
             let ticks = names.len().div_ceil(CHANGES_PER_TICK);
             for _ in 0..ticks {
                 leader.tick();
-                let delta = leader.members.delta_since(watcher.epoch, watcher.version, &[]).expect("each tick has news");
+                let delta = leader.members.delta_since(watcher.epoch, watcher.version, &[]).expect("each tick publishes changes");
                 assert!(delta.put.len() <= CHANGES_PER_TICK);
                 assert!(watcher.learn(delta));
             }
@@ -247,7 +247,7 @@
         assert!(watcher.members.is_empty());
         come_back(&mut leader, &mut watcher, 1);
     }
-    a_follower_takes_neither_an_older_list_nor_a_gap => {
+    a_follower_adopts_neither_an_older_list_nor_one_with_a_gap => {
         let delta = |epoch, base_version, version| MembersDelta { epoch, base_version, version, put: vec![], removed: vec![] };
         let mut roster = Roster::default();
         assert_eq!(roster.adopt(&delta(7, 0, 5)), Adopted::Advanced);
@@ -268,7 +268,7 @@
         assert_eq!(watcher.members.len(), 1);
         leader.announce(&Announce { pool: "surf-api".into(), ..announce("a", 1) });
         leader.tick();
-        watcher.learn(leader.members.delta_since(7, watcher.version, &pools).expect("there are news"));
+        watcher.learn(leader.members.delta_since(7, watcher.version, &pools).expect("the list has changed"));
         assert!(watcher.members.is_empty());
     }
 }
@@ -287,7 +287,7 @@
                 _ => _ = leader.announce(&word),
             }
             leader.tick();
-            // A follower that misses news now and then asks from what it has.
+            // A follower that misses some deltas and then asks from the version that it has.
             let asks = action >= 64;
             let news = leader.members.delta_since(follower.epoch(), follower.version(), &[]).filter(|_| asks);
             news.map(|delta| follower.adopt(&delta));
--- a/crates/state/tests/routing.rs
+++ b/crates/state/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Checks what the log's commands make of route tables and endpoints.
+//! Tests route tables and endpoints as commands of the log.
 
 use std::time::Duration;
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// Describes a report of an endpoint that was started at some millisecond.
+/// Returns a report of an endpoint that started at a given Unix millisecond.
 fn started(id: &str, born_unix_ms: u64, sequence: u64) -> Endpoint {
     Endpoint {
         born_unix_ms: Some(born_unix_ms),
@@ -63,7 +63,7 @@
     })
 }
 
-/// Returns the birth and the state of an endpoint that is listed.
+/// Returns the start time and the state of a listed endpoint.
 fn listed(state: &State, id: &str) -> Option<(Option<u64>, EndpointState)> {
     let list = state.routing().list();
     let found = list.endpoints.iter().find(|endpoint| *endpoint.id == *id);
@@ -125,12 +125,12 @@
         change(&mut state, end("e", None));
         change(&mut state, EndpointCommand::Note(endpoint("e", 9)));
         assert_eq!(state_of(&state, "e"), None);
-        // One whose end overtook its first report stays away as well.
+        // An endpoint whose end overtook its first report is not listed either.
         change(&mut state, end("f", None));
         change(&mut state, EndpointCommand::Note(endpoint("f", 1)));
         assert_eq!(state_of(&state, "f"), None);
     }
-    an_endpoint_that_starts_again_under_its_id_is_taken_in_though_it_counts_anew => {
+    an_endpoint_that_restarts_under_its_id_is_listed_though_its_sequence_starts_over => {
         let mut state = State::default();
         change(&mut state, EndpointCommand::Note(started("e", 100, 900)));
         change(&mut state, EndpointCommand::Note(started("e", 200, 1)));
@@ -167,7 +167,7 @@
         change(&mut state, end("e", Some(100)));
         assert_eq!(listed(&state, "e"), Some((Some(200), EndpointState::Ready)));
     }
-    an_end_that_names_no_birth_means_the_incarnation_that_is_known => {
+    an_end_without_a_start_time_means_the_known_incarnation => {
         let mut state = State::default();
         change(&mut state, EndpointCommand::Note(started("e", 100, 5)));
         change(&mut state, end("e", None));
@@ -192,7 +192,7 @@
         assert!(!state.routing().contradicts(&moved));
         assert!(state.routing().is_change(&moved));
     }
-    word_of_a_former_start_is_told_from_word_of_the_present_one => {
+    reports_of_a_former_incarnation_are_outdated => {
         let mut state = State::default();
         change(&mut state, EndpointCommand::Note(started("e", 200, 5)));
         assert!(state.routing().is_outdated(&started("e", 100, 9)));
@@ -215,7 +215,7 @@
             let old = Endpoint { address, ..endpoint(&format!("old-{number}"), 40) };
             change(&mut state, EndpointCommand::Note(old));
         }
-        // All lose power and come back at their addresses, within a second.
+        // All lose power and come back at their addresses under new ids, within a second.
         for number in 0..8_u8 {
             let address = ([10, 0, 0, number], 8_080).into();
             let new = Endpoint { address, ..endpoint(&format!("new-{number}"), 1) };
@@ -227,17 +227,17 @@
         };
         assert_eq!(ids(&state).len(), 8);
         assert!(ids(&state).iter().all(|id| id.starts_with("new-")));
-        // A report of the former one that a cut has held up changes nothing.
+        // A report of the former endpoint that a network partition has delayed changes nothing.
         let late = Endpoint { address: ([10, 0, 0, 0], 8_080).into(), ..draining("old-0", 41) };
         change(&mut state, EndpointCommand::Note(late));
         assert!(!ids(&state).contains(&"old-0".into()));
-        // Where the newer one is gone, the older one is listed as it was; its own silence ends it.
+        // Once the newer endpoint is dropped, the older one is listed again, until its own reports time out.
         change(&mut state, EndpointCommand::Drop("new-1".into()));
         assert!(ids(&state).contains(&"old-1".into()));
         change(&mut state, EndpointCommand::Drop("old-1".into()));
         assert_eq!(ids(&state).len(), 7);
     }
-    a_report_without_news_is_none => {
+    a_report_that_only_repeats_the_state_is_no_change => {
         let mut state = State::default();
         change(&mut state, EndpointCommand::Note(endpoint("e", 1)));
         assert!(!state.routing().is_change(&endpoint("e", 2)));
@@ -257,7 +257,7 @@
         change(&mut state, EndpointCommand::Note(endpoint("e", 2)));
         assert_eq!(state_of(&state, "e"), Some(EndpointState::Ready));
     }
-    an_endpoint_whose_address_another_one_reports_is_dropped_sooner => {
+    an_endpoint_whose_address_another_one_reports_times_out_sooner => {
         let mut state = State::default();
         change(&mut state, EndpointCommand::Note(endpoint("old", 1)));
         change(&mut state, EndpointCommand::Note(endpoint("new", 1)));
@@ -270,7 +270,7 @@
         assert!(last_reports.silent(Duration::from_secs(2), state.routing()).is_empty());
         assert_eq!(last_reports.silent(Duration::from_secs(4), state.routing()), vec!["old".into()]);
     }
-    a_new_leader_gives_every_endpoint_its_whole_time_again => {
+    a_new_leader_gives_every_endpoint_the_full_report_timeout => {
         let mut state = State::default();
         change(&mut state, EndpointCommand::Note(endpoint("e", 1)));
         let mut last_reports = LastReports::default();
@@ -283,7 +283,7 @@
 }
 
 quickcheck! {
-    fn tables_in_any_order_leave_the_highest(numbers: Vec<u8>) -> bool {
+    fn tables_in_any_order_leave_the_highest_number_in_force(numbers: Vec<u8>) -> bool {
         let mut state = State::default();
         let mut highest = 0;
         for number in &numbers {
@@ -295,23 +295,23 @@
         state.routing().table_number() == highest
     }
 
-    fn a_newer_incarnation_is_never_followed_by_an_older_one(reports: Vec<(u8, u8, bool)>) -> bool {
+    fn an_older_incarnation_never_replaces_a_newer_one(reports: Vec<(u8, u8, bool)>) -> bool {
         let mut state = State::default();
         let mut newest = None;
-        reports.iter().all(|(birth, sequence, ends)| {
-            let birth = u64::from(*birth % 8);
+        reports.iter().all(|(start, sequence, ends)| {
+            let start = u64::from(*start % 8);
             let before = listed(&state, "e");
             change(&mut state, if *ends {
-                end("e", Some(birth))
+                end("e", Some(start))
             } else {
-                EndpointCommand::Note(started("e", birth, u64::from(*sequence)))
+                EndpointCommand::Note(started("e", start, u64::from(*sequence)))
             });
-            newest = newest.max(before.and_then(|(birth, _)| birth));
-            listed(&state, "e").is_none_or(|(birth, _)| birth >= newest)
+            newest = newest.max(before.and_then(|(start, _)| start));
+            listed(&state, "e").is_none_or(|(start, _)| start >= newest)
         })
     }
 
-    fn the_list_changes_only_forwards(commands: Vec<(u8, u8, u8)>) -> bool {
+    fn every_change_of_the_list_increases_its_version(commands: Vec<(u8, u8, u8)>) -> bool {
         let mut state = State::default();
         commands.iter().all(|(id, kind, sequence)| {
             let before = (state.routing().list(), state.routing().endpoints_version());
@@ -324,7 +324,7 @@
                 _ => EndpointCommand::Drop(id.as_str().into()),
             });
             let after = state.routing();
-            // A gateway that holds the version holds the list.
+            // A gateway that has the current version must have the current list.
             after.endpoints_version() > before.1 || after.list() == before.0
         })
     }
--- a/crates/state/tests/suspects.rs
+++ b/crates/state/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! Checks that the log keeps who ends endpoints, whoever tells of it and whatever restarts.
+//! Tests that the log keeps the requests that end endpoints, whichever gateway reports them, and across restarts.
 
 use hinge_cases::cases;
 use hinge_routing::{IncarnationHash, RequestKey};
@@ -8,7 +8,7 @@
     RequestKey::of("POST", "/", None, &[number])
 }
 
-/// Notes ends of one endpoint's start under some requests, and returns those that are held from now on.
+/// Records the end of one endpoint incarnation under some requests, and returns those that are newly held.
 fn end(state: &mut State, endpoint: IncarnationHash, under: &[u8]) -> Vec<RequestKey> {
     let command = SuspectsCommand {
         ends: under
@@ -25,15 +25,15 @@
 }
 
 cases! {
-    ends_that_three_gateways_tell_of_make_three => {
+    a_request_is_held_after_three_endpoints_ended_under_it => {
         let mut state = State::default();
         assert_eq!(end(&mut state, 1, &[1, 2]), []);
-        assert_eq!(end(&mut state, 1, &[1]), [], "a second gateway tells of the same end");
+        assert_eq!(end(&mut state, 1, &[1]), [], "a second gateway reports the same end");
         assert_eq!(end(&mut state, 2, &[1]), []);
         assert_eq!(end(&mut state, 3, &[1, 3]), [key(1)]);
-        assert_eq!(end(&mut state, 4, &[1]), [], "it was held before");
+        assert_eq!(end(&mut state, 4, &[1]), [], "it was already held");
     }
-    a_snapshot_keeps_who_is_held => {
+    a_snapshot_keeps_held_requests => {
         let mut state = State::default();
         for endpoint in 1..=3 {
             end(&mut state, endpoint, &[1]);
@@ -43,7 +43,7 @@
         assert!(suspects.is_held(&key(1)));
         assert_eq!(suspects.version(), restored.applied_index());
     }
-    a_command_is_read_as_it_was_written => {
+    a_command_decodes_as_it_was_encoded => {
         let command = Command::Suspects(SuspectsCommand {
             ends: vec![(key(1), u64::MAX)],
             completed: vec![key(2)],
--- a/crates/upgrade/benches/planner.rs
+++ b/crates/upgrade/benches/planner.rs
@@ -1,4 +1,4 @@
-//! Measures one decision for 1,600 members in 8 pools.
+//! Measures one planning decision for 1,600 members in 8 pools.
 
 #[path = "../tests/night/simulation.rs"]
 #[expect(dead_code, reason = "the tests use the rest")]
@@ -31,10 +31,8 @@
 
 fn planner(criterion: &mut Criterion) {
     for (name, plans) in [("no_plans", 0), ("8_plans_320_under_way", 8)] {
-        let simulation = simulation(plans);
-        criterion.bench_function(name, |bencher| {
-            bencher.iter(|| black_box(simulation.decide()))
-        });
+        let night = simulation(plans);
+        criterion.bench_function(name, |bencher| bencher.iter(|| black_box(night.decide())));
     }
 }
 
--- a/crates/upgrade/examples/night.rs
+++ b/crates/upgrade/examples/night.rs
@@ -9,20 +9,20 @@
 use hinge_schema::messages::UpgradeState;
 use simulation::{OPENING_MS, Simulation};
 
-const POOLS: usize = 8;
-const ENDPOINTS: usize = 200;
-const GIGABYTE: u64 = 1_000_000_000;
-/// Weights of a model of 70 billion parameters with two bytes each.
-const WEIGHT_BYTES: u64 = 140 * GIGABYTE;
-/// Moving the weights onto accelerators, beside reading them.
+const POOL_COUNT: usize = 8;
+const ENDPOINTS_PER_POOL: usize = 200;
+const BYTES_PER_GB: u64 = 1_000_000_000;
+/// Weights of a model of 70 billion parameters of two bytes each.
+const WEIGHT_BYTES: u64 = 140 * BYTES_PER_GB;
+/// Time for moving the weights onto accelerators, in addition to reading them.
 const LOAD_MS: u64 = 60_000;
-/// Longest night that is looked at, in seconds.
-const LIMIT: usize = 24 * 3600;
+/// Longest simulated night, in seconds.
+const MAX_NIGHT_S: usize = 24 * 3600;
 
 fn folder(store_gigabytes: u64, max_parallel: usize) -> String {
-    let rate = store_gigabytes * GIGABYTE;
+    let rate = store_gigabytes * BYTES_PER_GB;
     let mut text = format!("[limits]\nweight_store_bytes_per_second = {rate}\n");
-    for pool in 0..POOLS {
+    for pool in 0..POOL_COUNT {
         write!(
             text,
             "[pools.p{pool}]\nkind = \"model\"\nfloor = 70\ndeadline_ms = 120000\n\
@@ -35,14 +35,17 @@
 }
 
 fn run(store_gigabytes: u64, max_parallel: usize) {
-    let names: Vec<_> = (0..POOLS).map(|pool| format!("p{pool}")).collect();
-    let pools: Vec<_> = names.iter().map(|name| (&**name, ENDPOINTS)).collect();
+    let names: Vec<_> = (0..POOL_COUNT).map(|pool| format!("p{pool}")).collect();
+    let pools: Vec<_> = names
+        .iter()
+        .map(|name| (&**name, ENDPOINTS_PER_POOL))
+        .collect();
     let mut simulation = Simulation::new(1, &folder(store_gigabytes, max_parallel), &pools);
     simulation.load_ms = LOAD_MS;
-    let mut most = 0;
-    for _ in 0..LIMIT {
+    let mut max_drained = 0;
+    for _ in 0..MAX_NIGHT_S {
         simulation.tick();
-        most = most.max(simulation.state.drains().len());
+        max_drained = max_drained.max(simulation.state.drains().len());
         let last = simulation.last.as_ref().expect("a second has passed");
         let mut plans = last.plans.iter();
         if plans.all(|plan| plan.state() == UpgradeState::Done) {
@@ -52,9 +55,9 @@
     let took_s = (simulation.now_ms - OPENING_MS) / 1000;
     println!(
         "store {store_gigabytes} GB/s, max_parallel {max_parallel}: {} of {} serve v2 after {took_s} s; \
-         most out of service at once {most}",
+         most out of service at once {max_drained}",
         simulation.serving("v2"),
-        POOLS * ENDPOINTS
+        POOL_COUNT * ENDPOINTS_PER_POOL
     );
 }
 
--- a/crates/upgrade/src/capacity.rs
+++ b/crates/upgrade/src/capacity.rs
@@ -1,4 +1,4 @@
-//! Counts how much of each pool is in service.
+//! Counts of the endpoints in service in each pool.
 
 use std::collections::BTreeMap;
 
@@ -6,13 +6,13 @@
 
 use crate::fleet::Fleet;
 
-/// Parts of the whole.
+/// Parts per million in a whole.
 const PPM: u128 = 1_000_000;
 
-/// Counts a pool's endpoints.
+/// The counts of a pool's endpoints.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Capacity {
-    /// Endpoints, with those that are gone since they were counted.
+    /// Endpoints, including those that are missing since the pool was counted.
     pub total: u64,
     /// Endpoints that take work.
     pub in_service: u64,
@@ -27,21 +27,21 @@
         self.in_service > self.needed
     }
 
-    /// Returns whether no endpoint may ever go out of service.
+    /// Returns whether the floor needs every endpoint, so that none may ever go out of service.
     #[must_use]
     pub fn needs_all(&self) -> bool {
         self.needed >= self.total
     }
 }
 
-/// Returns the endpoints that a floor needs, rounded up.
+/// Returns the number of endpoints that a floor requires, rounded up.
 #[must_use]
 pub fn required_endpoints(floor_ppm: u32, total: u64) -> u64 {
     let needed = (u128::from(floor_ppm) * u128::from(total)).div_ceil(PPM);
     u64::try_from(needed).unwrap_or(u64::MAX)
 }
 
-/// Holds the capacity of every pool, and takes note of what a decision takes out of service.
+/// The capacity of every pool, less what a decision takes out of service.
 #[derive(Debug)]
 pub(crate) struct Pools<'a> {
     pools: BTreeMap<&'a str, Capacity>,
@@ -75,7 +75,7 @@
         self.pools.get(pool).copied().unwrap_or_default()
     }
 
-    /// Notes that an endpoint goes out of service; its pool may lie below its floor then.
+    /// Counts an endpoint as out of service; this may take its pool below its floor.
     pub(crate) fn remove_one(&mut self, pool: &str) {
         if let Some(capacity) = self.pools.get_mut(pool) {
             capacity.in_service = capacity.in_service.saturating_sub(1);
--- a/crates/upgrade/src/decide.rs
+++ b/crates/upgrade/src/decide.rs
@@ -1,4 +1,4 @@
-//! Puts the parts of a decision together.
+//! The decision which steps are due, assembled from its parts.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,16 +12,16 @@
 use crate::store::StoreBudget;
 use crate::{plans, progress, stops};
 
-/// Steps of one decision after which nothing new begins; the command stays below 256 KB, and the rest follows a tick later.
+/// Steps of one decision after which nothing new begins, so that the command stays below 256 KB; the rest follows a tick later.
 pub const MAX_STEPS: usize = 512;
 
-/// Age of a count of a pool's endpoints after which it may fall; a night's upgrade is over by then.
+/// Age after which the recorded size of a pool may decrease; a night's upgrade is over by then.
 const POOL_SIZE_AGE_MS: u64 = 12 * 60 * 60 * 1000;
 
-/// Holds the steps that are due, and how plans and stops stand before them.
+/// The steps that are due, and the status of plans and stops before them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Decision {
-    /// Steps to propose; none when nothing is due.
+    /// Steps to propose; none if nothing is due.
     pub command: Option<UpgradeCommand>,
     /// Plans of the folder, by name.
     pub plans: Vec<PlanReport>,
@@ -29,15 +29,15 @@
     pub stops: Vec<StopReport>,
 }
 
-/// Collects the steps of a decision, and what they change for the ones after them.
+/// The steps of a decision so far, and their effects on later steps.
 #[derive(Debug)]
 pub(crate) struct Draft<'a> {
     pub(crate) steps: Vec<UpgradeStep>,
     pub(crate) pools: Pools<'a>,
     pub(crate) store: StoreBudget,
-    /// Plans that a failure has stopped in this decision.
+    /// Plans that this decision stops because of a failure.
     pub(crate) stopped: BTreeMap<Box<str>, StopReason>,
-    /// Instances that this decision drains; nothing else begins there.
+    /// Instances that this decision drains, at which nothing else may begin.
     pub(crate) drained: BTreeSet<&'a str>,
 }
 
@@ -62,7 +62,7 @@
 
 /// Decides which steps are due.
 ///
-/// Endpoints under way come first, then planned stops, then new endpoints, so that a stop isn't kept waiting by an upgrade
+/// Upgrades in progress come first, then planned stops, then further endpoints, so that a stop isn't delayed by an upgrade
 /// that could wait.
 #[must_use]
 pub fn decide(fleet: &Fleet<'_>) -> Decision {
@@ -100,7 +100,7 @@
     })
 }
 
-/// Notes the size of each pool that a plan or stop may take endpoints from.
+/// Records the sizes of the pools if any plan or stop may take endpoints out of service.
 fn count_pools(fleet: &Fleet<'_>, draft: &mut Draft<'_>) {
     if fleet.effective.upgrades.is_empty() && fleet.effective.stops.is_empty() {
         return;
@@ -111,7 +111,7 @@
         let is_due = match fleet.upgrades.pool_size(name) {
             None => live > 0,
             Some(size) if live > size.endpoints => true,
-            // A pool that shrank for good would hold its plans up forever.
+            // Without this, a pool that has shrunk for good would block its plans forever.
             Some(size) => {
                 let is_old = is_older(size.at_ms, POOL_SIZE_AGE_MS, fleet.now_ms);
                 live < size.endpoints && is_old && !busy.contains(name)
@@ -146,7 +146,7 @@
     busy
 }
 
-/// Returns whether something is older than an age.
+/// Returns whether a time is more than an age ago.
 pub(crate) fn is_older(at_ms: WallMs, age_ms: u64, now_ms: WallMs) -> bool {
     now_ms.saturating_sub(at_ms) > age_ms
 }
--- a/crates/upgrade/src/fleet.rs
+++ b/crates/upgrade/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Holds what a decision is made on.
+//! The input of a decision.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,14 +6,14 @@
 use hinge_schema::messages::{DrainRecord, OrderRecord, Role};
 use hinge_state::{InstanceName, OrderId, Upgrades, WallMs};
 
-/// Describes a live instance as it announces itself.
+/// A live instance as it announces itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Endpoint<'a> {
     /// Name of the instance.
     pub instance: &'a str,
     /// Number that the process drew when it started.
     pub incarnation: u64,
-    /// Role; only sidecars stand for endpoints.
+    /// Role; only sidecars represent endpoints.
     pub role: Role,
     /// Data centre.
     pub data_center: &'a str,
@@ -21,15 +21,15 @@
     pub pool: &'a str,
     /// Version of the model that it serves.
     pub model_version: &'a str,
-    /// Whether it said itself that it takes no new work.
+    /// Whether it announced that it takes no new work.
     pub is_leaving: bool,
     /// Whether it is known to be ejected.
     pub is_ejected: bool,
-    /// Requests that run there; none when it isn't known.
+    /// Requests that run there; none if it isn't known.
     pub running: Option<u32>,
 }
 
-/// Holds the log's record, the folder and the announcements.
+/// A snapshot of the log's records, the folder and the announcements.
 #[derive(Debug, Clone)]
 pub struct Fleet<'a> {
     /// Time of the log: the later of the leader's clock and the newest command.
@@ -40,16 +40,16 @@
     pub effective: &'a Effective,
     /// Live instances.
     pub endpoints: BTreeMap<&'a str, Endpoint<'a>>,
-    /// Upgrades and stops under way.
+    /// Upgrades and stops in progress.
     pub upgrades: &'a Upgrades,
-    /// Orders of the upgrades under way.
+    /// Orders of the upgrades in progress.
     pub orders: &'a BTreeMap<OrderId, OrderRecord>,
-    /// Drained instances, whoever asked.
+    /// Instances drained by an operator, a plan or a stop.
     pub drained: BTreeSet<&'a str>,
 }
 
 impl<'a> Fleet<'a> {
-    /// Collects the drained instances' names.
+    /// Returns the names of the drained instances.
     #[must_use]
     pub fn drained_names(drains: &'a [DrainRecord]) -> BTreeSet<&'a str> {
         drains.iter().map(|drain| &*drain.instance).collect()
@@ -72,12 +72,12 @@
             || self.drained.contains(endpoint.instance))
     }
 
-    /// Returns the order of a progress, if the log still has it.
+    /// Returns an order of an upgrade in progress, if the log still has it.
     pub(crate) fn order(&self, order_id: OrderId) -> Option<&OrderRecord> {
         self.orders.get(&order_id)
     }
 
-    /// Returns the name of the instance as the log holds it.
+    /// Converts an instance's name to the log's type.
     pub(crate) fn name(instance: &str) -> InstanceName {
         instance.into()
     }
--- a/crates/upgrade/src/lib.rs
+++ b/crates/upgrade/src/lib.rs
@@ -1,8 +1,8 @@
 //! Decides the next steps of nightly upgrades and planned stops.
 //!
-//! [`decide`] is pure and keeps nothing. It reads the folder in force, the members as announced, and what the log holds of
-//! upgrades, orders and drains, and returns the steps that are due together with a report. The steps are proposed to the
-//! log for one revision of its record, so that whichever leader decides, each step is taken once.
+//! [`decide`] is a pure function. It reads the folder in force, the members as announced, and the log's records of upgrades,
+//! orders and drains, and returns the steps that are due together with a report. The steps are proposed to the log for one
+//! revision of the upgrade record, so that each step is applied once, whichever leader decides.
 
 mod capacity;
 mod decide;
--- a/crates/upgrade/src/plans.rs
+++ b/crates/upgrade/src/plans.rs
@@ -1,4 +1,4 @@
-//! Begins the upgrade of further endpoints.
+//! The start of upgrades of further endpoints.
 
 use hinge_config::effective::Upgrade;
 use hinge_state::UpgradeStep;
@@ -10,7 +10,7 @@
 use crate::report::{PlanReport, WaitReason};
 use crate::window;
 
-/// Forgets that plans stopped which the folder holds otherwise by now, and adapters that it no longer names.
+/// Clears the records of stopped plans that have changed in the folder, and of adapters that it no longer names.
 pub(crate) fn clear(fleet: &Fleet<'_>, draft: &mut Draft<'_>) {
     for (plan, stopped) in fleet.upgrades.stopped() {
         if fleet.effective.upgrades.get(plan) != Some(&stopped.upgrade) {
@@ -32,7 +32,7 @@
     }
 }
 
-/// Begins what may begin, and reports on every plan.
+/// Begins the upgrades that may begin, and reports on every plan.
 pub(crate) fn begin<'a>(fleet: &Fleet<'a>, draft: &mut Draft<'a>) -> Vec<PlanReport> {
     let plans = fleet.effective.upgrades.iter();
     plans
@@ -107,12 +107,12 @@
     }
 }
 
-/// Returns an earlier plan about the same; two that name different versions would undo each other without end.
+/// Returns an earlier plan for the same target; two plans with different versions would undo each other forever.
 fn conflicting_plan<'a>(fleet: &'a Fleet<'_>, name: &str, upgrade: &Upgrade) -> Option<&'a str> {
     let earlier = fleet.effective.upgrades.iter();
     let mut earlier = earlier.take_while(|(other, _)| *other != name);
     let same = earlier.find(|(_, other)| {
-        // A model's version is all that an endpoint announces, so a pool has one plan for models.
+        // An endpoint announces only one model version, so a pool can have one plan for models.
         other.pool == upgrade.pool
             && other.adapter.is_some() == upgrade.adapter.is_some()
             && (upgrade.adapter.is_none() || subject(other) == subject(upgrade))
@@ -125,7 +125,7 @@
     fleet.is_in_service(endpoint) && !is_upgrading && !draft.drained.contains(endpoint.instance)
 }
 
-/// Returns why no further endpoint of a plan may begin now; the store comes last, because asking it takes its bytes.
+/// Checks whether a further endpoint of a plan may begin now; the store comes last, because the check reserves its bytes.
 fn may_begin(
     fleet: &Fleet<'_>,
     upgrade: &Upgrade,
@@ -173,7 +173,7 @@
         Some(adapter) => fleet.upgrades.adapter(instance, adapter),
         None => Some(endpoint.model_version),
     };
-    // Whoever runs there has at most the pool's deadline left, unless its caller set a longer one.
+    // Requests running there have at most the pool's deadline left, unless their callers set longer ones.
     let pool = fleet.effective.pools.get(&upgrade.pool);
     let drain_ms = pool.map_or(0, |pool| pool.deadline_ms);
     draft.steps.push(UpgradeStep::Drain {
@@ -198,7 +198,7 @@
     draft.drained.insert(instance);
 }
 
-/// Returns why a plan isn't done although no endpoint is ready any more.
+/// Returns why a plan isn't done although no endpoint is ready.
 fn remaining_wait(
     fleet: &Fleet<'_>,
     report: &PlanReport,
--- a/crates/upgrade/src/progress.rs
+++ b/crates/upgrade/src/progress.rs
@@ -1,4 +1,4 @@
-//! Moves endpoints on that are being upgraded.
+//! The steps of endpoint upgrades in progress.
 
 use hinge_config::effective::Upgrade;
 use hinge_schema::messages::{OrderKind, OrderState};
@@ -9,30 +9,30 @@
 use crate::decide::{Draft, is_older};
 use crate::fleet::{Endpoint, Fleet};
 
-/// Longest time for a step other than loading; switching takes seconds, and a restart of the endpoint fits in.
+/// Longest time for a step other than loading; switching takes seconds, and the limit leaves time for a restart of the endpoint.
 pub const STEP_TIMEOUT_MS: u64 = 5 * 60 * 1000;
 
-/// Longest time for loading beside what the weight store needs; moving large weights onto accelerators takes minutes.
+/// Longest time for loading apart from reading the weight store; moving large weights onto accelerators takes minutes.
 pub const LOAD_GRACE_MS: u64 = 30 * 60 * 1000;
 
-/// How many times as long as the store's rate says a load may take; other readers share it.
+/// Factor on the reading time at the store's rate, because other readers share the store.
 const LOAD_TIME_FACTOR: u64 = 4;
 
-/// How long an endpoint serves the new version before the old one is unloaded.
+/// Time for which an endpoint serves the new version before the old one is unloaded.
 const UNLOAD_DELAY_MS: u64 = 10_000;
 
-/// Returns the model or adapter that a plan brings.
+/// Returns the model or adapter that a plan upgrades.
 pub(crate) fn subject(upgrade: &Upgrade) -> &str {
     let subject = upgrade.adapter.as_deref().or(upgrade.model.as_deref());
     subject.unwrap_or_default()
 }
 
-/// Returns who a plan is in drains.
+/// Returns the name under which a plan drains instances.
 pub(crate) fn drain_owner(plan: &str) -> Box<str> {
     format!("upgrade/{plan}").into()
 }
 
-/// Returns the order that loads a plan's version.
+/// Returns the order that loads the plan's version.
 pub(crate) fn load_order(upgrade: &Upgrade) -> StepOrder {
     let kind = match upgrade.adapter {
         Some(_) => OrderKind::LoadAdapter,
@@ -49,7 +49,7 @@
     order(upgrade, kind, version)
 }
 
-/// Returns the order that takes an endpoint back; none when there is no version to go back to.
+/// Returns the order that rolls an endpoint back; none if there is no version to roll back to.
 fn roll_back_order(progress: &UpgradeProgress) -> Option<StepOrder> {
     let upgrade = &progress.upgrade;
     if upgrade.adapter.is_some() {
@@ -67,7 +67,7 @@
     }
 }
 
-/// Returns whether two plans bring the same version of the same thing to the same pool.
+/// Returns whether two plans bring the same version of the same model or adapter to the same pool.
 pub(crate) fn has_same_target(left: &Upgrade, right: &Upgrade) -> bool {
     left.pool == right.pool
         && left.model == right.model
@@ -75,7 +75,7 @@
         && left.version == right.version
 }
 
-/// Holds one endpoint's upgrade while it is looked at.
+/// One endpoint's upgrade, and what its next step is decided on.
 struct StepContext<'a, 'f> {
     fleet: &'a Fleet<'f>,
     instance: &'a str,
@@ -83,7 +83,7 @@
     endpoint: Option<&'a Endpoint<'f>>,
 }
 
-/// Moves an endpoint's upgrade on by the step that is due, if one is.
+/// Advances an endpoint's upgrade by the step that is due, if any.
 pub(crate) fn advance(
     fleet: &Fleet<'_>,
     instance: &str,
@@ -112,7 +112,7 @@
             OrderState::Open if self.is_overdue(self.load_timeout_ms()) => self.time_out(draft),
             OrderState::Open => {}
             OrderState::Failed => {
-                // It still serves the old version, and nothing has to be taken back.
+                // The endpoint still serves the old version, so there is nothing to roll back.
                 self.stop_failed(draft);
                 self.end_drain(draft);
                 self.end(draft);
@@ -123,7 +123,7 @@
                 self.end(draft);
             }
             OrderState::Done if self.is_stuck() => {
-                // It still serves the old version, and what runs there goes on.
+                // The endpoint still serves the old version, and its running requests continue.
                 self.stop_timed_out(draft);
                 self.end_drain(draft);
                 self.end(draft);
@@ -189,10 +189,10 @@
                 self.put(draft, EndpointStep::Unloading, Some(unload));
             }
         } else if is_new && is_out_of_service {
-            // An operator or a stop has it; the old version stays loaded, which does no harm.
+            // An operator or a planned stop drains it; the old version stays loaded, which does no harm.
             self.end(draft);
         } else if self.is_overdue(STEP_TIMEOUT_MS) {
-            // It is gone or has restarted with another version; what it serves it says itself.
+            // The endpoint is gone or has restarted with another version, which it announces itself.
             self.stop_timed_out(draft);
             self.end(draft);
         }
@@ -213,7 +213,9 @@
         }
     }
 
-    /// An endpoint that can't go back stays drained until an operator takes it over: what it serves isn't known.
+    /// Ends a roll-back once it is done.
+    ///
+    /// An endpoint that can't roll back stays drained until an operator ends its drain, because it isn't known what it serves.
     fn roll_back(&self, draft: &mut Draft<'_>) {
         match self.order_state() {
             OrderState::Done if self.serves(&self.progress.from_version) => {
@@ -225,7 +227,7 @@
         }
     }
 
-    /// Returns the state of the step's order; one that the log no longer holds counts as replaced.
+    /// Returns the state of the step's order; an order that the log no longer holds counts as superseded.
     fn order_state(&self) -> OrderState {
         let order = self.fleet.order(self.progress.order_id);
         order.map_or(OrderState::Superseded, |order| order.state)
@@ -243,7 +245,7 @@
         LOAD_GRACE_MS.saturating_add(read_ms.saturating_mul(LOAD_TIME_FACTOR))
     }
 
-    /// Returns whether running work has ended; where that isn't known, whether it has had its time.
+    /// Returns whether running work has ended; if that isn't known, whether its deadline has passed.
     fn is_drained(&self) -> bool {
         match self.endpoint.and_then(|endpoint| endpoint.running) {
             Some(running) => running == 0,
@@ -251,13 +253,13 @@
         }
     }
 
-    /// Returns whether work still runs long after its time; a plan doesn't wait for it without end.
+    /// Returns whether work still runs long after its deadline; a plan doesn't wait for it forever.
     fn is_stuck(&self) -> bool {
         let has_had_time = self.fleet.now_ms >= self.progress.drained_by_ms;
         has_had_time && !self.is_drained() && self.is_overdue(self.load_timeout_ms())
     }
 
-    /// Returns whether the endpoint says that it serves a version; announcements say nothing of adapters.
+    /// Returns whether the endpoint announces a version; always true for adapters, which announcements don't cover.
     fn serves(&self, version: &str) -> bool {
         let is_adapter = self.progress.upgrade.adapter.is_some();
         self.endpoint
@@ -269,7 +271,7 @@
         !progress.from_version.is_empty() && progress.from_version != progress.upgrade.version
     }
 
-    /// Returns whether the plan was stopped, removed or given another target, and its endpoints go back then.
+    /// Returns whether the plan was stopped, removed or given another target, and rolls its endpoints back in that case.
     fn must_roll_back(&self, draft: &Draft<'_>) -> bool {
         let (plan, began) = (&self.progress.plan, &self.progress.upgrade);
         let planned = self.fleet.effective.upgrades.get(plan);
@@ -292,7 +294,7 @@
         self.stop(draft, reason);
     }
 
-    /// Lets the operator's later order stand.
+    /// Stops the plan and ends the upgrade in favour of the operator's later order.
     fn yield_to_operator(&self, draft: &mut Draft<'_>) {
         let instance = self.instance.into();
         self.stop(draft, StopReason::OrderReplaced { instance });
@@ -300,7 +302,9 @@
         self.end(draft);
     }
 
-    /// The order may still act later, so going back takes its place with a higher number.
+    /// Stops the plan after a timeout and rolls back.
+    ///
+    /// The order may still be carried out later, so the order that rolls back supersedes it with a higher fencing number.
     fn time_out(&self, draft: &mut Draft<'_>) {
         self.stop_timed_out(draft);
         self.put(
@@ -318,7 +322,7 @@
         self.stop(draft, reason);
     }
 
-    /// Stops the plan as it stands in the folder; one that has another target by now isn't affected.
+    /// Stops the plan as it is in the folder; a plan that has another target by now isn't affected.
     fn stop(&self, draft: &mut Draft<'_>, reason: StopReason) {
         let plan = &self.progress.plan;
         let planned = self.fleet.effective.upgrades.get(plan);
--- a/crates/upgrade/src/report.rs
+++ b/crates/upgrade/src/report.rs
@@ -1,4 +1,4 @@
-//! Describes how plans and stops stand.
+//! Reports on the status of plans and stops.
 
 use std::fmt;
 
@@ -6,49 +6,49 @@
 use hinge_state::WallMs;
 use hinge_state::upgrades::StopReason;
 
-/// Says why no further endpoint of a plan begins.
+/// The reason why no further endpoint of a plan begins.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WaitReason {
-    /// The window is closed.
+    /// The plan's window is closed.
     Window {
-        /// When it opens.
+        /// Time at which it opens.
         until_ms: WallMs,
     },
-    /// One endpoint less would leave the pool below its floor.
+    /// One endpoint fewer would leave the pool below its floor.
     Floor {
         /// Endpoints that take work.
         in_service: u64,
-        /// Endpoints that must.
+        /// Endpoints that must take work.
         needed: u64,
     },
-    /// The floor needs every endpoint, so that none can ever be upgraded.
+    /// The floor needs every endpoint, so none can ever be upgraded.
     FloorNeedsAll,
-    /// As many endpoints as allowed are under way.
+    /// As many upgrades as allowed are in progress.
     Parallel,
     /// The weight store is busy.
     Store {
-        /// When it has room.
+        /// Time at which it has room.
         until_ms: WallMs,
     },
-    /// Endpoints that lack the version are drained, leaving, ejected or part of another plan.
+    /// Endpoints without the version are drained, leaving, ejected or part of another plan.
     OutOfService {
         /// Endpoints.
         endpoints: u64,
     },
-    /// Endpoints are gone.
+    /// Endpoints are missing.
     Gone {
         /// Endpoints.
         endpoints: u64,
     },
     /// An earlier plan brings the same model or adapter to the pool.
     OtherPlan {
-        /// Name of it.
+        /// Name of the earlier plan.
         plan: Box<str>,
     },
 }
 
 impl WaitReason {
-    /// Returns when the reason ends, if a time is known.
+    /// Returns the time at which the reason ends, if it is known.
     #[must_use]
     pub fn until_ms(&self) -> Option<WallMs> {
         match self {
@@ -82,7 +82,7 @@
     }
 }
 
-/// Describes how a plan stands.
+/// The status of a plan.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlanReport {
     /// Name of the plan.
@@ -93,18 +93,18 @@
     pub version: Box<str>,
     /// Endpoints that serve the version.
     pub done: u64,
-    /// Endpoints under way.
+    /// Endpoints that are being upgraded.
     pub upgrading: u64,
     /// Endpoints of the pool.
     pub total: u64,
-    /// Why it has stopped.
+    /// Reason why the plan has stopped.
     pub stopped: Option<StopReason>,
-    /// Why no further endpoint begins.
+    /// Reason why no further endpoint begins.
     pub wait: Option<WaitReason>,
 }
 
 impl PlanReport {
-    /// Returns how it stands.
+    /// Returns the state that the report amounts to.
     #[must_use]
     pub fn state(&self) -> UpgradeState {
         if self.stopped.is_some() {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Returns the report as operators get it.
+    /// Converts the report to the operators' message.
     #[must_use]
     pub fn to_status(&self) -> UpgradeStatus {
         let waits = self.wait.as_ref().map(WaitReason::to_string);
@@ -141,12 +141,12 @@
     }
 }
 
-/// Describes how a planned stop stands.
+/// The status of a planned stop.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct StopReport {
     /// Name of the stop.
     pub stop: Box<str>,
-    /// Whether its time has come.
+    /// Whether the stop has begun.
     pub has_begun: bool,
     /// Instances that were stopped and are back.
     pub done: u64,
@@ -156,14 +156,14 @@
     pub total: u64,
     /// Instances that still run after their deadline.
     pub late: Vec<Box<str>>,
-    /// Pools that it takes below their floor.
+    /// Pools that the stop takes below their floor.
     pub below_floor: Vec<Box<str>>,
     /// Instances that wait because of the floor or an upgrade.
     pub waiting: u64,
 }
 
 impl StopReport {
-    /// Returns how it stands.
+    /// Returns the state that the report amounts to.
     #[must_use]
     pub fn state(&self) -> StopState {
         if !self.has_begun {
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Returns the report as operators get it.
+    /// Converts the report to the operators' message.
     #[must_use]
     pub fn to_status(&self) -> StopStatus {
         let detail = match self.waiting {
--- a/crates/upgrade/src/stops.rs
+++ b/crates/upgrade/src/stops.rs
@@ -1,4 +1,4 @@
-//! Moves planned stops on.
+//! The steps of planned stops.
 
 use hinge_config::effective::Stop;
 use hinge_schema::messages::Role;
@@ -9,7 +9,7 @@
 use crate::fleet::{Endpoint, Fleet};
 use crate::report::StopReport;
 
-/// Moves every planned stop on, and reports on each of the folder.
+/// Advances every planned stop, and reports on each stop of the folder.
 pub(crate) fn advance<'a>(fleet: &Fleet<'a>, draft: &mut Draft<'a>) -> Vec<StopReport> {
     for (name, record) in fleet.upgrades.stops() {
         if fleet.effective.stops.get(name) != Some(&record.stop) {
@@ -22,7 +22,7 @@
         .collect()
 }
 
-/// Ends a stop that the folder no longer holds like this; a changed one begins anew a tick later.
+/// Ends a stop that was removed from the folder or changed; a changed one begins again a tick later.
 fn clear(name: &str, record: &StopRecord, draft: &mut Draft<'_>) {
     for (instance, phase) in &record.instances {
         if matches!(phase, StopPhase::Draining { .. }) {
@@ -66,7 +66,7 @@
     report
 }
 
-/// Fixes which instances a stop concerns: those that live when it begins, so that later ones aren't stopped for nothing.
+/// Begins a stop of the instances that are live now, so that instances started later aren't stopped needlessly.
 fn begin(fleet: &Fleet<'_>, name: &str, stop: &Stop, draft: &mut Draft<'_>) {
     let endpoints = fleet.endpoints.values();
     let affected = endpoints.filter(|endpoint| is_affected(stop, endpoint));
@@ -94,7 +94,7 @@
     stop.data_center.as_deref().is_none_or(is_there) && stop.pool.as_deref().is_none_or(is_of)
 }
 
-/// Returns whether the stop names a whole data centre; its operator has decided that the floor gives way.
+/// Returns whether the stop covers a whole data centre, which by the operator's decision overrides the floor.
 fn is_whole_data_center(stop: &Stop) -> bool {
     stop.data_center.is_some() && stop.pool.is_none()
 }
@@ -144,7 +144,7 @@
     if draft.is_full() || is_upgrading {
         return false;
     }
-    // Another stop of this decision may have taken it already.
+    // Another stop of this decision may already drain it.
     let serves = endpoint.role == Role::Sidecar
         && fleet.is_in_service(endpoint)
         && !draft.drained.contains(endpoint.instance);
@@ -179,7 +179,7 @@
     report.draining += 1;
 }
 
-/// Lets an instance back that has been stopped and started again.
+/// Ends the drain of an instance that was stopped and started again.
 fn end(name: &str, instance: &str, draft: &mut Draft<'_>) {
     draft.steps.push(UpgradeStep::EndDrain {
         instance: instance.into(),
--- a/crates/upgrade/src/store.rs
+++ b/crates/upgrade/src/store.rs
@@ -1,18 +1,18 @@
-//! Shares the weight store's rate among loads.
+//! The rate limit of loads from the weight store.
 
 use hinge_state::WallMs;
 
-/// What may be read at once from a store that has rested, as time at its rate; a small load after a large one needn't wait.
+/// Burst that an idle store allows, as reading time at its rate, so that a small load after a large one needn't wait.
 pub const STORE_BURST_MS: u64 = 10_000;
 
-/// Holds how far ahead of its rate the store has been asked, as one time.
+/// A token bucket for reads from the weight store, kept as a single time.
 ///
-/// It is a token bucket: the time until `busy_until_ms` is what is missing from a full bucket.
+/// The time until `busy_until_ms` is what is missing from a full bucket.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct StoreBudget {
     rate: u64,
     busy_until_ms: WallMs,
-    /// Whether a load was refused; smaller ones behind it wait too, or it might never find the bucket full.
+    /// Whether a load was refused; smaller loads behind it wait too, or it might never find enough in the bucket.
     is_blocked: bool,
 }
 
@@ -25,9 +25,9 @@
         }
     }
 
-    /// Takes a load's bytes, or returns when they may be asked again.
+    /// Reserves a load's bytes, or returns the time at which to try again.
     ///
-    /// A load larger than the bucket passes when the bucket is full, and the next one waits until it is read.
+    /// A load larger than the bucket is admitted when the bucket is full, and the next load waits until it is read.
     pub(crate) fn reserve(&mut self, now_ms: WallMs, bytes: u64) -> Result<Option<WallMs>, WallMs> {
         if self.rate == 0 || bytes == 0 {
             return Ok(None);
--- a/crates/upgrade/src/window.rs
+++ b/crates/upgrade/src/window.rs
@@ -1,12 +1,12 @@
-//! Tells whether a daily window is open.
+//! Daily time windows.
 
 use hinge_config::effective::Window;
 use hinge_state::WallMs;
 
-/// Milliseconds of a day; days of UTC in this count have no leap seconds.
+/// Milliseconds per day; Unix time has no leap seconds.
 const DAY_MS: u64 = 24 * 60 * 60 * 1000;
 
-/// Returns when the window opens next, or nothing while it is open; no window stands for an open one.
+/// Returns when the window opens next, or nothing while it is open; without a window it is always open.
 pub(crate) fn opens_at_ms(window: Option<&Window>, now_ms: WallMs) -> Option<WallMs> {
     let window = window?;
     let (from, until) = (u64::from(window.from), u64::from(window.until));
--- a/crates/upgrade/tests/fence.rs
+++ b/crates/upgrade/tests/fence.rs
@@ -1,4 +1,4 @@
-//! Checks that an old leader's order never acts after a newer one's, for engines that check the number and ones that don't.
+//! Tests that an old leader's order is never carried out after a newer one, whether or not the engine checks fencing numbers.
 
 use std::collections::BTreeMap;
 
@@ -9,13 +9,13 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// Holds one endpoint with its sidecar, two leaders' delayed messages, and what the engine did.
+/// One endpoint with its sidecar, the leaders' delayed messages, and the orders that the engine carried out.
 struct Simulation {
     state: State,
     index: u64,
     term: u64,
     sidecar: Fence,
-    /// What the sidecar has learnt from announcements; they may be old.
+    /// Lowest valid number that the sidecar has learned from announcements, which may be outdated.
     lowest_valid: Option<u64>,
     engine_checks: bool,
     delayed: Vec<OrderRecord>,
@@ -60,7 +60,7 @@
         }));
     }
 
-    /// Sends the oldest open order as the leader does; the message may deliver at any later time, and more than once.
+    /// Sends the oldest open order as the leader does; the message may be delivered at any later time, and more than once.
     fn send(&mut self) {
         let oldest = self.state.orders().open().next().cloned();
         self.delayed.extend(oldest);
@@ -74,7 +74,7 @@
         if self.sidecar.check(order.fence, self.lowest_valid) != FenceCheck::Valid {
             return;
         }
-        let highest = self.executed.iter().map(|executed| executed.fence).max();
+        let highest = self.executed.iter().map(|order| order.fence).max();
         let engine_accepts =
             !self.engine_checks || highest.is_none_or(|highest| highest <= order.fence);
         if engine_accepts {
@@ -108,8 +108,8 @@
     simulation
 }
 
-fn never_goes_back(engine_checks: bool) {
-    fn numbers_only_grow(executed: &[OrderRecord]) -> bool {
+fn no_older_order_follows(engine_checks: bool) {
+    fn has_increasing_fences(executed: &[OrderRecord]) -> bool {
         executed.is_sorted_by_key(|order| order.fence)
     }
     fn holds(seed: u64, engine_checks: bool) -> bool {
@@ -118,13 +118,13 @@
         for order in &simulation.executed {
             last.insert(order.subject.clone(), order.order_id);
         }
-        // Nothing older acts after an order that the log holds as done.
+        // No older order is carried out after an order that the log records as done.
         let orders = simulation.state.orders().list("", 1000);
         let mut done = orders
             .iter()
             .filter(|order| order.state == OrderState::Done);
         let done = done.all(|order| last.get(&order.subject) >= Some(&order.order_id));
-        numbers_only_grow(&simulation.executed) && done
+        has_increasing_fences(&simulation.executed) && done
     }
     fn checked(seed: u64) -> bool {
         holds(seed, true)
@@ -135,7 +135,7 @@
     quickcheck(if engine_checks { checked } else { unchecked } as fn(u64) -> bool);
 }
 
-hinge_cases::cases! { never_goes_back:
+hinge_cases::cases! { no_older_order_follows:
     an_engine_that_checks => true,
     an_engine_that_ignores_the_number => false,
 }
@@ -150,7 +150,7 @@
         assert!(simulation.executed.is_empty());
         simulation.lowest_valid = Some(simulation.state.orders().lowest_valid());
         simulation.deliver(0, true);
-        assert!(simulation.executed.is_empty(), "the old leader's order executed");
+        assert!(simulation.executed.is_empty(), "the old leader's order was carried out");
         simulation.send();
         simulation.deliver(1, false);
         assert_eq!(simulation.executed.len(), 1);
--- a/crates/upgrade/tests/night/main.rs
+++ b/crates/upgrade/tests/night/main.rs
@@ -1,4 +1,4 @@
-//! Checks upgrade nights and planned stops in virtual time.
+//! Tests nightly upgrades and planned stops in virtual time.
 
 mod simulation;
 
@@ -46,7 +46,7 @@
     orders.iter().any(|order| order.state == OrderState::Failed)
 }
 
-/// Runs a night with faults, which must not break a rule, and an hour without any, after which all is settled.
+/// Runs a night with faults, which must not break an invariant, and then an hour without faults, after which all is settled.
 fn run_with_faults(seed: u64, restores_state: bool) -> Simulation {
     let second = "[pools.tags]\nkind = \"model\"\nfloor = 50\ndeadline_ms = 20000\n\
         [upgrades.tags]\npool = \"tags\"\nmodel = \"t\"\nversion = \"v2\"\nmax_parallel = 2\n\
@@ -67,13 +67,13 @@
     simulation.run(400);
     simulation.faults = Faults::default();
     simulation.restores_state = false;
-    // A hanging load takes half an hour to time out; nothing happens in between that needs a context each second.
+    // A hanging load takes half an hour to time out; until then nothing needs a decision every second.
     simulation.step_ms = 10_000;
     simulation.run(HOUR / 10);
     simulation
 }
 
-/// Runs that a debug build ends in seconds; each has hundreds of decisions.
+/// Runs few enough tests for a debug build to end in seconds; each makes hundreds of decisions.
 fn check(holds: fn(u64) -> bool) {
     QuickCheck::new().tests(12).quickcheck(holds);
 }
@@ -100,7 +100,7 @@
         }
         assert!(simulation.state.drains().is_empty() && !simulation.has_open_orders());
     }
-    no_rule_breaks_under_faults => {
+    no_invariant_breaks_under_faults => {
         fn holds(seed: u64) -> bool {
             let simulation = run_with_faults(seed, false);
             let drains = simulation.state.drains().len();
@@ -109,18 +109,18 @@
             let is_settled = last.plans.iter().all(|plan| {
                 matches!(plan.state(), UpgradeState::Done | UpgradeState::Stopped)
             });
-            // Only an endpoint that failed to go back as well stays out of service.
+            // Only an endpoint that also failed to roll back stays out of service.
             is_settled && drains == rolling && simulation.state.upgrades().in_progress().len() == rolling
         }
         check(holds);
     }
-    a_planner_that_forgets_everything_gives_the_same_orders => {
+    a_state_restored_at_each_step_gives_the_same_orders => {
         fn holds(seed: u64) -> bool {
             run_with_faults(seed, true).orders() == run_with_faults(seed, false).orders()
         }
         check(holds);
     }
-    the_first_failure_stops_the_plan_and_goes_back => {
+    the_first_failure_stops_the_plan_and_rolls_back => {
         let mut simulation = night("");
         simulation.run(30);
         simulation.faults.failed_orders = 1000;
@@ -154,7 +154,7 @@
         assert_eq!(plan_state(&simulation), UpgradeState::Stopped);
         assert!(under_way > 1 && simulation.serving("v2") > 0);
     }
-    an_endpoint_that_fails_to_switch_goes_back_before_it_takes_work => {
+    an_endpoint_that_fails_to_switch_rolls_back_before_it_takes_work => {
         let mut simulation = night("");
         simulation.failing_kind = Some(OrderKind::SetVersion);
         while !has_failed(&simulation) {
@@ -167,7 +167,7 @@
         assert_eq!((simulation.serving("v1"), simulation.state.drains().len()), (10, 0));
         assert!(simulation.state.upgrades().in_progress().is_empty());
     }
-    an_endpoint_that_hangs_times_out_and_goes_back_when_it_answers => {
+    an_endpoint_that_hangs_times_out_and_rolls_back_when_it_answers => {
         let mut simulation = night("");
         simulation.run(1);
         let name = simulation.state.upgrades().in_progress().keys().next().expect("one began").clone();
@@ -181,7 +181,7 @@
         assert_eq!(&*simulation.instances[&name].serving, "v1");
         assert!(simulation.is_in_service(&name) && simulation.state.upgrades().in_progress().is_empty());
     }
-    outside_the_window_only_running_steps_end => {
+    outside_the_window_only_upgrades_in_progress_continue => {
         let mut simulation = night("");
         simulation.now_ms = OPENING_MS + 3 * 3_600_000 - 20_000;
         simulation.run(20 + HOUR);
@@ -200,13 +200,13 @@
         simulation.tick();
         assert!(!simulation.state.upgrades().in_progress().is_empty());
     }
-    a_floor_that_needs_every_endpoint_says_so => {
+    a_floor_that_needs_every_endpoint_is_reported => {
         let mut simulation = Simulation::new(1, &folder(""), &[("llm", 3)]);
         simulation.run(60);
         assert_eq!(wait(&simulation), Some(WaitReason::FloorNeedsAll));
         assert_eq!(simulation.count(OrderKind::LoadModel), 0);
     }
-    endpoints_that_are_gone_count_as_absent => {
+    endpoints_that_are_gone_count_as_out_of_service => {
         let plan = folder("").replace("02:00", "02:01");
         let mut simulation = Simulation::new(1, &plan, &[("llm", 10)]);
         simulation.run(5);
@@ -218,7 +218,7 @@
         assert_eq!(wait(&simulation), Some(WaitReason::Floor { in_service: 7, needed: 7 }));
         assert_eq!(simulation.count(OrderKind::LoadModel), 0);
     }
-    a_load_larger_than_the_burst_passes_once_a_bucket => {
+    a_load_larger_than_the_burst_waits_for_a_full_bucket => {
         let plan = folder("").replace("weight_bytes = 4000", "weight_bytes = 60000");
         let mut simulation = Simulation::new(1, &plan, &[("llm", 10)]);
         simulation.run(59);
@@ -246,7 +246,7 @@
         simulation.run(HOUR);
         assert_eq!((plan_state(&simulation), simulation.serving("v2")), (UpgradeState::Done, 10));
     }
-    a_request_without_end_stops_the_plan_and_goes_on => {
+    a_request_that_never_ends_stops_the_plan_and_keeps_running => {
         let mut simulation = night("");
         (simulation.announces, simulation.request_ms) = (Announces::Running, DAY_MS);
         simulation.run(HOUR);
@@ -254,7 +254,7 @@
         assert!(matches!(stopped, StopReason::TimedOut { step: EndpointStep::Loading, .. }));
         assert_eq!((simulation.count(OrderKind::SetVersion), simulation.state.drains().len()), (0, 0));
     }
-    ejected_endpoints_count_as_absent => {
+    ejected_endpoints_count_as_out_of_service => {
         let mut simulation = night("");
         simulation.ejected = (0..3).map(|number| format!("llm-{number:03}").into()).collect();
         simulation.run(600);
@@ -264,7 +264,7 @@
         simulation.run(HOUR);
         assert_eq!(plan_state(&simulation), UpgradeState::Done);
     }
-    a_second_plan_for_the_same_models_waits => {
+    a_second_plan_for_the_same_model_waits => {
         let more = "[upgrades.other]\npool = \"llm\"\nmodel = \"m\"\nversion = \"v3\"";
         let mut simulation = night(more);
         simulation.run(HOUR);
@@ -283,7 +283,7 @@
         simulation.run(HOUR);
         assert_eq!(simulation.count(OrderKind::UnloadAdapter), 10);
     }
-    an_operator_who_ends_the_drain_takes_the_endpoint_over => {
+    an_operator_who_ends_the_drain_ends_the_upgrade => {
         let mut simulation = night("");
         simulation.run(2);
         let name = simulation.state.upgrades().in_progress().keys().next().expect("one began").clone();
@@ -298,25 +298,25 @@
         assert!(!simulation.state.upgrades().in_progress().contains_key(&name));
         assert!(simulation.is_in_service(&name));
     }
-    a_stop_of_a_pool_goes_in_waves_above_the_floor => {
+    a_stop_of_a_pool_proceeds_in_waves_above_the_floor => {
         let stop = format!("[stops.kernel]\npool = \"llm\"\nfrom = {OPENING_MS}\ndeadline_ms = 5000");
         let text = folder(&stop).replace("02:00", "20:00").replace("05:00", "21:00");
         let mut simulation = Simulation::new(1, &text, &[("llm", 10)]);
-        let mut most = 0;
+        let mut max_drained = 0;
         for _ in 0..10 {
             simulation.run(3);
             let drains = simulation.state.drains();
-            most = most.max(drains.len());
+            max_drained = max_drained.max(drains.len());
             for drain in &drains {
                 let at = simulation.instances.get_mut(&drain.instance).expect("it exists");
                 at.incarnation = 2;
             }
         }
-        assert_eq!(most, 3);
+        assert_eq!(max_drained, 3);
         assert_eq!(stop_state(&simulation), StopState::Done);
         assert!(simulation.state.drains().is_empty());
     }
-    a_stop_of_a_data_center_may_go_below_the_floor_and_says_so => {
+    a_stop_of_a_data_center_may_go_below_the_floor_and_reports_it => {
         let stop = format!("[stops.a]\ndata_center = \"hall-a\"\nfrom = {OPENING_MS}\ndeadline_ms = 5000");
         let text = folder(&stop).replace("02:00", "20:00").replace("05:00", "21:00");
         let mut simulation = Simulation::new(1, &text, &[("llm", 10)]);
--- a/crates/upgrade/tests/night/simulation.rs
+++ b/crates/upgrade/tests/night/simulation.rs
@@ -1,4 +1,4 @@
-//! Runs a fleet of endpoints in virtual time, and checks the rules at every step.
+//! A simulation of a fleet of endpoints in virtual time that checks invariants at every step.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,12 +11,12 @@
 use rand::{RngExt, SeedableRng};
 
 pub const DAY_MS: u64 = 86_400_000;
-/// 02:00 on some day, when the window of the plans opens.
+/// 02:00 UTC on some day, when the window of the plans opens.
 pub const OPENING_MS: u64 = 20_000 * DAY_MS + 2 * 3_600_000;
-/// Longest request, and the pool's deadline.
+/// Length of the longest request, which is also the pool's deadline.
 const REQUEST_MS: u64 = 20_000;
 
-/// What endpoints announce beside their version.
+/// What endpoints announce in addition to their version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Announces {
     Nothing,
@@ -32,11 +32,11 @@
     pub announced: Box<str>,
     pub serving: Box<str>,
     pub loaded: BTreeSet<Box<str>>,
-    /// When the last request that was taken ends.
+    /// End of the last accepted request.
     pub busy_until_ms: u64,
 }
 
-/// Chances of faults in a second, in thousandths.
+/// Probabilities of faults per tick, in thousandths.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Faults {
     pub gone: u32,
@@ -54,14 +54,14 @@
     pub rng: StdRng,
     pub faults: Faults,
     pub step_ms: u64,
-    /// Kind of order that every endpoint failing_kind.
+    /// Kind of order that fails at every endpoint.
     pub failing_kind: Option<OrderKind>,
-    /// What loading takes beside the few seconds of any order.
+    /// Time that loading takes in addition to the few seconds of any order.
     pub load_ms: u64,
-    /// Whether everything but the log is forgotten at each step.
+    /// Whether the state is restored from a snapshot at each tick, which loses everything outside the log.
     pub restores_state: bool,
     pub announces: Announces,
-    /// How long the longest request runs.
+    /// Length of the longest request.
     pub request_ms: u64,
     /// Endpoints that announce that they are ejected.
     pub ejected: BTreeSet<Box<str>>,
@@ -182,11 +182,11 @@
         })
     }
 
-    /// Passes a second, or the time that is set.
+    /// Advances the time by `step_ms`, one second by default, and runs one decision.
     pub fn tick(&mut self) {
         self.now_ms += self.step_ms;
-        self.fault();
-        self.serve();
+        self.inject_faults();
+        self.send_requests();
         if self.restores_state {
             let bytes = self.state.encode();
             self.state = State::restore(&bytes).expect("a state restores from its own bytes");
@@ -206,17 +206,17 @@
         }
     }
 
-    fn happens(&mut self, thousandths: u32) -> bool {
+    fn occurs(&mut self, thousandths: u32) -> bool {
         self.rng.random_range(0..1000) < thousandths
     }
 
-    fn fault(&mut self) {
+    fn inject_faults(&mut self) {
         let now_ms = self.now_ms;
-        if self.happens(self.faults.new_leader) {
+        if self.occurs(self.faults.new_leader) {
             self.term += 1;
             self.apply(Command::OpenTerm { now_ms });
         }
-        if self.happens(self.faults.gone) {
+        if self.occurs(self.faults.gone) {
             let at = self.rng.random_range(0..self.instances.len());
             let gone_ms = self.rng.random_range(1_000..60_000);
             let instance = self.instances.values_mut().nth(at);
@@ -227,8 +227,8 @@
         }
     }
 
-    /// Lets every endpoint that is in service take requests.
-    fn serve(&mut self) {
+    /// Gives requests to every endpoint in service.
+    fn send_requests(&mut self) {
         let drains = self.state.drains();
         let drained = Fleet::drained_names(&drains);
         for (name, instance) in &mut self.instances {
@@ -240,22 +240,22 @@
 
     fn propose(&mut self, command: UpgradeCommand) {
         self.check_floor(&command);
-        let is_lost = self.happens(self.faults.lost);
-        if self.happens(self.faults.repeated)
-            && let Some(late) = self.previous.clone()
+        let is_lost = self.occurs(self.faults.lost);
+        if self.occurs(self.faults.repeated)
+            && let Some(previous) = self.previous.clone()
         {
-            self.take(late);
+            self.commit(previous);
         }
         if !is_lost {
-            self.take(command.clone());
+            self.commit(command.clone());
         }
-        if self.happens(self.faults.repeated) {
-            self.take(command.clone());
+        if self.occurs(self.faults.repeated) {
+            self.commit(command.clone());
         }
         self.previous = Some(command);
     }
 
-    fn take(&mut self, command: UpgradeCommand) {
+    fn commit(&mut self, command: UpgradeCommand) {
         let before = self.state.upgrades().clone();
         self.apply(Command::Upgrade(command));
         for (name, progress) in before.in_progress() {
@@ -263,11 +263,11 @@
                 self.ordered.retain(|(instance, ..)| instance != name);
                 let (instance, target) = (&self.instances[name], &progress.upgrade.version);
                 let known = [&progress.from_version, target];
-                // An adapter comes beside the model, whose version stays as it is.
+                // An adapter is loaded beside the model, whose version does not change.
                 let is_known = known.contains(&&instance.serving);
                 assert!(
                     is_known || progress.upgrade.adapter.is_some(),
-                    "{name} serves neither"
+                    "{name} serves neither the old nor the new version"
                 );
             }
         }
@@ -280,13 +280,13 @@
                 continue;
             }
             let key = (order.instance.clone(), order.kind, order.version.clone());
-            assert!(self.ordered.insert(key), "{order:?} was given twice");
+            assert!(self.ordered.insert(key), "{order:?} was placed twice");
             if matches!(order.kind, OrderKind::LoadModel | OrderKind::LoadAdapter) {
                 let progress = &self.state.upgrades().in_progress()[&order.instance];
                 let stopped = self.state.upgrades().stopped();
                 assert!(
                     !stopped.contains_key(&progress.plan),
-                    "a stopped plan began"
+                    "a stopped plan began an upgrade"
                 );
                 self.loads
                     .push((self.now_ms, progress.upgrade.weight_bytes));
@@ -295,7 +295,7 @@
         }
     }
 
-    /// What goes out of service by a decision leaves the floor; endpoints that are gone count as absent.
+    /// Checks that a decision keeps each pool at its floor; endpoints that are gone count as out of service.
     fn check_floor(&self, command: &UpgradeCommand) {
         let taken = command.steps.iter().filter_map(|step| match step {
             UpgradeStep::Drain { instance, by, .. } if by.starts_with("upgrade/") => Some(instance),
@@ -339,11 +339,11 @@
         }
         for (name, instance) in &self.instances {
             let is_served = instance.loaded.contains(&instance.serving);
-            assert!(is_served, "{name} is without its version");
+            assert!(is_served, "{name} serves a version that is not loaded");
         }
     }
 
-    /// Between any two loads, the store isn't asked beyond its rate and one burst; a larger load comes alone.
+    /// Checks that the loads in any period stay within the store's rate and one burst; a larger load must be alone.
     fn check_store(&self) {
         let rate = self.effective.limits.weight_store_bytes_per_second;
         let Some((until_ms, last)) = self.loads.last().copied().filter(|_| rate > 0) else {
@@ -358,7 +358,7 @@
         }
     }
 
-    /// Lets endpoints do what they are ordered, one order each at a time.
+    /// Carries out the endpoints' orders, one at a time for each endpoint.
     fn execute_orders(&mut self) {
         let mut seen = BTreeSet::new();
         let open: Vec<_> = self.state.orders().open().cloned().collect();
@@ -374,7 +374,7 @@
                 continue;
             }
             let done =
-                !self.happens(self.faults.failed_orders) && self.failing_kind != Some(order.kind);
+                !self.occurs(self.faults.failed_orders) && self.failing_kind != Some(order.kind);
             if done {
                 self.execute(&order);
             }
@@ -396,7 +396,10 @@
             OrderKind::LoadModel => _ = instance.loaded.insert(version),
             OrderKind::UnloadModel => _ = instance.loaded.remove(&version),
             OrderKind::SetVersion => {
-                assert!(now_ms >= instance.busy_until_ms, "a request was cut");
+                assert!(
+                    now_ms >= instance.busy_until_ms,
+                    "a running request was interrupted"
+                );
                 instance.serving = version.clone();
                 instance.announced = version;
             }
@@ -404,7 +407,7 @@
         }
     }
 
-    /// Returns orders as instance, kind and version, in the order of their numbers.
+    /// Returns the placed orders as instance, kind and version, in the order of their numbers.
     pub fn orders(&self) -> Vec<(Box<str>, OrderKind, Box<str>)> {
         let orders = self.placed.values();
         orders
