--- a/crates/state/src/changes.rs
+++ b/crates/state/src/changes.rs
@@ -23,7 +23,7 @@
 /// Time for which an answer is kept: three days, so that a change resent after a weekend still gets its answer.
 pub const KEEP_ANSWERS_MS: u64 = 3 * 24 * 60 * 60 * 1000;
 
-/// Bytes of kept answers; only refusals with many problems are long, and control's memory limit is 32 MB.
+/// Bytes of kept answers; only refusals with many problems are long, and control has only 32 MB of memory.
 pub const KEEP_ANSWERS_BYTES: usize = 2 << 20;
 
 /// Changes kept in the history, without their texts.
