--- a/crates/admission/tests/model/mod.rs
+++ b/crates/admission/tests/model/mod.rs
@@ -11,7 +11,8 @@
     SlotRequestId,
 };
 use hinge_routing::{
-    Backlog, Candidate, ChoiceRules, Lag, Room, choose, choose_again, load_interval,
+    Backlog, BacklogLimits, Candidate, ChoiceRules, UsageLag, choose_after_refusal,
+    choose_endpoint, load_interval,
 };
 
 const LIMITS: QueueLimits = QueueLimits {
@@ -206,7 +207,7 @@
     fn retry_elsewhere(&mut self, id: SlotRequestId) {
         let request = &self.requests[&id];
         let lag = self.lag(&request.team);
-        let may_retry = request.refused < lag.max_asked()
+        let may_retry = request.refused < lag.max_admissions()
             && request.gone < MAX_FAILED_CONNECTIONS
             && request.not_sent < MAX_FAILED_CONNECTIONS;
         let next = may_retry.then(|| self.choose(request, lag)).flatten();
@@ -221,7 +222,7 @@
     }
 
     /// Compares team usage across all engines, as gateways know it.
-    fn lag(&self, team: &str) -> Lag {
+    fn lag(&self, team: &str) -> UsageLag {
         let mut usage: BTreeMap<&str, u64> = BTreeMap::new();
         for (team, tokens) in self
             .engines
@@ -231,11 +232,11 @@
             *usage.entry(team).or_default() += tokens;
         }
         let most = usage.values().copied().max().unwrap_or_default();
-        Lag::of(usage.get(team).copied().unwrap_or_default(), most)
+        UsageLag::compare(usage.get(team).copied().unwrap_or_default(), most)
     }
 
     /// Chooses an engine for a request that others refused or lost, as a gateway does.
-    fn choose(&self, request: &Request, lag: Lag) -> Option<usize> {
+    fn choose(&self, request: &Request, lag: UsageLag) -> Option<usize> {
         let is_gone = |index: &usize| self.engines[*index].queue.load().engine_is_gone;
         let indices: Vec<usize> = (0..ENGINES)
             .filter(|index| !request.tried.contains(index) && !is_gone(index))
@@ -246,14 +247,14 @@
             .collect();
         let rules = ChoiceRules::default();
         let chosen = if request.refused == 0 {
-            choose(&candidates, None, 0, &rules, 0)
+            choose_endpoint(&candidates, None, 0, &rules, 0)
         } else {
             let left = FIRST_EVENT_TARGET.saturating_sub(ms(self.now_ms - request.arrived_ms));
-            let room = Room {
+            let room = BacklogLimits {
                 idle_tokens: IDLE_TOKENS,
-                readable_tokens: rules.readable_tokens(left),
+                prefillable_tokens: rules.prefillable_tokens(left),
             };
-            choose_again(&candidates, None, 0, &rules, lag, room, 0)
+            choose_after_refusal(&candidates, None, 0, &rules, lag, room, 0)
         };
         chosen.map(|chosen| indices[chosen])
     }
@@ -275,8 +276,8 @@
                 unread_tokens: load.unread_tokens + added_tokens,
                 waiting_tokens: load.waiting_tokens,
             },
-            is_near: true,
-            keeps_parts: false,
+            is_local: true,
+            has_cached_prefix: false,
         }
     }
 
