--- a/crates/control/src/peer_calls.rs
+++ b/crates/control/src/peer_calls.rs
@@ -178,7 +178,7 @@
         let mut soft = core.soft();
         let members = soft.members.as_mut().ok_or(UNAVAILABLE)?;
         for announce in &message.announced {
-            members.note_relayed(&announce.instance);
+            members.record_relayed(&announce.instance);
         }
         let renewed = message.renewed.iter();
         let unknown = renewed.filter(|renewal| !members.renew(now, renewal));
@@ -268,7 +268,7 @@
     let mut soft = core.soft();
     if let Some(members) = &mut soft.members {
         let version = core.driver.view.load().folder.version();
-        members.note_version(&message.instance, message.config_version.min(version));
+        members.record_version(&message.instance, message.config_version.min(version));
     }
 }
 
--- a/crates/control/src/routing_calls.rs
+++ b/crates/control/src/routing_calls.rs
@@ -229,7 +229,7 @@
     }
     // Word of a former life must not keep a newer one listed that has fallen silent.
     if !routing.is_outdated(&endpoint) {
-        core.soft().heard.note(core.now(), &endpoint.id);
+        core.soft().heard.record(core.now(), &endpoint.id);
     }
     if routing.is_change(&endpoint) {
         info!(
@@ -242,7 +242,7 @@
             state = endpoint.state,
             sequence = endpoint.sequence
         );
-        change(&core, EndpointCommand::Note(endpoint)).await?;
+        change(&core, EndpointCommand::Report(endpoint)).await?;
     }
     Ok(noted(&core))
 }
--- a/crates/state/src/members.rs
+++ b/crates/state/src/members.rs
@@ -108,7 +108,7 @@
 pub struct Members {
     rules: LeaseLimits,
     roster: Roster,
-    known: BTreeMap<InstanceName, LeasedMember>,
+    leases: BTreeMap<InstanceName, LeasedMember>,
     expiries: BTreeSet<(Duration, InstanceName)>,
     holds: BTreeSet<(Duration, InstanceName)>,
     flaps: BTreeMap<InstanceName, Flaps>,
@@ -130,7 +130,7 @@
         let mut members = Self {
             rules,
             roster: Roster::open(epoch),
-            known: BTreeMap::new(),
+            leases: BTreeMap::new(),
             expiries: BTreeSet::new(),
             holds: BTreeSet::new(),
             flaps: BTreeMap::new(),
@@ -153,7 +153,7 @@
             members
                 .expiries
                 .insert((expires_from, member.instance.clone()));
-            members.known.insert(member.instance.clone(), known);
+            members.leases.insert(member.instance.clone(), known);
         }
         members
             .roster
@@ -172,7 +172,7 @@
     ) -> LeaseGrant {
         let lease = self.jittered_lease(announce.lease_ms, rng);
         let name = &announce.instance;
-        let known = self.known.get(name);
+        let known = self.leases.get(name);
         if known.is_some_and(|known| known.member.incarnation > announce.incarnation) {
             return LeaseGrant {
                 lease,
@@ -209,7 +209,7 @@
     ) {
         let name = &announce.instance;
         let member = to_member(announce);
-        let before = self.known.remove(name);
+        let before = self.leases.remove(name);
         if let Some(before) = &before {
             self.expiries.remove(&(before.expires_at, name.clone()));
         }
@@ -230,7 +230,7 @@
             expires_at,
             held_until,
         };
-        self.known.insert(name.clone(), known);
+        self.leases.insert(name.clone(), known);
         if is_changed {
             self.queue(name.clone(), is_leaving);
         }
@@ -238,7 +238,7 @@
 
     /// Renews the lease of a process that is otherwise unchanged; returns false if it must send a full announcement.
     pub fn renew(&mut self, now: Duration, renewal: &Renewal) -> bool {
-        let Some(known) = self.known.get_mut(&renewal.instance) else {
+        let Some(known) = self.leases.get_mut(&renewal.instance) else {
             return false;
         };
         if known.member.incarnation != renewal.incarnation {
@@ -257,8 +257,8 @@
     }
 
     /// Records that an announcement came through a relay, which may have delayed it by up to a lease.
-    pub fn note_relayed(&mut self, instance: &str) {
-        if let Some(known) = self.known.get_mut(instance) {
+    pub fn record_relayed(&mut self, instance: &str) {
+        if let Some(known) = self.leases.get_mut(instance) {
             let longest = self.rules.longest_lease;
             known.counted_at = known.counted_at.saturating_sub(longest);
         }
@@ -270,7 +270,7 @@
     /// as busy until it reports a later count.
     #[must_use]
     pub fn running(&self, instance: &str) -> Option<u32> {
-        let known = self.known.get(instance)?;
+        let known = self.leases.get(instance)?;
         let running = known.member.running?;
         let since = self.drained.get(instance);
         let is_fresh = since.is_some_and(|since| known.counted_at >= *since + DRAIN_PROPAGATION);
@@ -284,8 +284,8 @@
     }
 
     /// Records the configuration version that a member's watch reports; it never decreases.
-    pub fn note_version(&mut self, instance: &str, config_version: u64) {
-        if let Some(known) = self.known.get_mut(instance) {
+    pub fn record_version(&mut self, instance: &str, config_version: u64) {
+        if let Some(known) = self.leases.get_mut(instance) {
             let held = &mut known.member.config_version;
             *held = config_version.max(*held);
         }
@@ -329,7 +329,7 @@
             let Some((_, name)) = self.expiries.pop_first() else {
                 return;
             };
-            self.known.remove(&name);
+            self.leases.remove(&name);
             self.record_departure(now, &name);
             self.queue(name, true);
         }
@@ -361,16 +361,16 @@
                 None => {}
             }
         }
-        let has_news = !put.is_empty() || !removed.is_empty();
-        if has_news {
+        let has_changes = !put.is_empty() || !removed.is_empty();
+        if has_changes {
             self.roster.publish(put, removed);
         }
-        has_news
+        has_changes
     }
 
     /// Returns a member as it is published: as leaving while it is drained or held back.
     fn listed(&self, now: Duration, name: &str) -> Option<Member> {
-        let known = self.known.get(name)?;
+        let known = self.leases.get(name)?;
         let leaving = known.member.leaving || self.is_drained(name) || now < known.held_until;
         Some(Member {
             leaving,
@@ -416,7 +416,7 @@
         };
         self.flaps.entry(name.into()).or_insert(departed);
         if self.flaps.len() > MAX_FLAP_RECORDS {
-            let known = &self.known;
+            let known = &self.leases;
             self.flaps.retain(|name, flaps| {
                 flaps.count_at(now) > 0
                     || (!known.contains_key(name) && now < flaps.since + FLAP_HALF_LIFE)
@@ -442,8 +442,8 @@
         version: u64,
         pools: &[Box<str>],
     ) -> Option<MembersDelta> {
-        let knows_more = epoch != 0 && epoch < self.roster.epoch();
-        if knows_more && !self.is_seeded && !self.is_grace_over {
+        let has_earlier_list = epoch != 0 && epoch < self.roster.epoch();
+        if has_earlier_list && !self.is_seeded && !self.is_grace_over {
             return None;
         }
         self.roster.delta_since(epoch, version, pools)
@@ -463,7 +463,7 @@
 
     /// Yields the live members, by name, with the versions that they reported last.
     pub fn live(&self) -> impl Iterator<Item = &Member> {
-        self.known.values().map(|known| &known.member)
+        self.leases.values().map(|known| &known.member)
     }
 
     /// Yields the names of live members whose configuration is older than `version`.
@@ -476,7 +476,7 @@
     /// Returns the highest fencing number that a member has reported.
     #[must_use]
     pub fn highest_fence(&self, instance: &str) -> Option<u64> {
-        self.known.get(instance).map(|known| known.highest_fence)
+        self.leases.get(instance).map(|known| known.highest_fence)
     }
 
     /// Returns the number of changes that are not published yet.
--- a/crates/state/src/routing.rs
+++ b/crates/state/src/routing.rs
@@ -75,7 +75,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointCommand {
     /// Records an endpoint's report of itself.
-    Note(Endpoint),
+    #[serde(rename = "Note")]
+    Report(Endpoint),
     /// Retires an incarnation that has ended or is about to; its later reports are ignored. Without a start time, the known
     /// incarnation is meant.
     Retire(Incarnation),
@@ -223,7 +224,7 @@
     }
 
     /// Records at a log index which requests endpoints ended under, and returns the requests that are newly held.
-    pub fn note_suspects(&mut self, index: u64, command: &SuspectsCommand) -> Vec<RequestKey> {
+    pub fn record_suspects(&mut self, index: u64, command: &SuspectsCommand) -> Vec<RequestKey> {
         let held_before = self.suspects.held().clone();
         let suspects = Arc::make_mut(&mut self.suspects);
         suspects.record(index, &command.ends, &command.completed);
@@ -233,7 +234,7 @@
     /// Applies a change of the endpoints at a log index.
     pub fn apply(&mut self, index: u64, command: EndpointCommand) {
         let changes = match command {
-            EndpointCommand::Note(endpoint) => self.note(endpoint),
+            EndpointCommand::Report(endpoint) => self.record_report(endpoint),
             EndpointCommand::Retire(incarnation) => self.retire(&incarnation),
             EndpointCommand::Drop(id) => self.forget(&id),
         };
@@ -242,12 +243,12 @@
         }
     }
 
-    fn note(&mut self, endpoint: Endpoint) -> bool {
+    fn record_report(&mut self, endpoint: Endpoint) -> bool {
         if !self.is_change(&endpoint) {
             return false;
         }
         if self.same_incarnation(&endpoint).is_none() {
-            self.note_replaced(&endpoint);
+            self.record_replaced(&endpoint);
         }
         Arc::make_mut(&mut self.endpoints).insert(endpoint.id.clone(), endpoint);
         true
@@ -256,7 +257,7 @@
     /// Records the endpoints that a new one replaces: two processes can't listen on one address.
     ///
     /// A late report of a replaced endpoint that is still known does not reverse this.
-    fn note_replaced(&mut self, new: &Endpoint) {
+    fn record_replaced(&mut self, new: &Endpoint) {
         self.replaced.remove(&new.id);
         let others = self.endpoints.values();
         let replaced = others.filter(|other| other.address == new.address && other.id != new.id);
@@ -297,7 +298,7 @@
 
 impl LastReports {
     /// Records the time of a report.
-    pub fn note(&mut self, now: Duration, id: &str) {
+    pub fn record(&mut self, now: Duration, id: &str) {
         if let Some(last) = self.last.get_mut(id) {
             *last = now;
         } else {
--- a/crates/state/src/state.rs
+++ b/crates/state/src/state.rs
@@ -157,7 +157,9 @@
                 self.routing.apply(index, command);
                 Reply::Done
             }
-            Command::Suspects(command) => Reply::Held(self.routing.note_suspects(index, &command)),
+            Command::Suspects(command) => {
+                Reply::Held(self.routing.record_suspects(index, &command))
+            }
         }
     }
 
--- a/crates/state/src/upgrades.rs
+++ b/crates/state/src/upgrades.rs
@@ -31,7 +31,7 @@
 impl EndpointStep {
     /// Returns whether the endpoint is out of service.
     #[must_use]
-    pub fn is_absent(self) -> bool {
+    pub fn is_out_of_service(self) -> bool {
         match self {
             Self::Loading | Self::Switching | Self::RollingBack => true,
             Self::Verifying | Self::Unloading => false,
@@ -209,7 +209,7 @@
     },
     /// Records the version of an adapter on an endpoint; announcements cover only models.
     #[serde(rename = "Hold")]
-    NoteAdapter {
+    RecordAdapter {
         /// Endpoint.
         instance: InstanceName,
         /// Adapter.
@@ -377,7 +377,7 @@
             }
             UpgradeStep::ReserveStore { busy_until_ms } => self.store_busy_until_ms = busy_until_ms,
             UpgradeStep::End { instance } => _ = self.in_progress.remove(&instance),
-            UpgradeStep::NoteAdapter {
+            UpgradeStep::RecordAdapter {
                 instance,
                 adapter,
                 version,
--- a/crates/state/tests/changes.rs
+++ b/crates/state/tests/changes.rs
@@ -46,7 +46,7 @@
             .apply(self.index, 1, Command::ApplyChange(change))
         {
             Reply::Change(reply) => reply,
-            other => panic!("an answer to a change, not {other:?}"),
+            other => panic!("expected an answer to a change, got {other:?}"),
         }
     }
 
@@ -76,18 +76,18 @@
     of_two_changes_on_one_version_the_first_wins => {
         let mut log = Log::new();
         assert_eq!(version(&log.apply(change("a", 0, "1"))), Some(1));
-        let ApplyReply::Conflict(conflict) = log.apply(change("b", 0, "2")) else { panic!("the second loses") };
+        let ApplyReply::Conflict(conflict) = log.apply(change("b", 0, "2")) else { panic!("the second change conflicts") };
         assert_eq!((conflict.base_version, conflict.current_version), (0, 1));
         assert_eq!((&*conflict.winner_change_id, &*conflict.winner_operator), ("a", "operator of a"));
         assert_eq!(conflict.winner_put, change("a", 0, "1").put);
     }
     an_invalid_change_takes_no_version => {
         let mut log = Log::new();
-        let ApplyReply::Invalid(invalid) = log.apply(change("a", 0, "\"much\"")) else { panic!("a share is a number") };
+        let ApplyReply::Invalid(invalid) = log.apply(change("a", 0, "\"much\"")) else { panic!("a share that is no number is refused") };
         assert_eq!((&*invalid.problems[0].file, invalid.problems[0].line), ("surf.toml", 2));
         assert_eq!(version(&log.apply(change("b", 0, "1"))), Some(1));
     }
-    one_number_for_two_changes_is_refused => {
+    one_id_for_two_changes_is_refused => {
         let mut log = Log::new();
         log.apply(change("a", 0, "1"));
         assert!(matches!(log.apply(change("a", 0, "2")), ApplyReply::Invalid(_)));
@@ -118,8 +118,8 @@
             log.apply(change(&number.to_string(), number, "1"));
         }
         let folder = log.state.changes().folder();
-        assert_eq!(folder.delta_since(1).expect("it lags").base_version, 0);
-        assert_eq!(folder.delta_since(2).expect("it lags").base_version, 2);
+        assert_eq!(folder.delta_since(1).expect("the watcher is behind").base_version, 0);
+        assert_eq!(folder.delta_since(2).expect("the watcher is behind").base_version, 2);
         assert_eq!(folder.delta_since(folder.version()), None);
     }
 }
--- a/crates/state/tests/log.rs
+++ b/crates/state/tests/log.rs
@@ -44,7 +44,7 @@
         },
     ) {
         Reply::Claims(replies) => replies.replies.iter().map(|reply| reply.verdict).collect(),
-        other => panic!("an answer to claims, not {other:?}"),
+        other => panic!("expected an answer to claims, got {other:?}"),
     }
 }
 
@@ -64,7 +64,7 @@
     let index = state.applied_index() + 1;
     match state.apply(index, term, Command::PlaceOrder(order)) {
         Reply::Order(record) => (record.order_id, record.fence),
-        other => panic!("an order, not {other:?}"),
+        other => panic!("expected an order, got {other:?}"),
     }
 }
 
--- a/crates/state/tests/members.rs
+++ b/crates/state/tests/members.rs
@@ -61,7 +61,7 @@
         self.members.tick(self.now)
     }
 
-    fn pass(&mut self, time: Duration) {
+    fn advance(&mut self, time: Duration) {
         let until = self.now + time;
         while self.now < until {
             self.tick();
@@ -85,7 +85,7 @@
 }
 
 impl Watcher {
-    fn learn(&mut self, delta: MembersDelta) -> bool {
+    fn apply(&mut self, delta: MembersDelta) -> bool {
         let steps_back = delta.epoch == self.epoch && delta.version <= self.version;
         if delta.base_version == 0 {
             self.members.clear();
@@ -107,11 +107,11 @@
 cases! {
     a_silent_member_expires_after_its_lease => {
         let mut leader = Leader::new(&Roster::default());
-        leader.pass(LeaseLimits::default().longest_lease);
+        leader.advance(LeaseLimits::default().longest_lease);
         let lease = leader.announce(&announce("a", 1));
         leader.tick();
         assert!(leader.is_serving("a"));
-        leader.pass(lease + TICK);
+        leader.advance(lease + TICK);
         assert!(leader.members.roster().get("a").is_none());
     }
     a_new_leader_expires_nobody_before_one_full_lease => {
@@ -119,9 +119,9 @@
         followed.announce(&announce("a", 1));
         followed.tick();
         let mut leader = Leader::new(followed.members.roster());
-        leader.pass(LeaseLimits::default().longest_lease.saturating_sub(2 * TICK));
+        leader.advance(LeaseLimits::default().longest_lease.saturating_sub(2 * TICK));
         assert!(leader.is_serving("a"));
-        leader.pass(3 * TICK);
+        leader.advance(3 * TICK);
         assert!(leader.members.roster().get("a").is_none());
     }
     a_leader_without_a_list_sends_no_deltas_to_earlier_epochs_within_the_first_lease => {
@@ -130,7 +130,7 @@
         leader.tick();
         assert_eq!(leader.members.delta_since(6, 40, &[]), None);
         assert!(leader.members.delta_since(0, 0, &[]).is_some());
-        leader.pass(LeaseLimits::default().longest_lease);
+        leader.advance(LeaseLimits::default().longest_lease);
         assert!(leader.members.delta_since(6, 40, &[]).is_some());
     }
     a_late_announcement_of_an_earlier_incarnation_changes_nothing => {
@@ -145,12 +145,12 @@
         for incarnation in 0..=u64::from(UNDAMPED_RETURNS) {
             leader.announce(&announce("a", incarnation));
             leader.tick();
-            assert!(leader.is_serving("a"), "return {incarnation} is free");
+            assert!(leader.is_serving("a"), "return {incarnation} is not held back");
         }
         leader.announce(&announce("a", 9));
         leader.tick();
         assert!(!leader.is_serving("a"));
-        leader.pass(FIRST_HOLD);
+        leader.advance(FIRST_HOLD);
         assert!(leader.is_serving("a"));
         leader.announce(&Announce { leaving: true, ..announce("a", 9) });
         leader.tick();
@@ -175,15 +175,15 @@
         leader.members.set_drained(leader.now, &BTreeSet::from(["a".into(), "b".into()]));
         leader.announce(&idle);
         assert_eq!(leader.members.running("a"), Some(1));
-        leader.pass(DRAIN_PROPAGATION);
+        leader.advance(DRAIN_PROPAGATION);
         assert_eq!(leader.members.running("a"), Some(1));
         leader.announce(&idle);
         assert_eq!(leader.members.running("a"), Some(0));
-        leader.members.note_relayed("a");
+        leader.members.record_relayed("a");
         assert_eq!(leader.members.running("a"), Some(1));
         assert_eq!(leader.members.running("b"), None);
         leader.members.set_drained(leader.now, &BTreeSet::new());
-        leader.pass(DRAIN_PROPAGATION);
+        leader.advance(DRAIN_PROPAGATION);
         leader.announce(&idle);
         assert_eq!(leader.members.running("a"), Some(1));
     }
@@ -199,12 +199,12 @@
             running: Some(0),
             ejected: Some(true),
         };
-        leader.pass(DRAIN_PROPAGATION);
+        leader.advance(DRAIN_PROPAGATION);
         assert!(leader.members.renew(leader.now, &renewal));
         assert_eq!(leader.members.running("a"), Some(1));
-        leader.pass(LeaseLimits::default().longest_lease / 2);
+        leader.advance(LeaseLimits::default().longest_lease / 2);
         assert!(leader.members.renew(leader.now, &renewal));
-        leader.pass(LeaseLimits::default().longest_lease / 2);
+        leader.advance(LeaseLimits::default().longest_lease / 2);
         assert!(leader.members.renew(leader.now, &renewal));
         assert_eq!(leader.members.running("a"), Some(0));
         assert_eq!(leader.members.live().next().and_then(|member| member.ejected), Some(true));
@@ -222,30 +222,30 @@
         let mut leader = Leader::new(&Roster::default());
         let names: Vec<_> = (0..800).map(|number| format!("sidecar-{number}")).collect();
         let mut watcher = Watcher::default();
-        let come_back = |leader: &mut Leader, watcher: &mut Watcher, incarnation| {
+        let return_all = |leader: &mut Leader, watcher: &mut Watcher, incarnation| {
             let leases: BTreeSet<_> = names.iter().map(|name| leader.announce(&announce(name, incarnation))).collect();
             let ticks = names.len().div_ceil(CHANGES_PER_TICK);
             for _ in 0..ticks {
                 leader.tick();
                 let delta = leader.members.delta_since(watcher.epoch, watcher.version, &[]).expect("each tick publishes changes");
                 assert!(delta.put.len() <= CHANGES_PER_TICK);
-                assert!(watcher.learn(delta));
+                assert!(watcher.apply(delta));
             }
             assert_eq!(watcher.members.len(), names.len());
             leases
         };
-        let leases = come_back(&mut leader, &mut watcher, 1);
+        let leases = return_all(&mut leader, &mut watcher, 1);
         let (first, last) = (leases.first().expect("leases are given"), leases.last().expect("leases are given"));
         assert!(*last > *first + Duration::from_secs(2), "renewals spread over the lease");
-        leader.pass(LeaseLimits::default().longest_lease);
+        leader.advance(LeaseLimits::default().longest_lease);
         let mut gone = 0;
         while leader.tick() {
             gone += 1;
         }
         assert!(leader.members.roster().is_empty() && gone <= names.len().div_ceil(CHANGES_PER_TICK));
-        watcher.learn(leader.members.delta_since(watcher.epoch, watcher.version, &[]).expect("all are gone"));
+        watcher.apply(leader.members.delta_since(watcher.epoch, watcher.version, &[]).expect("all are gone"));
         assert!(watcher.members.is_empty());
-        come_back(&mut leader, &mut watcher, 1);
+        return_all(&mut leader, &mut watcher, 1);
     }
     a_follower_adopts_neither_an_older_list_nor_one_with_a_gap => {
         let delta = |epoch, base_version, version| MembersDelta { epoch, base_version, version, put: vec![], removed: vec![] };
@@ -264,11 +264,11 @@
         let mut watcher = Watcher::default();
         leader.announce(&announce("a", 1));
         leader.tick();
-        watcher.learn(leader.members.delta_since(0, 0, &pools).expect("there is a list"));
+        watcher.apply(leader.members.delta_since(0, 0, &pools).expect("there is a list"));
         assert_eq!(watcher.members.len(), 1);
         leader.announce(&Announce { pool: "surf-api".into(), ..announce("a", 1) });
         leader.tick();
-        watcher.learn(leader.members.delta_since(7, watcher.version, &pools).expect("the list has changed"));
+        watcher.apply(leader.members.delta_since(7, watcher.version, &pools).expect("the list has changed"));
         assert!(watcher.members.is_empty());
     }
 }
@@ -279,25 +279,25 @@
         let mut follower = Roster::default();
         let mut watcher = Watcher::default();
         let in_order = steps.into_iter().all(|(name, incarnation, action)| {
-            let word = announce(&(name % 8).to_string(), u64::from(incarnation));
+            let announcement = announce(&(name % 8).to_string(), u64::from(incarnation));
             match action % 8 {
-                0 => leader.pass(Duration::from_secs(5)),
-                1 => _ = leader.announce(&Announce { leaving: true, ..word }),
-                2 => _ = leader.announce(&Announce { pool: "surf-api".into(), ..word }),
-                _ => _ = leader.announce(&word),
+                0 => leader.advance(Duration::from_secs(5)),
+                1 => _ = leader.announce(&Announce { leaving: true, ..announcement }),
+                2 => _ = leader.announce(&Announce { pool: "surf-api".into(), ..announcement }),
+                _ => _ = leader.announce(&announcement),
             }
             leader.tick();
             // A follower that misses some deltas and then asks from the version that it has.
             let asks = action >= 64;
-            let news = leader.members.delta_since(follower.epoch(), follower.version(), &[]).filter(|_| asks);
-            news.map(|delta| follower.adopt(&delta));
-            let news = follower.delta_since(watcher.epoch, watcher.version, &[]).filter(|_| action % 3 > 0);
-            news.is_none_or(|delta| watcher.learn(delta))
+            let update = leader.members.delta_since(follower.epoch(), follower.version(), &[]).filter(|_| asks);
+            update.map(|delta| follower.adopt(&delta));
+            let update = follower.delta_since(watcher.epoch, watcher.version, &[]).filter(|_| action % 3 > 0);
+            update.is_none_or(|delta| watcher.apply(delta))
         });
-        leader.pass(Duration::from_secs(70));
-        let news = leader.members.delta_since(follower.epoch(), follower.version(), &[]);
-        news.map(|delta| follower.adopt(&delta));
-        let caught_up = follower.delta_since(watcher.epoch, watcher.version, &[]).is_none_or(|delta| watcher.learn(delta));
+        leader.advance(Duration::from_secs(70));
+        let update = leader.members.delta_since(follower.epoch(), follower.version(), &[]);
+        update.map(|delta| follower.adopt(&delta));
+        let caught_up = follower.delta_since(watcher.epoch, watcher.version, &[]).is_none_or(|delta| watcher.apply(delta));
         let wanted: Vec<_> = leader.members.roster().members().collect();
         in_order && caught_up && wanted.iter().eq(watcher.members.values().collect::<Vec<_>>().iter())
     }
--- a/crates/state/tests/routing.rs
+++ b/crates/state/tests/routing.rs
@@ -103,7 +103,7 @@
     a_snapshot_keeps_tables_and_endpoints => {
         let mut state = State::default();
         put(&mut state, 5, "five");
-        change(&mut state, EndpointCommand::Note(endpoint("e", 1)));
+        change(&mut state, EndpointCommand::Report(endpoint("e", 1)));
         change(&mut state, end("gone", None));
         let restored = State::restore(&state.encode()).expect("a snapshot can be read");
         assert_eq!(restored.routing().table(), state.routing().table());
@@ -112,56 +112,56 @@
     }
     a_late_report_does_not_end_a_drain => {
         let mut state = State::default();
-        change(&mut state, EndpointCommand::Note(endpoint("e", 4)));
-        change(&mut state, EndpointCommand::Note(draining("e", 6)));
-        change(&mut state, EndpointCommand::Note(endpoint("e", 5)));
+        change(&mut state, EndpointCommand::Report(endpoint("e", 4)));
+        change(&mut state, EndpointCommand::Report(draining("e", 6)));
+        change(&mut state, EndpointCommand::Report(endpoint("e", 5)));
         assert_eq!(state_of(&state, "e"), Some(EndpointState::Draining));
-        change(&mut state, EndpointCommand::Note(endpoint("e", 7)));
+        change(&mut state, EndpointCommand::Report(endpoint("e", 7)));
         assert_eq!(state_of(&state, "e"), Some(EndpointState::Draining));
     }
     a_late_report_does_not_revive_an_endpoint_that_has_retired => {
         let mut state = State::default();
-        change(&mut state, EndpointCommand::Note(endpoint("e", 4)));
+        change(&mut state, EndpointCommand::Report(endpoint("e", 4)));
         change(&mut state, end("e", None));
-        change(&mut state, EndpointCommand::Note(endpoint("e", 9)));
+        change(&mut state, EndpointCommand::Report(endpoint("e", 9)));
         assert_eq!(state_of(&state, "e"), None);
         // An endpoint whose end overtook its first report is not listed either.
         change(&mut state, end("f", None));
-        change(&mut state, EndpointCommand::Note(endpoint("f", 1)));
+        change(&mut state, EndpointCommand::Report(endpoint("f", 1)));
         assert_eq!(state_of(&state, "f"), None);
     }
     an_endpoint_that_restarts_under_its_id_is_listed_though_its_sequence_starts_over => {
         let mut state = State::default();
-        change(&mut state, EndpointCommand::Note(started("e", 100, 900)));
-        change(&mut state, EndpointCommand::Note(started("e", 200, 1)));
+        change(&mut state, EndpointCommand::Report(started("e", 100, 900)));
+        change(&mut state, EndpointCommand::Report(started("e", 200, 1)));
         assert_eq!(listed(&state, "e"), Some((Some(200), EndpointState::Ready)));
         // A late report of the former start changes nothing, whatever its number.
         assert!(!state.routing().is_change(&started("e", 100, 901)));
-        change(&mut state, EndpointCommand::Note(started("e", 100, 901)));
+        change(&mut state, EndpointCommand::Report(started("e", 100, 901)));
         assert_eq!(listed(&state, "e"), Some((Some(200), EndpointState::Ready)));
     }
     a_drain_ends_with_the_incarnation_that_drains => {
         let mut state = State::default();
-        change(&mut state, EndpointCommand::Note(started("e", 100, 5)));
-        change(&mut state, EndpointCommand::Note(Endpoint {
+        change(&mut state, EndpointCommand::Report(started("e", 100, 5)));
+        change(&mut state, EndpointCommand::Report(Endpoint {
             state: EndpointState::Draining,
             ..started("e", 100, 6)
         }));
-        change(&mut state, EndpointCommand::Note(started("e", 100, 7)));
+        change(&mut state, EndpointCommand::Report(started("e", 100, 7)));
         assert_eq!(listed(&state, "e"), Some((Some(100), EndpointState::Draining)));
-        change(&mut state, EndpointCommand::Note(started("e", 200, 1)));
+        change(&mut state, EndpointCommand::Report(started("e", 200, 1)));
         assert_eq!(listed(&state, "e"), Some((Some(200), EndpointState::Ready)));
     }
     an_end_holds_for_the_incarnation_that_ended_and_those_before_it => {
         let mut state = State::default();
-        change(&mut state, EndpointCommand::Note(started("e", 100, 5)));
+        change(&mut state, EndpointCommand::Report(started("e", 100, 5)));
         change(&mut state, end("e", Some(100)));
         assert_eq!(listed(&state, "e"), None);
-        change(&mut state, EndpointCommand::Note(started("e", 100, 6)));
-        change(&mut state, EndpointCommand::Note(started("e", 90, 7)));
-        change(&mut state, EndpointCommand::Note(endpoint("e", 8)));
+        change(&mut state, EndpointCommand::Report(started("e", 100, 6)));
+        change(&mut state, EndpointCommand::Report(started("e", 90, 7)));
+        change(&mut state, EndpointCommand::Report(endpoint("e", 8)));
         assert_eq!(listed(&state, "e"), None);
-        change(&mut state, EndpointCommand::Note(started("e", 200, 1)));
+        change(&mut state, EndpointCommand::Report(started("e", 200, 1)));
         assert_eq!(listed(&state, "e"), Some((Some(200), EndpointState::Ready)));
         // A late end of the former start does not take the new one away.
         change(&mut state, end("e", Some(100)));
@@ -169,21 +169,21 @@
     }
     an_end_without_a_start_time_means_the_known_incarnation => {
         let mut state = State::default();
-        change(&mut state, EndpointCommand::Note(started("e", 100, 5)));
+        change(&mut state, EndpointCommand::Report(started("e", 100, 5)));
         change(&mut state, end("e", None));
-        change(&mut state, EndpointCommand::Note(started("e", 100, 6)));
+        change(&mut state, EndpointCommand::Report(started("e", 100, 6)));
         assert_eq!(listed(&state, "e"), None);
-        change(&mut state, EndpointCommand::Note(started("e", 200, 1)));
+        change(&mut state, EndpointCommand::Report(started("e", 200, 1)));
         assert_eq!(listed(&state, "e"), Some((Some(200), EndpointState::Ready)));
     }
     a_report_that_contradicts_its_incarnation_changes_nothing => {
         let mut state = State::default();
-        change(&mut state, EndpointCommand::Note(started("e", 100, 5)));
+        change(&mut state, EndpointCommand::Report(started("e", 100, 5)));
         let elsewhere = Endpoint { address: ([10, 9, 9, 9], 1).into(), ..started("e", 100, 6) };
         let renamed = Endpoint { service: "other".into(), ..started("e", 100, 7) };
         for report in [elsewhere, renamed] {
             assert!(state.routing().contradicts(&report));
-            change(&mut state, EndpointCommand::Note(report));
+            change(&mut state, EndpointCommand::Report(report));
         }
         let list = state.routing().list();
         assert_eq!(list.endpoints, [started("e", 100, 5)]);
@@ -194,7 +194,7 @@
     }
     reports_of_a_former_incarnation_are_outdated => {
         let mut state = State::default();
-        change(&mut state, EndpointCommand::Note(started("e", 200, 5)));
+        change(&mut state, EndpointCommand::Report(started("e", 200, 5)));
         assert!(state.routing().is_outdated(&started("e", 100, 9)));
         assert!(state.routing().is_outdated(&endpoint("e", 9)));
         assert!(!state.routing().is_outdated(&started("e", 200, 1)));
@@ -213,13 +213,13 @@
         for number in 0..8_u8 {
             let address = ([10, 0, 0, number], 8_080).into();
             let old = Endpoint { address, ..endpoint(&format!("old-{number}"), 40) };
-            change(&mut state, EndpointCommand::Note(old));
+            change(&mut state, EndpointCommand::Report(old));
         }
         // All lose power and come back at their addresses under new ids, within a second.
         for number in 0..8_u8 {
             let address = ([10, 0, 0, number], 8_080).into();
             let new = Endpoint { address, ..endpoint(&format!("new-{number}"), 1) };
-            change(&mut state, EndpointCommand::Note(new));
+            change(&mut state, EndpointCommand::Report(new));
         }
         let ids = |state: &State| {
             let list = state.routing().list();
@@ -229,7 +229,7 @@
         assert!(ids(&state).iter().all(|id| id.starts_with("new-")));
         // A report of the former endpoint that a network partition has delayed changes nothing.
         let late = Endpoint { address: ([10, 0, 0, 0], 8_080).into(), ..draining("old-0", 41) };
-        change(&mut state, EndpointCommand::Note(late));
+        change(&mut state, EndpointCommand::Report(late));
         assert!(!ids(&state).contains(&"old-0".into()));
         // Once the newer endpoint is dropped, the older one is listed again, until its own reports time out.
         change(&mut state, EndpointCommand::Drop("new-1".into()));
@@ -239,14 +239,14 @@
     }
     a_report_that_only_repeats_the_state_is_no_change => {
         let mut state = State::default();
-        change(&mut state, EndpointCommand::Note(endpoint("e", 1)));
+        change(&mut state, EndpointCommand::Report(endpoint("e", 1)));
         assert!(!state.routing().is_change(&endpoint("e", 2)));
         assert!(state.routing().is_change(&draining("e", 3)));
         assert!(state.routing().is_change(&endpoint("new", 1)));
     }
     a_silent_endpoint_is_dropped_and_comes_back_with_its_next_report => {
         let mut state = State::default();
-        change(&mut state, EndpointCommand::Note(endpoint("e", 1)));
+        change(&mut state, EndpointCommand::Report(endpoint("e", 1)));
         let mut last_reports = LastReports::default();
         assert!(last_reports.silent(Duration::ZERO, state.routing()).is_empty());
         let later = REPORT_TIMEOUT.saturating_sub(Duration::from_millis(1));
@@ -254,27 +254,27 @@
         assert_eq!(last_reports.silent(REPORT_TIMEOUT, state.routing()), vec!["e".into()]);
         change(&mut state, EndpointCommand::Drop("e".into()));
         assert_eq!(state_of(&state, "e"), None);
-        change(&mut state, EndpointCommand::Note(endpoint("e", 2)));
+        change(&mut state, EndpointCommand::Report(endpoint("e", 2)));
         assert_eq!(state_of(&state, "e"), Some(EndpointState::Ready));
     }
     an_endpoint_whose_address_another_one_reports_times_out_sooner => {
         let mut state = State::default();
-        change(&mut state, EndpointCommand::Note(endpoint("old", 1)));
-        change(&mut state, EndpointCommand::Note(endpoint("new", 1)));
+        change(&mut state, EndpointCommand::Report(endpoint("old", 1)));
+        change(&mut state, EndpointCommand::Report(endpoint("new", 1)));
         assert!(state_of(&state, "old").is_none());
         let mut last_reports = LastReports::default();
-        last_reports.note(Duration::ZERO, "old");
+        last_reports.record(Duration::ZERO, "old");
         for second in 1..=4 {
-            last_reports.note(Duration::from_secs(second), "new");
+            last_reports.record(Duration::from_secs(second), "new");
         }
         assert!(last_reports.silent(Duration::from_secs(2), state.routing()).is_empty());
         assert_eq!(last_reports.silent(Duration::from_secs(4), state.routing()), vec!["old".into()]);
     }
     a_new_leader_gives_every_endpoint_the_full_report_timeout => {
         let mut state = State::default();
-        change(&mut state, EndpointCommand::Note(endpoint("e", 1)));
+        change(&mut state, EndpointCommand::Report(endpoint("e", 1)));
         let mut last_reports = LastReports::default();
-        last_reports.note(Duration::ZERO, "e");
+        last_reports.record(Duration::ZERO, "e");
         last_reports.clear();
         let now = REPORT_TIMEOUT * 3;
         assert!(last_reports.silent(now, state.routing()).is_empty());
@@ -304,7 +304,7 @@
             change(&mut state, if *ends {
                 end("e", Some(start))
             } else {
-                EndpointCommand::Note(started("e", start, u64::from(*sequence)))
+                EndpointCommand::Report(started("e", start, u64::from(*sequence)))
             });
             newest = newest.max(before.and_then(|(start, _)| start));
             listed(&state, "e").is_none_or(|(start, _)| start >= newest)
@@ -318,8 +318,8 @@
             let id = format!("e{}", id % 4);
             let sequence = u64::from(*sequence);
             change(&mut state, match kind % 4 {
-                0 => EndpointCommand::Note(endpoint(&id, sequence)),
-                1 => EndpointCommand::Note(draining(&id, sequence)),
+                0 => EndpointCommand::Report(endpoint(&id, sequence)),
+                1 => EndpointCommand::Report(draining(&id, sequence)),
                 2 => end(&id, None),
                 _ => EndpointCommand::Drop(id.as_str().into()),
             });
--- a/crates/state/tests/suspects.rs
+++ b/crates/state/tests/suspects.rs
@@ -9,7 +9,7 @@
 }
 
 /// Records the end of one endpoint incarnation under some requests, and returns those that are newly held.
-fn end(state: &mut State, endpoint: IncarnationHash, under: &[u8]) -> Vec<RequestKey> {
+fn report_end(state: &mut State, endpoint: IncarnationHash, under: &[u8]) -> Vec<RequestKey> {
     let command = SuspectsCommand {
         ends: under
             .iter()
@@ -20,23 +20,23 @@
     let index = state.applied_index() + 1;
     match state.apply(index, 1, Command::Suspects(command)) {
         Reply::Held(held) => held,
-        other => panic!("another reply: {other:?}"),
+        other => panic!("unexpected reply: {other:?}"),
     }
 }
 
 cases! {
     a_request_is_held_after_three_endpoints_ended_under_it => {
         let mut state = State::default();
-        assert_eq!(end(&mut state, 1, &[1, 2]), []);
-        assert_eq!(end(&mut state, 1, &[1]), [], "a second gateway reports the same end");
-        assert_eq!(end(&mut state, 2, &[1]), []);
-        assert_eq!(end(&mut state, 3, &[1, 3]), [key(1)]);
-        assert_eq!(end(&mut state, 4, &[1]), [], "it was already held");
+        assert_eq!(report_end(&mut state, 1, &[1, 2]), []);
+        assert_eq!(report_end(&mut state, 1, &[1]), [], "a second gateway reports the same end");
+        assert_eq!(report_end(&mut state, 2, &[1]), []);
+        assert_eq!(report_end(&mut state, 3, &[1, 3]), [key(1)]);
+        assert_eq!(report_end(&mut state, 4, &[1]), [], "it was already held");
     }
     a_snapshot_keeps_held_requests => {
         let mut state = State::default();
         for endpoint in 1..=3 {
-            end(&mut state, endpoint, &[1]);
+            report_end(&mut state, endpoint, &[1]);
         }
         let restored = State::restore(&state.encode()).expect("it was encoded here");
         let suspects = restored.routing().suspects();
--- a/crates/upgrade/src/fleet.rs
+++ b/crates/upgrade/src/fleet.rs
@@ -65,7 +65,7 @@
     pub(crate) fn is_in_service(&self, endpoint: &Endpoint<'_>) -> bool {
         let in_progress = self.upgrades.in_progress();
         let progress: Option<_> = in_progress.get(endpoint.instance);
-        let is_upgrading = progress.is_some_and(|progress| progress.step.is_absent());
+        let is_upgrading = progress.is_some_and(|progress| progress.step.is_out_of_service());
         !(endpoint.is_leaving
             || endpoint.is_ejected
             || is_upgrading
@@ -78,7 +78,7 @@
     }
 
     /// Converts an instance's name to the log's type.
-    pub(crate) fn name(instance: &str) -> InstanceName {
+    pub(crate) fn instance_name(instance: &str) -> InstanceName {
         instance.into()
     }
 }
--- a/crates/upgrade/src/progress.rs
+++ b/crates/upgrade/src/progress.rs
@@ -130,7 +130,7 @@
             }
             OrderState::Done if !self.is_drained() => {}
             OrderState::Done if self.progress.upgrade.adapter.is_some() => {
-                draft.steps.push(UpgradeStep::NoteAdapter {
+                draft.steps.push(UpgradeStep::RecordAdapter {
                     instance: self.instance.into(),
                     adapter: subject(&self.progress.upgrade).into(),
                     version: self.progress.upgrade.version.clone(),
--- a/crates/upgrade/src/stops.rs
+++ b/crates/upgrade/src/stops.rs
@@ -73,7 +73,7 @@
     let instances = affected.map(|endpoint| {
         let incarnation = endpoint.incarnation;
         let phase = StopPhase::Waiting { incarnation };
-        (Fleet::name(endpoint.instance), phase)
+        (Fleet::instance_name(endpoint.instance), phase)
     });
     draft.steps.push(UpgradeStep::BeginStop {
         name: name.into(),
@@ -158,7 +158,7 @@
     draft: &mut Draft<'a>,
     report: &mut StopReport,
 ) {
-    let instance = Fleet::name(endpoint.instance);
+    let instance = Fleet::instance_name(endpoint.instance);
     let is_first = draft.drained.insert(endpoint.instance);
     if is_first && endpoint.role == Role::Sidecar && fleet.is_in_service(endpoint) {
         draft.pools.remove_one(endpoint.pool);
--- a/crates/upgrade/tests/night/simulation.rs
+++ b/crates/upgrade/tests/night/simulation.rs
@@ -271,10 +271,10 @@
                 );
             }
         }
-        self.note_orders();
+        self.record_orders();
     }
 
-    fn note_orders(&mut self) {
+    fn record_orders(&mut self) {
         for order in self.state.orders().list("", 100) {
             if self.placed.insert(order.order_id, order.clone()).is_some() {
                 continue;
@@ -324,7 +324,7 @@
         let drains = self.state.drains();
         let drained = Fleet::drained_names(&drains);
         for (name, progress) in upgrades.in_progress() {
-            let is_out = !progress.step.is_absent() || drained.contains(&**name);
+            let is_out = !progress.step.is_out_of_service() || drained.contains(&**name);
             assert!(is_out, "{name} takes work while {}", progress.step);
         }
         for (name, plan) in self.effective.upgrades.iter() {
