--- a/crates/state/src/members.rs
+++ b/crates/state/src/members.rs
@@ -106,7 +106,7 @@
 /// The leases of the live members, and the published list.
 #[derive(Debug)]
 pub struct Members {
-    rules: LeaseLimits,
+    limits: LeaseLimits,
     roster: Roster,
     leases: BTreeMap<InstanceName, LeasedMember>,
     expiries: BTreeSet<(Duration, InstanceName)>,
@@ -125,10 +125,10 @@
 impl Members {
     /// Opens the leader's view of an epoch, with the members of the list that this instance has followed.
     #[must_use]
-    pub fn open(epoch: u64, now: Duration, rules: LeaseLimits, followed: &Roster) -> Self {
-        let expires_from = now + rules.longest_lease;
+    pub fn open(epoch: u64, now: Duration, limits: LeaseLimits, followed: &Roster) -> Self {
+        let expires_from = now + limits.longest_lease;
         let mut members = Self {
-            rules,
+            limits,
             roster: Roster::open(epoch),
             leases: BTreeMap::new(),
             expiries: BTreeSet::new(),
@@ -146,7 +146,7 @@
                 member: member.clone(),
                 highest_fence: 0,
                 counted_at: Duration::ZERO,
-                lease: rules.longest_lease,
+                lease: limits.longest_lease,
                 expires_at: expires_from,
                 held_until: Duration::ZERO,
             };
@@ -248,7 +248,7 @@
         known.highest_fence = renewal.highest_fence;
         known.member.running = renewal.running;
         known.member.ejected = renewal.ejected;
-        known.counted_at = now.saturating_sub(self.rules.longest_lease);
+        known.counted_at = now.saturating_sub(self.limits.longest_lease);
         let expires_at = (now + known.lease).max(self.expires_from);
         let before = std::mem::replace(&mut known.expires_at, expires_at);
         self.expiries.remove(&(before, renewal.instance.clone()));
@@ -259,7 +259,7 @@
     /// Records that an announcement came through a relay, which may have delayed it by up to a lease.
     pub fn record_relayed(&mut self, instance: &str) {
         if let Some(known) = self.leases.get_mut(instance) {
-            let longest = self.rules.longest_lease;
+            let longest = self.limits.longest_lease;
             known.counted_at = known.counted_at.saturating_sub(longest);
         }
     }
@@ -426,7 +426,7 @@
 
     fn jittered_lease(&self, asked_ms: u64, rng: &mut impl RngExt) -> Duration {
         let asked = Duration::from_millis(asked_ms);
-        let whole = asked.clamp(self.rules.shortest_lease, self.rules.longest_lease);
+        let whole = asked.clamp(self.limits.shortest_lease, self.limits.longest_lease);
         let shortest = whole.saturating_sub(whole / LEASE_JITTER_DIVISOR);
         rng.random_range(shortest..=whole)
     }
