--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -15,44 +15,44 @@
 use tokio::time::{MissedTickBehavior, interval, timeout};
 use viz::Router;
 
-use crate::caller::{Caller, Dial, Direct};
-use crate::core::{Core, wall_ms};
+use crate::core::{Core, unix_now_ms};
 use crate::driver::Driver;
 use crate::metrics::Metrics;
 use crate::open::{self, OpenError};
 use crate::operators::OperatorKeys;
-use crate::orders::{self, UnderWay};
-use crate::peers::{Peers, Sender};
-use crate::route::Slot;
+use crate::orders::{self, InFlightOrders};
+use crate::peer_client::{Dial, Direct, PeerClient};
+use crate::peers::{Peers, SenderInfo};
+use crate::route::StateCell;
 use crate::routing_calls::RoutingCalls;
 use crate::settings::ControlSettings;
 use crate::{follow, join, operator_calls, peer_calls, routing_calls, suspect_calls};
 
-/// Time between ticks of the soft state; a change of the members waits for the next one.
+/// Tick interval of the soft state; a membership change is published at the next tick.
 const TICK: Duration = Duration::from_millis(100);
 
-/// Ticks between two rounds of orders.
+/// Ticks between dispatches of orders.
 const ORDER_TICKS: u64 = 5;
 
-/// Ticks between two looks at upgrades and planned stops: a second.
+/// Ticks between evaluations of upgrades and planned stops: one second.
 const UPGRADE_TICKS: u64 = 10;
 
-/// Ticks between two looks for silent sources of sums.
+/// Ticks between expiries of silent reporters of service sums.
 const SUMS_TICKS: u64 = 10;
 
-/// Ticks between two sweeps of expired keys and answers: a minute.
+/// Ticks between sweeps of expired keys and answers: one minute.
 const SWEEP_TICKS: u64 = 600;
 
-/// Says how a stop went.
+/// The outcome of a stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Stopped {
+pub struct StopOutcome {
     /// Whether every open call ended before the deadline.
     pub calls_ended: bool,
-    /// Whether the log ended in order before the deadline, with leadership handed over.
+    /// Whether the log stopped cleanly before the deadline, with leadership transferred.
     pub log_ended: bool,
 }
 
-/// Holds a running control instance.
+/// A running control instance.
 #[derive(Debug)]
 pub struct Control {
     core: Arc<Core>,
@@ -61,12 +61,12 @@
 }
 
 impl Control {
-    /// Opens a control instance that connects to every address as it is.
+    /// Opens a control instance that connects directly to every address.
     ///
     /// # Errors
     ///
-    /// Returns an error when the address can't be bound, or the data folder can't be used; the message says what the
-    /// operator does.
+    /// Returns an error when the address can't be bound or the data folder can't be used; the message tells the operator
+    /// what to do.
     ///
     /// # Panics
     ///
@@ -80,9 +80,9 @@
         Self::open_with(settings, key, operators, registry, Arc::new(Direct)).await
     }
 
-    /// Opens a control instance that serves further calls on its address.
+    /// Opens a control instance that serves additional routes on its address.
     ///
-    /// `extend` adds them to the router; it gets the calls that change and read routes and endpoints.
+    /// `extend` adds the routes to the router; it receives the calls that change and read routes and endpoints.
     ///
     /// # Errors
     ///
@@ -101,7 +101,7 @@
         Self::open_all(settings, key, operators, registry, Arc::new(Direct), extend).await
     }
 
-    /// Opens a control instance that connects as a dialler says.
+    /// Opens a control instance that resolves addresses with the given dialler.
     ///
     /// # Errors
     ///
@@ -128,41 +128,41 @@
         dial: Arc<dyn Dial>,
         extend: impl FnOnce(Router, RoutingCalls) -> Router,
     ) -> Result<Self, OpenError> {
-        let slot: Slot<Core> = Arc::new(OnceLock::new());
-        let router = peer_calls::add(Router::new(), &key, &slot);
-        let router = operator_calls::add(router, &Arc::new(operators), &slot);
-        let router = routing_calls::add(router, &key, &slot);
-        let router = suspect_calls::add(router, &key, &slot);
-        let router = extend(router, RoutingCalls::new(&slot));
+        let state_cell: StateCell<Core> = Arc::new(OnceLock::new());
+        let router = peer_calls::add(Router::new(), &key, &state_cell);
+        let router = operator_calls::add(router, &Arc::new(operators), &state_cell);
+        let router = routing_calls::add(router, &key, &state_cell);
+        let router = suspect_calls::add(router, &key, &state_cell);
+        let router = extend(router, RoutingCalls::new(&state_cell));
         let server = Server::bind(&settings.listen, router, Limits::default())
             .await
             .map_err(OpenError::Bind)?;
         let bound = || server.local_address().to_string().into_boxed_str();
         let address = settings.advertise.clone().unwrap_or_else(bound);
-        let caller = Caller::new(key, Arc::clone(&dial));
-        // Opening reads and syncs the disk, which must not hold up the async threads.
+        let client = PeerClient::new(key, Arc::clone(&dial));
+        // Opening reads and syncs the disk, which must not block the async threads.
         let for_disk = settings.clone();
-        let took_part = settings.bootstrap && join::took_part(&settings, &caller).await;
-        let opened = tokio::task::spawn_blocking(move || open::open(&for_disk, took_part))
+        let was_member = settings.bootstrap && join::was_member(&settings, &client).await;
+        let opened = tokio::task::spawn_blocking(move || open::open(&for_disk, was_member))
             .await
             .expect("opening the log doesn't panic")?;
         let runtime = Handle::current();
-        let sender = Sender {
+        let sender = SenderInfo {
             node_id: opened.node_id,
             address: address.clone(),
             diskless: settings.is_diskless(),
         };
-        let peers = Peers::new(caller.clone(), runtime, sender);
+        let peers = Peers::new(client.clone(), runtime, sender);
         let (published, _) = watch::channel(0);
         let driver =
             Driver::spawn(&settings, opened, peers, published.clone()).map_err(OpenError::Log)?;
         let core = Arc::new(Core::new(
-            settings, address, caller, dial, driver, published,
+            settings, address, client, dial, driver, published,
         ));
-        let _first_and_only = slot.set(Arc::clone(&core));
+        let _first_and_only = state_cell.set(Arc::clone(&core));
         let metrics = Metrics::register(registry);
         let tasks = vec![
-            tokio::spawn(lead(Arc::clone(&core), metrics)),
+            tokio::spawn(run_ticks(Arc::clone(&core), metrics)),
             tokio::spawn(follow::run(Arc::clone(&core))),
             tokio::spawn(join::run(Arc::clone(&core))),
         ];
@@ -173,7 +173,7 @@
         })
     }
 
-    /// Returns the address that was bound.
+    /// Returns the bound address.
     #[must_use]
     pub fn local_address(&self) -> SocketAddr {
         self.server.local_address()
@@ -182,95 +182,97 @@
     /// Returns the incarnation of this instance in the log.
     #[must_use]
     pub fn node_id(&self) -> u64 {
-        self.core.driver.standing.borrow().node_id
+        self.core.driver.node_status.borrow().node_id
     }
 
-    /// Returns whether this instance leads and no other can lead now.
+    /// Returns whether this instance holds the leader lease, so that no other can be the leader.
     #[must_use]
     pub fn is_leading(&self) -> bool {
-        matches!(self.core.place(), crate::core::Place::Here(_))
+        matches!(self.core.leadership(), crate::core::Leadership::Local(_))
     }
 
     /// Returns whether this instance leads or knows a leader; without one it answers nothing as current.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.core.place() != crate::core::Place::Nowhere
+        self.core.leadership() != crate::core::Leadership::Unknown
     }
 
-    /// Returns the configuration version that is applied here.
+    /// Returns the configuration version that is applied on this instance.
     #[must_use]
     pub fn config_version(&self) -> u64 {
         self.core.driver.view.load().folder.version()
     }
 
-    /// Waits until the log has failed, and returns why; the process must stop then, because nothing more is durable.
+    /// Waits until the log fails, and returns the cause; the process must then stop, since no further write is durable.
     pub async fn failed(&self) -> Box<str> {
-        let mut standing = self.core.driver.standing.clone();
-        let failed = standing
-            .wait_for(|standing| standing.failure.is_some())
+        let mut node_status = self.core.driver.node_status.clone();
+        let failed = node_status
+            .wait_for(|node_status| node_status.failure.is_some())
             .await;
-        let failure = failed.ok().and_then(|standing| standing.failure.clone());
+        let failure = failed
+            .ok()
+            .and_then(|node_status| node_status.failure.clone());
         match failure {
             Some(failure) => failure,
-            // A log that was stopped in order never fails.
+            // A log that stopped cleanly never fails.
             None => std::future::pending().await,
         }
     }
 
-    /// Hands leadership over, then stops; open calls may end until the deadline.
-    pub async fn stop(self, deadline: Duration) -> Stopped {
+    /// Transfers leadership, then stops; open calls may complete until the deadline.
+    pub async fn stop(self, deadline: Duration) -> StopOutcome {
         self.core.driver.stop();
-        let mut standing = self.core.driver.standing.clone();
-        let ended = standing.wait_for(|standing| standing.has_stopped);
+        let mut node_status = self.core.driver.node_status.clone();
+        let ended = node_status.wait_for(|node_status| node_status.has_stopped);
         let log_ended = timeout(deadline, ended).await.is_ok();
         for task in &self.tasks {
             task.abort();
         }
         let calls_ended = self.server.stop(deadline).await;
-        Stopped {
+        StopOutcome {
             calls_ended,
             log_ended,
         }
     }
 }
 
-/// Leads when the log says so: opens the soft state of the term, and moves it on.
-async fn lead(core: Arc<Core>, metrics: Metrics) {
-    let mut standing = core.driver.standing.clone();
+/// Maintains the soft state and, on the leader, runs the periodic tasks.
+async fn run_ticks(core: Arc<Core>, metrics: Metrics) {
+    let mut node_status = core.driver.node_status.clone();
     let mut ticks = interval(TICK);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let under_way = UnderWay::default();
+    let in_flight = InFlightOrders::default();
     let mut count = 0_u64;
     let mut was_stalled = false;
     loop {
         tokio::select! {
             _ = ticks.tick() => count += 1,
-            changed = standing.changed() => {
+            changed = node_status.changed() => {
                 if changed.is_err() {
                     return;
                 }
             }
         }
-        let has_news = move_on(&core);
+        let has_changes = sync_soft_state(&core);
         let is_stalled = core.driver.is_stalled();
         if is_stalled != was_stalled {
             was_stalled = is_stalled;
-            tell_stall(&core, is_stalled);
+            log_stall(&core, is_stalled);
         }
-        if has_news || is_stalled {
+        if has_changes || is_stalled {
             core.publish();
         }
         if count.is_multiple_of(SUMS_TICKS) {
             metrics.update(&core);
         }
         if core.soft().members.is_some() {
-            work(&core, &under_way, count);
+            run_periodic_tasks(&core, &in_flight, count);
         }
     }
 }
 
-/// Writes that the log has stalled, after which watches are answered 503, or that it goes on.
-fn tell_stall(core: &Core, is_stalled: bool) {
+/// Logs that the log has stalled, during which watches are answered 503, or that it has recovered.
+fn log_stall(core: &Core, is_stalled: bool) {
     if is_stalled {
         let age_ms = core.driver.age().as_millis();
         warn!(Part::Control, "The log has stalled.", age_ms = age_ms);
@@ -279,20 +281,24 @@
     }
 }
 
-/// Brings the soft state in line with the standing, and ticks the members; returns whether watchers have news.
-fn move_on(core: &Core) -> bool {
+/// Updates the soft state to the node's role and ticks the members; returns whether there are changes for watchers.
+fn sync_soft_state(core: &Core) -> bool {
     let (term, is_leader, may_answer) = {
-        let standing = core.driver.standing.borrow();
-        (standing.term, standing.is_leader, standing.may_answer)
+        let node_status = core.driver.node_status.borrow();
+        (
+            node_status.term,
+            node_status.is_leader,
+            node_status.may_answer,
+        )
     };
     let now = core.now();
     let view = core.driver.view.load();
     let mut soft = core.soft();
     if !is_leader && soft.members.is_some() {
-        soft.give_up();
+        soft.end_term();
     }
     if may_answer && soft.term != term {
-        soft.lead(term, now, core.settings.member_rules);
+        soft.begin_term(term, now, core.settings.member_rules);
     }
     soft.set_drained(now, &view.drains);
     soft.members
@@ -300,12 +306,12 @@
         .is_some_and(|members| members.tick(now))
 }
 
-fn work(core: &Arc<Core>, under_way: &UnderWay, count: u64) {
+fn run_periodic_tasks(core: &Arc<Core>, in_flight: &InFlightOrders, count: u64) {
     if count.is_multiple_of(ORDER_TICKS) {
-        orders::give(core, under_way);
+        orders::dispatch(core, in_flight);
     }
     if count.is_multiple_of(UPGRADE_TICKS) {
-        core.planner.look(core);
+        core.planner.run(core);
     }
     if count.is_multiple_of(SUMS_TICKS) {
         routing_calls::drop_silent(core);
@@ -316,7 +322,7 @@
     }
     if count.is_multiple_of(SWEEP_TICKS) {
         let core = Arc::clone(core);
-        let now_ms = wall_ms();
+        let now_ms = unix_now_ms();
         tokio::spawn(async move { core.propose(Command::Sweep { now_ms }).await });
     }
 }
--- a/crates/control/src/driver/diskless.rs
+++ b/crates/control/src/driver/diskless.rs
@@ -1,7 +1,8 @@
 //! Keeps instances without a disk out of the quorum.
 //!
-//! A fleet is founded on the first addresses that its processes were told, and some of those instances may have no disk. They
-//! elect the first leader all the same; those with a disk join, take the votes over, and only then is anything acknowledged.
+//! A fleet is founded on the first addresses that its processes were configured with, and some of those instances may
+//! have no disk. They may elect the first leader; then instances with a disk join and replace them as voters, and only
+//! after that is anything acknowledged.
 
 use std::time::Duration;
 
@@ -10,35 +11,38 @@
 use hinge_telemetry::info;
 use hinge_telemetry::log::Part;
 
-use super::thread::Thread;
-use super::votes::{VoterDisks, hands_votes_on, may_acknowledge};
+use super::thread::LogThread;
+use super::votes::{VoterDisks, may_acknowledge, should_remove_diskless_voters};
 use crate::open::Log;
 
-/// Time from the start in which instances with a disk are expected to join. A fleet in which none has joined by then has none,
-/// and goes on without.
-const FOUNDING: Duration = Duration::from_secs(5);
+/// Time from the start in which instances with a disk are expected to join.
+///
+/// A fleet that no instance with a disk has joined by then runs without any.
+const FOUNDING_PERIOD: Duration = Duration::from_secs(5);
 
-/// Silence after which a follower without a disk is forgotten; one that was only cut off joins again.
-const FORGET_AFTER: Duration = Duration::from_secs(10);
+/// Silence after which a follower without a disk is removed; one that was only partitioned off joins again.
+const FORGET_SILENT_AFTER: Duration = Duration::from_secs(10);
 
-impl Thread {
-    /// Returns whether an instance is known to keep the log in memory only.
+impl LogThread {
+    /// Returns whether an instance is known to store the log in memory only.
     pub(super) fn is_diskless(&self, node_id: NodeId) -> bool {
         if node_id == self.own_id {
             return matches!(self.log, Log::Memory);
         }
         let named = self.state.control().get(&node_id);
         named.map_or_else(
-            || self.heard_diskless.contains(&node_id),
+            || self.diskless_peers.contains(&node_id),
             |name| name.diskless,
         )
     }
 
-    /// Counts the voters with and without a disk; one that nobody has heard of counts for neither.
+    /// Counts the voters with and without a disk; a voter that was never heard of counts as neither.
     pub(super) fn voter_disks(&self) -> VoterDisks {
         let voters = &self.node.membership().voters;
         let is_known = |id: NodeId| {
-            id == self.own_id || self.heard.contains(&id) || self.state.control().contains_key(&id)
+            id == self.own_id
+                || self.seen_peers.contains(&id)
+                || self.state.control().contains_key(&id)
         };
         let without = voters.iter().filter(|id| self.is_diskless(**id)).count();
         let with = voters
@@ -50,21 +54,21 @@
         }
     }
 
-    /// Returns whether a commit is as durable as this fleet can make it.
-    pub(super) fn keeps_commits(&self) -> bool {
+    /// Returns whether commits are as durable as this fleet can make them.
+    pub(super) fn can_acknowledge(&self) -> bool {
         let is_alone = self.founding.len() == 1;
         is_alone || may_acknowledge(self.voter_disks(), is_being_founded(self.now()))
     }
 
-    /// Hands the votes of instances without a disk to those with one, as the leader, one at a time.
-    pub(super) fn retire_diskless(&mut self, now: Duration) {
+    /// Replaces voters without a disk by instances with one, one at a time, on the leader.
+    pub(super) fn remove_diskless_voters(&mut self, now: Duration) {
         if self.node.role() != Role::Leader {
             return;
         }
-        self.forget_silent(now);
+        self.forget_silent_learners(now);
         let disks = self.voter_disks();
-        let least_voters = self.least_voters();
-        if !hands_votes_on(disks, least_voters, is_being_founded(now)) {
+        let min_voters = self.min_voters();
+        if !should_remove_diskless_voters(disks, min_voters, is_being_founded(now)) {
             return;
         }
         let voters = self.node.membership().voters.clone();
@@ -72,8 +76,11 @@
             .iter()
             .find(|id| **id != self.own_id && self.is_diskless(**id));
         if let Some(other) = other {
-            // A change that is under way goes first, and this one is tried again at the next tick.
-            if self.change(now, MembershipChange::Remove(*other)).is_ok() {
+            // A membership change in progress completes first; this one is retried at the next tick.
+            if self
+                .propose_membership_change(now, MembershipChange::Remove(*other))
+                .is_ok()
+            {
                 info!(
                     Part::Control,
                     "An instance without a disk gives up its vote.",
@@ -96,23 +103,29 @@
         }
     }
 
-    /// Removes followers without a disk that have ended for good; each start of one is another follower.
-    fn forget_silent(&mut self, now: Duration) {
+    /// Removes silent followers without a disk; every start of such an instance is a new follower, so old ones never
+    /// return.
+    fn forget_silent_learners(&mut self, now: Duration) {
         let learners = &self.node.membership().learners;
         let silent = learners.iter().copied().find(|id| {
-            *id != self.own_id && self.is_diskless(*id) && self.node.is_silent(*id, FORGET_AFTER)
+            *id != self.own_id
+                && self.is_diskless(*id)
+                && self.node.is_silent(*id, FORGET_SILENT_AFTER)
         });
         let Some(silent) = silent else {
             return;
         };
-        if self.change(now, MembershipChange::Remove(silent)).is_ok() {
+        if self
+            .propose_membership_change(now, MembershipChange::Remove(silent))
+            .is_ok()
+        {
             let command = Command::ForgetControl { node_id: silent };
             let _stays_named_if_lost = self.node.propose(now, command.encode());
         }
     }
 }
 
-/// Returns whether instances with a disk may still be on their way to a fleet that has none yet.
+/// Returns whether the fleet is still being founded, so that instances with a disk may yet join.
 pub(super) fn is_being_founded(since_start: Duration) -> bool {
-    since_start < FOUNDING
+    since_start < FOUNDING_PERIOD
 }
--- a/crates/control/src/relay.rs
+++ b/crates/control/src/relay.rs
@@ -1,8 +1,9 @@
 //! Opens, runs and stops a relay.
 //!
-//! A relay watches control once for its whole data centre, and serves what it has learned to the processes there. Towards
-//! control it adds up: one batch of announcements and one report of sums for each pool in each interval. When control is
-//! gone, the relay keeps the leases below it and keeps serving the configuration that it has, which never steps back.
+//! A relay watches control once for its whole data centre and serves the result to the processes there. Upstream it
+//! aggregates: in each interval it sends one batch of announcements, and one report of service sums per pool. While
+//! control is unreachable, the relay keeps the downstream leases and serves its current configuration, whose version
+//! never decreases.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -23,80 +24,85 @@
 use tokio::time::{MissedTickBehavior, interval, sleep};
 use viz::Router;
 
-use crate::below::Below;
-use crate::caller::{Caller, Dial, Direct};
+use crate::downstream::Downstream;
 use crate::open::OpenError;
 use crate::peer_calls::{ANNOUNCES_PATH, SUMS_PATH, WATCH_PATH};
+use crate::peer_client::{Dial, Direct, PeerClient};
 use crate::relay_calls;
-use crate::route::Slot;
+use crate::route::StateCell;
 use crate::settings::RelaySettings;
 
-/// Wait for control's answer; an instance that is slower is left for the next one.
-const WAIT: Duration = Duration::from_secs(5);
+/// Timeout of a call to control; after it the next instance is tried.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Longest wait of one watch at control.
-const WATCH: Duration = Duration::from_secs(20);
+/// Longest duration of one watch at control.
+const WATCH_WAIT: Duration = Duration::from_secs(20);
 
-/// Wait before control is asked again after a failure.
-const RETRY: Duration = Duration::from_millis(200);
+/// Delay before control is called again after a failure.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Wait after which news from below go to control together.
-const GATHER: Duration = Duration::from_millis(20);
+/// Delay in which downstream changes are collected into one batch for control.
+const BATCH_DELAY: Duration = Duration::from_millis(20);
 
-/// Holds what the calls and tasks of a relay share.
+/// The state that the calls and tasks of a relay share.
 #[derive(Debug)]
 pub(crate) struct RelayCore {
     pub(crate) settings: RelaySettings,
     pub(crate) held: Held,
     pub(crate) published: watch::Sender<u64>,
     pub(crate) incarnation: u64,
-    /// Wakes the task that tells control about processes.
-    pub(crate) has_news: Notify,
-    caller: Caller,
-    /// Place of the control instance that answered last.
+    /// Wakes the task that sends announcements to control.
+    pub(crate) has_changes: Notify,
+    client: PeerClient,
+    /// Index of the control instance that answered last.
     upstream: AtomicUsize,
-    below: Mutex<Below>,
-    began: Instant,
+    downstream: Mutex<Downstream>,
+    started_at: Instant,
 }
 
 impl RelayCore {
     pub(crate) fn now(&self) -> Duration {
-        self.began.elapsed()
+        self.started_at.elapsed()
     }
 
-    pub(crate) fn below(&self) -> MutexGuard<'_, Below> {
-        self.below.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn downstream(&self) -> MutexGuard<'_, Downstream> {
+        self.downstream
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     pub(crate) fn publish(&self) {
         self.published.send_modify(|count| *count += 1);
     }
 
-    /// Calls the control instance that answered last, and turns to the next one if it fails.
-    pub(crate) async fn ask<Q: Serialize, A: DeserializeOwned>(
+    /// Calls the control instance that answered last, and switches to the next one on failure.
+    pub(crate) async fn call_control<Q: Serialize, A: DeserializeOwned>(
         &self,
         path: &str,
         message: &Q,
-        wait: Duration,
+        timeout: Duration,
     ) -> Result<A, StatusCode> {
         let control = &self.settings.control;
-        let place = self.upstream.load(Ordering::Relaxed);
-        let Some(address) = control.get(place % control.len().max(1)) else {
+        let position = self.upstream.load(Ordering::Relaxed);
+        let Some(address) = control.get(position % control.len().max(1)) else {
             return Err(StatusCode::SERVICE_UNAVAILABLE);
         };
-        let asked = self.caller.call(address, path, message, wait).await;
-        asked.map_err(|_no_answer| {
-            // Only the first of several calls that failed together turns to the next instance.
-            let next = place.wrapping_add(1);
-            let _turned_already =
-                self.upstream
-                    .compare_exchange(place, next, Ordering::Relaxed, Ordering::Relaxed);
+        let result = self.client.call(address, path, message, timeout).await;
+        result.map_err(|_no_answer| {
+            // When several calls fail together, only the first one switches to the next instance.
+            let next = position.wrapping_add(1);
+            let _switched_already = self.upstream.compare_exchange(
+                position,
+                next,
+                Ordering::Relaxed,
+                Ordering::Relaxed,
+            );
             StatusCode::SERVICE_UNAVAILABLE
         })
     }
 }
 
-/// Holds a running relay.
+/// A running relay.
 #[derive(Debug)]
 pub struct Relay {
     core: Arc<RelayCore>,
@@ -105,7 +111,7 @@
 }
 
 impl Relay {
-    /// Opens a relay that connects to every address as it is.
+    /// Opens a relay that connects directly to every address.
     ///
     /// # Errors
     ///
@@ -114,7 +120,7 @@
         Self::open_with(settings, key, Arc::new(Direct)).await
     }
 
-    /// Opens a relay that connects as a dialler says.
+    /// Opens a relay that resolves addresses with the given dialler.
     ///
     /// # Errors
     ///
@@ -124,30 +130,30 @@
         key: ClusterKey,
         dial: Arc<dyn Dial>,
     ) -> Result<Self, OpenError> {
-        let slot: Slot<RelayCore> = Arc::new(OnceLock::new());
-        let router = relay_calls::add(Router::new(), &key, &slot);
+        let state_cell: StateCell<RelayCore> = Arc::new(OnceLock::new());
+        let router = relay_calls::add(Router::new(), &key, &state_cell);
         let server = Server::bind(&settings.listen, router, Limits::default())
             .await
             .map_err(OpenError::Bind)?;
         let (published, _) = watch::channel(0);
         let core = Arc::new(RelayCore {
-            below: Mutex::new(Below::new(settings.member_rules)),
+            downstream: Mutex::new(Downstream::new(settings.member_rules)),
             settings,
             held: Held::empty(),
             published,
-            incarnation: crate::core::wall_ms(),
-            has_news: Notify::new(),
-            caller: Caller::new(key, dial),
+            incarnation: crate::core::unix_now_ms(),
+            has_changes: Notify::new(),
+            client: PeerClient::new(key, dial),
             upstream: AtomicUsize::new(0),
-            began: Instant::now(),
+            started_at: Instant::now(),
         });
-        let _first_and_only = slot.set(Arc::clone(&core));
+        let _first_and_only = state_cell.set(Arc::clone(&core));
         let bound = || server.local_address().to_string().into_boxed_str();
         let address = core.settings.advertise.clone().unwrap_or_else(bound);
         let tasks = vec![
             tokio::spawn(follow(Arc::clone(&core))),
-            tokio::spawn(tell(Arc::clone(&core), address)),
-            tokio::spawn(report(Arc::clone(&core))),
+            tokio::spawn(announce_members(Arc::clone(&core), address)),
+            tokio::spawn(report_sums(Arc::clone(&core))),
         ];
         Ok(Self {
             core,
@@ -156,31 +162,31 @@
         })
     }
 
-    /// Returns the address that was bound.
+    /// Returns the bound address.
     #[must_use]
     pub fn local_address(&self) -> SocketAddr {
         self.server.local_address()
     }
 
-    /// Returns the configuration version that is held; 0 before the first.
+    /// Returns the version of the current configuration, or 0 before the first one arrives.
     #[must_use]
     pub fn config_version(&self) -> u64 {
         self.core.held.version()
     }
 
-    /// Returns whether a configuration is held, so that members below can start.
+    /// Returns whether the relay has a configuration, so that downstream processes can start.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.config_version() > 0
     }
 
-    /// Returns the number of processes that hold a lease of this relay.
+    /// Returns the number of processes that hold a lease from this relay.
     #[must_use]
     pub fn member_count(&self) -> usize {
-        self.core.below().len()
+        self.core.downstream().len()
     }
 
-    /// Stops; open calls may end until the deadline. Returns whether all did.
+    /// Stops the relay; open calls may complete until the deadline. Returns whether all did.
     pub async fn stop(self, deadline: Duration) -> bool {
         for task in &self.tasks {
             task.abort();
@@ -189,46 +195,46 @@
     }
 }
 
-/// Follows control's configuration and members.
+/// Follows the configuration and the member list of control.
 async fn follow(core: Arc<RelayCore>) {
     let mut config_version = 0;
-    let mut members_are_whole = true;
+    let mut has_all_members = true;
     loop {
-        let question = question(&core, config_version, members_are_whole);
-        let asked = core
-            .ask::<_, Update>(WATCH_PATH, &question, WATCH + WAIT)
+        let watch_request = watch_request(&core, config_version, has_all_members);
+        let result = core
+            .call_control::<_, Update>(WATCH_PATH, &watch_request, WATCH_WAIT + CALL_TIMEOUT)
             .await;
-        let Ok(update) = asked else {
-            sleep(RETRY).await;
+        let Ok(update) = result else {
+            sleep(RETRY_DELAY).await;
             continue;
         };
         if let Some(delta) = &update.config {
             config_version = learn_config(&core, delta);
         }
         if let Some(delta) = &update.members {
-            members_are_whole = core.below().roster.adopt(delta) != Adopted::NeedsFull;
+            has_all_members = core.downstream().roster.adopt(delta) != Adopted::NeedsFull;
         }
         core.publish();
     }
 }
 
-fn question(core: &RelayCore, config_version: u64, members_are_whole: bool) -> Watch {
-    let below = core.below();
+fn watch_request(core: &RelayCore, config_version: u64, has_all_members: bool) -> Watch {
+    let downstream = core.downstream();
     Watch {
         instance: core.settings.instance.clone(),
         config_version,
-        members_epoch: below.roster.epoch(),
-        members_version: if members_are_whole {
-            below.roster.version()
+        members_epoch: downstream.roster.epoch(),
+        members_version: if has_all_members {
+            downstream.roster.version()
         } else {
             0
         },
-        wait_ms: u64::try_from(WATCH.as_millis()).unwrap_or(u64::MAX),
+        wait_ms: u64::try_from(WATCH_WAIT.as_millis()).unwrap_or(u64::MAX),
         pools: Vec::new(),
     }
 }
 
-/// Applies a delta, and returns the version to ask from next.
+/// Applies a configuration delta, and returns the version to request changes from next.
 fn learn_config(core: &RelayCore, delta: &hinge_schema::messages::ConfigDelta) -> u64 {
     match core.held.apply(delta) {
         Applied::Advanced(version) => version,
@@ -238,49 +244,49 @@
             let first = problems.first().map(hinge_config::describe);
             error!(
                 Part::Relay,
-                "Control's configuration is not valid for this program; keeping the last one.",
+                "The configuration from control is not valid for this version; keeping the last valid one.",
                 version = delta.version,
                 problem = first.unwrap_or_default(),
             );
-            // Asking for the same version again would loop; the next one may be valid.
+            // Requesting the same version again would loop; a later one may be valid.
             delta.version
         }
     }
 }
 
-/// Tells control about the processes below: news soon, and renewals at each interval.
-async fn tell(core: Arc<RelayCore>, address: Box<str>) {
+/// Sends downstream announcements to control: changes promptly, renewals at each interval.
+async fn announce_members(core: Arc<RelayCore>, address: Box<str>) {
     let mut ticks = interval(core.settings.report_interval);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut is_reached = true;
+    let mut is_control_reachable = true;
     loop {
         tokio::select! {
             _ = ticks.tick() => {}
-            () = core.has_news.notified() => sleep(GATHER).await,
+            () = core.has_changes.notified() => sleep(BATCH_DELAY).await,
         }
         let now = core.now();
         let batch = {
-            let mut below = core.below();
-            below.announce(now, own_announcement(&core, &address));
-            below.batch(now, &core.settings.instance)
+            let mut downstream = core.downstream();
+            downstream.announce(now, own_announcement(&core, &address));
+            downstream.batch(now, &core.settings.instance)
         };
-        // A batch without news still learns whether another instance leads now.
-        let asked = core
-            .ask::<_, AnnouncedBatch>(ANNOUNCES_PATH, &batch, WAIT)
+        // An empty batch is sent as well, since its reply shows whether another instance has become the leader.
+        let result = core
+            .call_control::<_, AnnouncedBatch>(ANNOUNCES_PATH, &batch, CALL_TIMEOUT)
             .await;
-        if let Ok(reply) = &asked
-            && core.below().answered(now, &batch, reply)
+        if let Ok(reply) = &result
+            && core.downstream().apply_reply(now, &batch, reply)
         {
-            core.has_news.notify_one();
+            core.has_changes.notify_one();
         }
-        if is_reached && asked.is_err() {
+        if is_control_reachable && result.is_err() {
             warn!(
                 Part::Relay,
-                "Control can't be reached; serving what is held.",
+                "Control can't be reached; serving the last known state.",
                 version = core.held.version()
             );
         }
-        is_reached = asked.is_ok();
+        is_control_reachable = result.is_ok();
     }
 }
 
@@ -304,20 +310,22 @@
     }
 }
 
-/// Reports the sums of each pool, added up for the data centre, and learns the totals.
-async fn report(core: Arc<RelayCore>) {
+/// Reports the service sums of each pool, aggregated over the data centre, and applies the returned totals.
+async fn report_sums(core: Arc<RelayCore>) {
     let mut ticks = interval(core.settings.report_interval);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        let reports = core.below().reports();
+        let reports = core.downstream().reports();
         for report in reports {
-            let asked = core.ask::<_, ServiceTotals>(SUMS_PATH, &report, WAIT).await;
-            // The next report carries what a lost one held.
-            if let Ok(reply) = asked
+            let result = core
+                .call_control::<_, ServiceTotals>(SUMS_PATH, &report, CALL_TIMEOUT)
+                .await;
+            // The next report includes what a lost one contained.
+            if let Ok(reply) = result
                 && reply.incarnation == core.incarnation
             {
-                core.below().learn_totals(core.now(), &reply);
+                core.downstream().learn_totals(core.now(), &reply);
             }
         }
     }
--- a/crates/control/src/routing_calls.rs
+++ b/crates/control/src/routing_calls.rs
@@ -1,7 +1,7 @@
 //! Serves changes and reads of the route table and of the endpoints.
 //!
-//! Changes and reads go to the leader, here or in one hop. A watch is answered by any instance that knows a leader, from
-//! what is applied here.
+//! Changes and reads are answered by the leader, directly or through one forwarding hop. A watch is answered by any
+//! instance that knows a leader, from the state applied there.
 
 use std::fmt;
 use std::sync::Arc;
@@ -19,9 +19,9 @@
 use tokio::time::{Instant, timeout_at};
 use viz::Router;
 
-use crate::core::{Core, Place};
-use crate::peer_calls::{at_leader, both};
-use crate::route::{self, Slot};
+use crate::core::{Core, Leadership};
+use crate::peer_calls::{add_leader_call, answer_or_forward};
+use crate::route::{self, StateCell};
 
 const UNAVAILABLE: StatusCode = StatusCode::SERVICE_UNAVAILABLE;
 
@@ -30,18 +30,19 @@
 const REPORT: &str = "/endpoints/report";
 const RETIRE: &str = "/endpoints/retire";
 
-/// Why a report is refused that names another address, service or data centre than the same incarnation did before.
-const CONTRADICTS: &str = "it contradicts what the same start of the endpoint has said of itself";
+/// Cause for refusing a report with another address, service or data centre than the same incarnation reported before.
+const CONTRADICTORY_REPORT: &str =
+    "it contradicts what the same start of the endpoint has said of itself";
 
-/// Path on which a gateway learns of the others of its data centre.
+/// Path on which a gateway learns the addresses of others in its data centre.
 pub const MEET_GATEWAYS_PATH: &str = "/v1/gateways/meet";
 
 /// Path of a watch of routes and endpoints.
 pub const WATCH_ROUTES_PATH: &str = "/v1/routes/watch";
 
-/// Says that no instance could answer now: there is no leader, or it did not answer in time.
+/// The error that no instance could answer: there is no leader, or it did not reply in time.
 ///
-/// A change may have taken effect all the same, and is safe to send again.
+/// The change may have taken effect all the same, and is safe to send again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RoutingUnavailable;
 
@@ -53,67 +54,70 @@
 
 impl std::error::Error for RoutingUnavailable {}
 
-/// Says what became of an endpoint's report that reached the leader.
+/// The outcome of an endpoint's report that reached the leader.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Reported {
-    /// It is taken in, or tells nothing new; the leader listens at this address.
-    Taken(Box<str>),
-    /// It can't be true and changes nothing, for this cause.
+pub enum EndpointReportOutcome {
+    /// The report is accepted or contains nothing new; the leader listens at this address.
+    Accepted(Box<str>),
+    /// The report is contradictory and changes nothing, for this cause.
     Refused(Box<str>),
 }
 
-/// Gives an adapter the calls on routes and endpoints.
+/// The calls on routes and endpoints that an adapter may make.
 #[derive(Debug, Clone)]
 pub struct RoutingCalls {
-    core: Slot<Core>,
+    core: StateCell<Core>,
 }
 
 impl RoutingCalls {
-    pub(crate) fn new(core: &Slot<Core>) -> Self {
+    pub(crate) fn new(core: &StateCell<Core>) -> Self {
         Self {
             core: Arc::clone(core),
         }
     }
 
-    /// Puts a table in force unless a higher number is, and returns the number in force once that is durable.
+    /// Puts a table in force unless a higher-numbered one is; returns the number in force once that is durable.
     ///
     /// # Errors
     ///
-    /// Returns an error when it is open whether the table was taken.
+    /// Returns an error when it is unknown whether the table was accepted.
     pub async fn put_table(&self, table: RouteTable) -> Result<u64, RoutingUnavailable> {
         let message = PutTable { table };
-        let answered = at_leader(self.core()?, PUT_TABLE, message, put_here).await;
+        let answered = answer_or_forward(self.core()?, PUT_TABLE, message, put_as_leader).await;
         let held: TableHeld = answered.map_err(unavailable)?;
         Ok(held.number)
     }
 
-    /// Returns the table in force, checked with a quorum.
+    /// Returns the table in force, as a linearizable read.
     ///
     /// # Errors
     ///
-    /// Returns an error when no instance can be sure.
+    /// Returns an error when no instance can confirm the current table.
     pub async fn table(&self) -> Result<Option<RouteTable>, RoutingUnavailable> {
-        let answered = at_leader(self.core()?, ASK_TABLE, AskTable {}, ask_here).await;
+        let answered = answer_or_forward(self.core()?, ASK_TABLE, AskTable {}, ask_as_leader).await;
         let current: CurrentTable = answered.map_err(unavailable)?;
         Ok(current.table)
     }
 
-    /// Takes in an endpoint's report, and returns what became of it.
+    /// Applies an endpoint's report, and returns the outcome.
     ///
     /// # Errors
     ///
-    /// Returns an error when the report was not taken in for certain.
-    pub async fn report(&self, endpoint: Endpoint) -> Result<Reported, RoutingUnavailable> {
+    /// Returns an error when it is unknown whether the report was applied.
+    pub async fn report(
+        &self,
+        endpoint: Endpoint,
+    ) -> Result<EndpointReportOutcome, RoutingUnavailable> {
         let message = ReportEndpoint { endpoint };
-        let answered = at_leader(self.core()?, REPORT, message, report_here).await;
+        let answered = answer_or_forward(self.core()?, REPORT, message, report_as_leader).await;
         let noted: EndpointNoted = answered.map_err(unavailable)?;
         Ok(match noted.refused {
-            Some(cause) => Reported::Refused(cause),
-            None => Reported::Taken(noted.leader),
+            Some(cause) => EndpointReportOutcome::Refused(cause),
+            None => EndpointReportOutcome::Accepted(noted.leader),
         })
     }
 
-    /// Counts word of an endpoint that can't be taken in, and writes a line of it unless one was written just now.
+    /// Counts an endpoint report that can't be accepted, and logs it at a limited rate.
     pub fn note_refused(&self, endpoint: &str, cause: &str) {
         let Some(core) = self.core.get() else {
             return;
@@ -131,17 +135,17 @@
         }
     }
 
-    /// Notes that an endpoint takes no new work from now on.
+    /// Records that an endpoint accepts no new work from now on.
     ///
     /// # Errors
     ///
-    /// Returns an error when that was not noted for certain.
+    /// Returns an error when it is unknown whether that was recorded.
     pub async fn retire(&self, incarnation: Incarnation) -> Result<(), RoutingUnavailable> {
         let message = RetireEndpoint {
             id: incarnation.id,
             born_unix_ms: incarnation.born_unix_ms,
         };
-        let answered = at_leader(self.core()?, RETIRE, message, retire_here).await;
+        let answered = answer_or_forward(self.core()?, RETIRE, message, retire_as_leader).await;
         let _noted: EndpointNoted = answered.map_err(unavailable)?;
         Ok(())
     }
@@ -155,21 +159,21 @@
     RoutingUnavailable
 }
 
-/// Adds the calls of peers.
-pub(crate) fn add(router: Router, key: &ClusterKey, core: &Slot<Core>) -> Router {
+/// Adds the routes for peers.
+pub(crate) fn add(router: Router, key: &ClusterKey, core: &StateCell<Core>) -> Router {
     let router = route::peer(router, WATCH_ROUTES_PATH, key, core, watch);
     let router = route::peer(router, MEET_GATEWAYS_PATH, key, core, meet);
-    let router = both(router, PUT_TABLE, key, core, put, put_here);
-    let router = both(router, ASK_TABLE, key, core, ask, ask_here);
-    let router = both(router, REPORT, key, core, report, report_here);
-    both(router, RETIRE, key, core, retire, retire_here)
+    let router = add_leader_call(router, PUT_TABLE, key, core, put, put_as_leader);
+    let router = add_leader_call(router, ASK_TABLE, key, core, current_table, ask_as_leader);
+    let router = add_leader_call(router, REPORT, key, core, report, report_as_leader);
+    add_leader_call(router, RETIRE, key, core, retire, retire_as_leader)
 }
 
 async fn put(core: Arc<Core>, message: PutTable) -> Result<TableHeld, StatusCode> {
-    at_leader(core, PUT_TABLE, message, put_here).await
+    answer_or_forward(core, PUT_TABLE, message, put_as_leader).await
 }
 
-async fn put_here(core: Arc<Core>, message: PutTable) -> Result<TableHeld, StatusCode> {
+async fn put_as_leader(core: Arc<Core>, message: PutTable) -> Result<TableHeld, StatusCode> {
     let asked = message.table.number;
     let command = Command::PutTable(Box::new(message.table));
     match core.propose(command).await {
@@ -195,12 +199,12 @@
     }
 }
 
-async fn ask(core: Arc<Core>, message: AskTable) -> Result<CurrentTable, StatusCode> {
-    at_leader(core, ASK_TABLE, message, ask_here).await
+async fn current_table(core: Arc<Core>, message: AskTable) -> Result<CurrentTable, StatusCode> {
+    answer_or_forward(core, ASK_TABLE, message, ask_as_leader).await
 }
 
-async fn ask_here(core: Arc<Core>, _message: AskTable) -> Result<CurrentTable, StatusCode> {
-    let asked = core.ask(|state, _status| state.routing().table().cloned());
+async fn ask_as_leader(core: Arc<Core>, _message: AskTable) -> Result<CurrentTable, StatusCode> {
+    let asked = core.read(|state, _status| state.routing().table().cloned());
     let table = asked.await.map_err(|_refused| UNAVAILABLE)?;
     Ok(CurrentTable {
         table: table.map(Arc::unwrap_or_clone),
@@ -208,14 +212,14 @@
 }
 
 async fn report(core: Arc<Core>, message: ReportEndpoint) -> Result<EndpointNoted, StatusCode> {
-    at_leader(core, REPORT, message, report_here).await
+    answer_or_forward(core, REPORT, message, report_as_leader).await
 }
 
-async fn report_here(
+async fn report_as_leader(
     core: Arc<Core>,
     message: ReportEndpoint,
 ) -> Result<EndpointNoted, StatusCode> {
-    if !matches!(core.place(), Place::Here(_)) {
+    if !matches!(core.leadership(), Leadership::Local(_)) {
         return Err(UNAVAILABLE);
     }
     let endpoint = message.endpoint;
@@ -223,11 +227,11 @@
     let routing = &view.routing;
     if routing.contradicts(&endpoint) {
         return Ok(EndpointNoted {
-            refused: Some(CONTRADICTS.into()),
+            refused: Some(CONTRADICTORY_REPORT.into()),
             ..noted(&core)
         });
     }
-    // Word of a former life must not keep a newer one listed that has fallen silent.
+    // A report of an earlier incarnation must not keep a newer one listed that has fallen silent.
     if !routing.is_outdated(&endpoint) {
         core.soft().heard.record(core.now(), &endpoint.id);
     }
@@ -248,10 +252,10 @@
 }
 
 async fn retire(core: Arc<Core>, message: RetireEndpoint) -> Result<EndpointNoted, StatusCode> {
-    at_leader(core, RETIRE, message, retire_here).await
+    answer_or_forward(core, RETIRE, message, retire_as_leader).await
 }
 
-async fn retire_here(
+async fn retire_as_leader(
     core: Arc<Core>,
     message: RetireEndpoint,
 ) -> Result<EndpointNoted, StatusCode> {
@@ -285,7 +289,7 @@
     }
 }
 
-/// Drops the endpoints that have been silent for too long, as the leader.
+/// Drops endpoints that have been silent for too long, on the leader.
 pub(crate) fn drop_silent(core: &Arc<Core>) {
     let view = core.driver.view.load();
     let now = core.now();
@@ -294,13 +298,13 @@
         info!(Part::Control, "Dropping a silent endpoint.", endpoint = id);
         let core = Arc::clone(core);
         tokio::spawn(async move {
-            // What fails here is tried again at the next look.
+            // A failed drop is retried in the next round.
             let _tried_again = change(&core, EndpointCommand::Drop(id)).await;
         });
     }
 }
 
-/// Answers with what is newer than what the asker holds, or waits for it.
+/// Answers with what is newer than the versions that the caller has, or waits for it.
 async fn watch(core: Arc<Core>, message: WatchRoutes) -> Result<RoutesUpdate, StatusCode> {
     let wait = Duration::from_millis(message.wait_ms).min(core.settings.watch_timeout);
     let deadline = Instant::now() + wait;
@@ -315,7 +319,7 @@
     let mut published = core.published.subscribe();
     loop {
         published.borrow_and_update();
-        if core.place() == Place::Nowhere {
+        if core.leadership() == Leadership::Unknown {
             return Err(UNAVAILABLE);
         }
         let update = update(&core, &message);
@@ -325,13 +329,13 @@
         match timeout_at(deadline, published.changed()).await {
             Ok(Ok(())) => {}
             Ok(Err(_stopped)) => return Err(UNAVAILABLE),
-            Err(_elapsed) if core.place() == Place::Nowhere => return Err(UNAVAILABLE),
+            Err(_elapsed) if core.leadership() == Leadership::Unknown => return Err(UNAVAILABLE),
             Err(_elapsed) => return Ok(update),
         }
     }
 }
 
-/// Notes a gateway, and names others of its data centre; any instance does, whether it knows a leader or not.
+/// Records a gateway and returns others of its data centre; works on any instance, even without a known leader.
 async fn meet(core: Arc<Core>, message: MeetGateways) -> Result<NearbyGateways, StatusCode> {
     let now = core.now();
     let draw = rand::random::<u32>() as usize;
@@ -343,23 +347,23 @@
     })
 }
 
-/// Answers a gateway that holds nothing with the table as of now, checked with a quorum.
+/// Answers a gateway that has no table yet with the current one, as a linearizable read.
 ///
-/// What is applied here may be older right after a restart, and a gateway must not begin with a table that a newer one
-/// has replaced.
+/// The locally applied state may lag right after a restart, and a gateway must not start with a table that has been
+/// replaced.
 async fn first_table(core: Arc<Core>, message: &WatchRoutes) -> Result<RoutesUpdate, StatusCode> {
-    let current = ask(Arc::clone(&core), AskTable {}).await?;
+    let current = current_table(Arc::clone(&core), AskTable {}).await?;
     let view = core.driver.view.load();
     Ok(RoutesUpdate {
         table: current.table.map(|table| without_document(&table)),
         endpoints: Some(view.routing.list()),
         suspects: newer_suspects(&view.routing, message),
-        control: view.control.clone(),
+        control: view.control_addresses.clone(),
         gateways: other_gateways(&core, message),
     })
 }
 
-/// Returns a table for a gateway; the document is for the operator alone.
+/// Returns a copy of a table without its document, which only operators need.
 fn without_document(table: &RouteTable) -> RouteTable {
     RouteTable {
         document: serde_bytes::ByteBuf::new(),
@@ -370,20 +374,20 @@
 fn update(core: &Core, message: &WatchRoutes) -> RoutesUpdate {
     let view = core.driver.view.load();
     let routing = &view.routing;
-    let has_table = routing.table_number() > message.table_number;
-    let table = routing.table().filter(|_| has_table);
-    let has_endpoints = routing.endpoints_version() > message.endpoints_version;
+    let is_table_newer = routing.table_number() > message.table_number;
+    let table = routing.table().filter(|_| is_table_newer);
+    let are_endpoints_newer = routing.endpoints_version() > message.endpoints_version;
     RoutesUpdate {
         table: table.map(|table| without_document(table)),
-        endpoints: has_endpoints.then(|| routing.list()),
+        endpoints: are_endpoints_newer.then(|| routing.list()),
         suspects: newer_suspects(routing, message),
-        control: view.control.clone(),
+        control: view.control_addresses.clone(),
         gateways: other_gateways(core, message),
     }
 }
 
 fn newer_suspects(routing: &Routing, message: &WatchRoutes) -> Option<SuspectList> {
-    // Programs that know no suspected requests name no version.
+    // Versions that don't know suspected requests send no version.
     let held = message.suspects_version?;
     routing.suspects().changes_since(held)
 }
--- a/crates/control/src/soft.rs
+++ b/crates/control/src/soft_state.rs
@@ -1,4 +1,4 @@
-//! Holds what is not in the log: the members, and the sums of service.
+//! State that is not in the log: the members, and the sums of service.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,46 +10,51 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-use crate::directory::Directory;
-use crate::refused::RefusedReports;
+use crate::directory::GatewayDirectory;
+use crate::refused_reports::RefusedReports;
 
-/// Pools whose sums are kept; a report on further ones is refused, so that wrong names can't fill the memory.
+/// Maximum number of pools with sums; reports on further pools are refused, so that wrong names can't exhaust the memory.
 pub(crate) const MAX_POOLS: usize = 256;
 
-/// Gateways that are named to one which loses control. Where a quarter of the gateways are beside control instances, and so may be cut
-/// off as well, three of them are all such ones in one case of 64.
-const MOST_WATCHERS_NAMED: usize = 3;
+/// Maximum number of gateway addresses that a gateway gets, to use when it loses control.
+///
+/// Gateways next to control instances may be partitioned off together with them. Where these are a quarter of all
+/// gateways, three random ones are all of that kind in one case of 64.
+const MAX_WATCHERS_RETURNED: usize = 3;
 
-/// Time after its last watch for which a gateway is named: watches end within a second, and one that has lost this instance
-/// may be reached all the same.
-const REMEMBER_WATCHERS: Duration = Duration::from_secs(10);
+/// Time after its last watch for which a gateway's address is handed out.
+///
+/// Watches end within a second, and a gateway that has lost this instance may still be reachable by others.
+const WATCHER_TTL: Duration = Duration::from_secs(10);
 
-/// Gateways of a data centre that are named to another one there.
-const MOST_NEARBY_NAMED: usize = 32;
+/// Maximum number of gateways of a data centre that another one there gets.
+const MAX_NEARBY_RETURNED: usize = 32;
 
-/// Time for which a gateway of a data centre is named: each one asks one control instance after the other, so that minutes may lie between.
-const REMEMBER_NEARBY: Duration = Duration::from_mins(3);
+/// Time for which a gateway's address is handed out within its data centre.
+///
+/// A gateway contacts the control instances one after another, so minutes may pass between its calls to this one.
+const NEARBY_TTL: Duration = Duration::from_mins(3);
 
-/// Holds the leader's own members, or the list that a follower has of them.
+/// The soft state of a control instance: members and sums on the leader, the replicated member list on a follower.
 #[derive(Debug)]
-pub(crate) struct Soft {
-    /// Term of the members and sums; 0 when this instance doesn't lead.
+pub(crate) struct SoftState {
+    /// Term of the members and sums, or 0 when this instance doesn't lead.
     pub(crate) term: u64,
     pub(crate) members: Option<Members>,
     pub(crate) followed: Roster,
     pub(crate) totals: BTreeMap<Box<str>, Totals>,
-    /// When the endpoints were last heard of.
+    /// When each endpoint last reported.
     pub(crate) heard: LastReports,
-    /// Reports of endpoints that this instance refused.
+    /// Count of endpoint reports that this instance refused.
     pub(crate) refused_reports: RefusedReports,
-    /// Gateways that follow this instance.
-    pub(crate) watchers: Directory,
-    /// Gateways that take requests of each other, by data centre.
-    pub(crate) nearby: BTreeMap<Box<str>, Directory>,
+    /// Gateways that watch this instance.
+    pub(crate) watchers: GatewayDirectory,
+    /// Gateways that accept requests from each other, by data centre.
+    pub(crate) nearby: BTreeMap<Box<str>, GatewayDirectory>,
     pub(crate) rng: StdRng,
 }
 
-impl Soft {
+impl SoftState {
     pub(crate) fn new() -> Self {
         Self {
             term: 0,
@@ -58,30 +63,30 @@
             totals: BTreeMap::new(),
             heard: LastReports::default(),
             refused_reports: RefusedReports::default(),
-            watchers: Directory::new(REMEMBER_WATCHERS, MOST_WATCHERS_NAMED),
+            watchers: GatewayDirectory::new(WATCHER_TTL, MAX_WATCHERS_RETURNED),
             nearby: BTreeMap::new(),
             rng: StdRng::seed_from_u64(rand::random()),
         }
     }
 
-    /// Returns the gateways of a data centre that take requests of each other.
-    pub(crate) fn nearby(&mut self, data_center: &str) -> &mut Directory {
-        let directory = || Directory::new(REMEMBER_NEARBY, MOST_NEARBY_NAMED);
+    /// Returns the gateways of a data centre that accept requests from each other.
+    pub(crate) fn nearby(&mut self, data_center: &str) -> &mut GatewayDirectory {
+        let directory = || GatewayDirectory::new(NEARBY_TTL, MAX_NEARBY_RETURNED);
         self.nearby
             .entry(data_center.into())
             .or_insert_with(directory)
     }
 
-    /// Begins a term as leader, with the members that this instance followed.
-    pub(crate) fn lead(&mut self, term: u64, now: Duration, rules: LeaseLimits) {
-        self.give_up();
+    /// Begins a term as the leader, starting from the member list that this instance followed.
+    pub(crate) fn begin_term(&mut self, term: u64, now: Duration, rules: LeaseLimits) {
+        self.end_term();
         self.term = term;
         self.members = Some(Members::open(term, now, rules, &self.followed));
         self.totals.clear();
     }
 
-    /// Ends a term as leader; the members of it are what is followed from now on.
-    pub(crate) fn give_up(&mut self) {
+    /// Ends a term as the leader; its members become the followed list.
+    pub(crate) fn end_term(&mut self) {
         if let Some(members) = self.members.take() {
             self.followed = members.roster().clone();
         }
@@ -98,7 +103,7 @@
         }
     }
 
-    /// Takes in a delta of the leader's list, and returns whether a full one is needed.
+    /// Applies a delta of the leader's member list, and returns whether a full list is needed.
     pub(crate) fn adopt(&mut self, delta: &MembersDelta) -> bool {
         self.followed.adopt(delta) == Adopted::NeedsFull
     }
@@ -119,7 +124,7 @@
         roster.version()
     }
 
-    /// Merges a report of sums as the root.
+    /// Merges a report of service sums as the root of the aggregation.
     pub(crate) fn merge(&mut self, now: Duration, report: &ServiceReport) -> Option<ServiceTotals> {
         if self.totals.len() >= MAX_POOLS && !self.totals.contains_key(&report.pool) {
             return None;
--- a/crates/control/src/suspect_calls.rs
+++ b/crates/control/src/suspect_calls.rs
@@ -1,4 +1,4 @@
-//! Takes in which requests endpoints ended under, and which of those have completed since.
+//! Records under which requests endpoints ended, and which of those requests have completed since.
 
 use std::sync::Arc;
 
@@ -13,32 +13,35 @@
 use viz::Router;
 
 use crate::core::Core;
-use crate::driver::Refused;
+use crate::driver::LogError;
 use crate::operators::Operator;
-use crate::peer_calls::{at_leader, both};
-use crate::route::Slot;
+use crate::peer_calls::{add_leader_call, answer_or_forward};
+use crate::route::StateCell;
 
 const SUSPECTS: &str = "/suspects";
 
-/// Most requests of one answer to an operator.
+/// Maximum number of requests in one reply to an operator.
 const MAX_LISTED: usize = 1_000;
 
-/// Path on which a gateway tells of ends under requests.
+/// Path on which a gateway reports endpoints that ended under requests.
 pub const NOTE_SUSPECTS_PATH: &str = "/v1/suspects";
 
-/// Adds the calls of peers.
-pub(crate) fn add(router: Router, key: &ClusterKey, core: &Slot<Core>) -> Router {
-    both(router, SUSPECTS, key, core, note, note_here)
+/// Adds the routes for peers.
+pub(crate) fn add(router: Router, key: &ClusterKey, core: &StateCell<Core>) -> Router {
+    add_leader_call(router, SUSPECTS, key, core, note, note_as_leader)
 }
 
 async fn note(core: Arc<Core>, message: NoteSuspects) -> Result<SuspectsNoted, StatusCode> {
-    at_leader(core, SUSPECTS, message, note_here).await
+    answer_or_forward(core, SUSPECTS, message, note_as_leader).await
 }
 
-async fn note_here(core: Arc<Core>, message: NoteSuspects) -> Result<SuspectsNoted, StatusCode> {
+async fn note_as_leader(
+    core: Arc<Core>,
+    message: NoteSuspects,
+) -> Result<SuspectsNoted, StatusCode> {
     let command = {
         let view = core.driver.view.load();
-        news(&message, view.routing.suspects())?
+        new_records(&message, view.routing.suspects())?
     };
     if command.ends.is_empty() && command.completed.is_empty() {
         return Ok(SuspectsNoted {});
@@ -49,7 +52,7 @@
         for request in requests {
             warn!(
                 Part::Control,
-                "A request is held, since endpoints ended under it; gateways turn it away.",
+                "A request is held because endpoints ended under it; gateways reject it.",
                 request = request,
                 told_by = message.instance
             );
@@ -58,12 +61,12 @@
     Ok(SuspectsNoted {})
 }
 
-/// Answers an operator with the requests that endpoints ended under, after the release of one where that is asked for.
+/// Lists for an operator the requests that endpoints ended under, after releasing one if asked to.
 pub(crate) async fn answer_operator(
     core: Arc<Core>,
     operator: Operator,
     ask: AskSuspects,
-) -> Result<SuspectsReply, Refused> {
+) -> Result<SuspectsReply, LogError> {
     let release = ask.release.and_then(|key| key.parse().ok());
     if let Some(request) = release {
         let command = SuspectsCommand {
@@ -78,17 +81,17 @@
             operator = operator.name
         );
     }
-    let records = core.ask(|state, _| state.routing().suspects().records(MAX_LISTED));
+    let records = core.read(|state, _| state.routing().suspects().records(MAX_LISTED));
     let suspects = records.await?;
     Ok(SuspectsReply::Suspects(SuspectRecords { suspects }))
 }
 
-/// Returns what a message tells that is not known yet.
+/// Returns the records of a message that are not known yet.
 ///
 /// # Errors
 ///
-/// Returns a status when a key can't be read.
-fn news(message: &NoteSuspects, known: &Suspects) -> Result<SuspectsCommand, StatusCode> {
+/// Returns a status when a key can't be parsed.
+fn new_records(message: &NoteSuspects, known: &Suspects) -> Result<SuspectsCommand, StatusCode> {
     let bad = |_not_a_key| StatusCode::BAD_REQUEST;
     let ends: Result<Vec<_>, _> = message.ends.iter().map(read_end).collect();
     let completed: Result<Vec<RequestKey>, _> =
--- a/crates/control/src/upgrade.rs
+++ b/crates/control/src/upgrade.rs
@@ -1,7 +1,7 @@
-//! Moves nightly upgrades and planned stops on, as the leader.
+//! Advances nightly upgrades and planned stops, on the leader.
 //!
-//! Each look reads the log, the folder and the announcements, decides, and proposes what is due. Nothing is kept from one
-//! look to the next but the merged folder, which is the same wherever it is merged.
+//! Each run reads the log, the folder and the announcements, decides, and proposes the next steps. Nothing is kept
+//! between runs except the merged folder, which is the same wherever it is merged.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -14,26 +14,26 @@
 use hinge_telemetry::{info, warn};
 use hinge_upgrade::{Decision, Endpoint, Fleet, decide};
 
-use crate::core::{Core, Place, wall_ms};
-use crate::driver::Refused;
+use crate::core::{Core, Leadership, unix_now_ms};
+use crate::driver::LogError;
 
 #[cfg(test)]
 mod tests;
 
-/// Holds the merged folder, and whether a look is under way.
+/// The upgrade planner, with the cached merged folder and whether a run is in progress.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Planner(Arc<Kept>);
+pub(crate) struct Planner(Arc<PlannerState>);
 
 #[derive(Debug, Default)]
-struct Kept {
-    is_looking: AtomicBool,
+struct PlannerState {
+    is_running: AtomicBool,
     merged: Mutex<Option<(u64, Arc<Effective>)>>,
-    /// Instances whose deadline has passed, so that each is logged once.
+    /// Instances past their deadline, so that each is logged once.
     late: Mutex<BTreeSet<InstanceName>>,
 }
 
-/// Holds what the log says.
-struct FromLog {
+/// The inputs to the planner that come from the log.
+struct LogState {
     folder: Folder,
     upgrades: hinge_state::Upgrades,
     orders: BTreeMap<OrderId, OrderRecord>,
@@ -41,7 +41,7 @@
     now_ms: WallMs,
 }
 
-impl FromLog {
+impl LogState {
     fn read(state: &State) -> Self {
         Self {
             folder: state.changes().folder().clone(),
@@ -53,30 +53,30 @@
     }
 }
 
-/// Describes a live member beside what it announces.
-struct Seen {
+/// A live member, and what control knows of it beyond its announcement.
+struct LiveMember {
     member: Member,
-    /// Whether it is kept out of the list, because it flaps or isn't published yet.
+    /// Whether it is kept out of the published list, because it flaps or isn't published yet.
     is_held_back: bool,
-    /// What runs there, as far as it is known.
+    /// Number of running requests, if known.
     running: Option<u32>,
 }
 
 impl Planner {
-    /// Looks once, unless the last look is still under way.
-    pub(crate) fn look(&self, core: &Arc<Core>) {
-        if self.0.is_looking.swap(true, Ordering::AcqRel) {
+    /// Starts a run, unless the last one is still in progress.
+    pub(crate) fn run(&self, core: &Arc<Core>) {
+        if self.0.is_running.swap(true, Ordering::AcqRel) {
             return;
         }
         let (planner, core) = (self.clone(), Arc::clone(core));
         tokio::spawn(async move {
-            // Whatever is lost on the way is decided again at the next look.
-            let _may_be_lost = planner.move_on(&core).await;
-            planner.0.is_looking.store(false, Ordering::Release);
+            // A lost proposal is decided again in the next run.
+            let _may_be_lost = planner.step(&core).await;
+            planner.0.is_running.store(false, Ordering::Release);
         });
     }
 
-    async fn move_on(&self, core: &Arc<Core>) -> Result<(), Refused> {
+    async fn step(&self, core: &Arc<Core>) -> Result<(), LogError> {
         let decision = self.decide(core).await?;
         self.log_late(&decision);
         if let Some(command) = decision.command {
@@ -86,12 +86,12 @@
         Ok(())
     }
 
-    /// Answers an operator.
+    /// Returns the status of upgrades and planned stops for an operator.
     pub(crate) async fn report(
         &self,
         core: &Arc<Core>,
         ask: &AskUpgrades,
-    ) -> Result<Upgrades, Refused> {
+    ) -> Result<Upgrades, LogError> {
         let decision = self.decide(core).await?;
         let is_asked = |name: &str| ask.name.is_empty() || *ask.name == *name;
         let plans = decision.plans.iter().filter(|plan| is_asked(&plan.plan));
@@ -102,25 +102,25 @@
         })
     }
 
-    async fn decide(&self, core: &Arc<Core>) -> Result<Decision, Refused> {
-        let Place::Here(term) = core.place() else {
-            return Err(Refused::NotLeader);
+    async fn decide(&self, core: &Arc<Core>) -> Result<Decision, LogError> {
+        let Leadership::Local(term) = core.leadership() else {
+            return Err(LogError::NotLeader);
         };
-        let seen = live(core, term).ok_or(Refused::NotLeader)?;
-        let log = core.ask(|state, _| FromLog::read(state)).await?;
+        let live = live_members(core, term).ok_or(LogError::NotLeader)?;
+        let log = core.read(|state, _| LogState::read(state)).await?;
         let planner = self.clone();
-        // Merging a large folder takes milliseconds, which the async threads don't have.
-        let decided = tokio::task::spawn_blocking(move || planner.decide_on(&seen, &log)).await;
-        decided.map_err(|_stopped| Refused::Stopped)?
+        // Merging a large folder takes milliseconds, too long for the async threads.
+        let decided = tokio::task::spawn_blocking(move || planner.decide_on(&live, &log)).await;
+        decided.map_err(|_stopped| LogError::Stopped)?
     }
 
-    fn decide_on(&self, seen: &[Seen], log: &FromLog) -> Result<Decision, Refused> {
-        let effective = self.merged(&log.folder).ok_or(Refused::Stopped)?;
-        let endpoints = seen
+    fn decide_on(&self, live: &[LiveMember], log: &LogState) -> Result<Decision, LogError> {
+        let effective = self.merged(&log.folder).ok_or(LogError::Stopped)?;
+        let endpoints = live
             .iter()
-            .map(|seen| (&*seen.member.instance, seen.into()));
+            .map(|live| (&*live.member.instance, live.into()));
         Ok(decide(&Fleet {
-            now_ms: wall_ms().max(log.now_ms),
+            now_ms: unix_now_ms().max(log.now_ms),
             config_version: log.folder.version(),
             effective: &effective,
             endpoints: endpoints.collect(),
@@ -130,7 +130,8 @@
         }))
     }
 
-    /// Returns the merged folder; one that a later program accepted may not be valid here, and then nothing is decided.
+    /// Returns the merged folder, or `None` if a newer version accepted one that is not valid here; nothing is decided
+    /// then.
     fn merged(&self, folder: &Folder) -> Option<Arc<Effective>> {
         let mut merged = self.0.merged.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some((version, effective)) = &*merged
@@ -163,28 +164,28 @@
     }
 }
 
-/// Returns the live members, once every live process had the time to announce itself to this leader.
-fn live(core: &Core, term: u64) -> Option<Vec<Seen>> {
+/// Returns the live members, once every live process has had the time to announce itself to this leader.
+fn live_members(core: &Core, term: u64) -> Option<Vec<LiveMember>> {
     let soft = core.soft();
     let members = soft.members.as_ref().filter(|_| soft.term == term)?;
     if !members.is_complete() {
         return None;
     }
     let roster = members.roster();
-    let seen = members.live().map(|member| {
+    let live = members.live().map(|member| {
         let listed = roster.get(&member.instance);
-        Seen {
+        LiveMember {
             member: member.clone(),
             is_held_back: listed.is_none_or(|listed| listed.leaving && !member.leaving),
             running: members.running(&member.instance),
         }
     });
-    Some(seen.collect())
+    Some(live.collect())
 }
 
-impl<'a> From<&'a Seen> for Endpoint<'a> {
-    fn from(seen: &'a Seen) -> Self {
-        let member = &seen.member;
+impl<'a> From<&'a LiveMember> for Endpoint<'a> {
+    fn from(live: &'a LiveMember) -> Self {
+        let member = &live.member;
         Self {
             instance: &member.instance,
             incarnation: member.incarnation,
@@ -193,8 +194,8 @@
             pool: &member.pool,
             model_version: &member.model_version,
             is_leaving: member.leaving,
-            is_ejected: seen.is_held_back || member.ejected == Some(true),
-            running: seen.running,
+            is_ejected: live.is_held_back || member.ejected == Some(true),
+            running: live.running,
         }
     }
 }
@@ -206,7 +207,7 @@
                 instance, progress, ..
             } => info!(
                 Part::Control,
-                "An upgrade moves on.",
+                "An upgrade advances.",
                 plan = progress.plan,
                 instance = instance,
                 step = progress.step
--- a/crates/control/src/upgrade/tests.rs
+++ b/crates/control/src/upgrade/tests.rs
@@ -1,12 +1,12 @@
-//! Checks what the planner is told of a member.
+//! Tests the conversion of a live member to the planner's endpoint.
 
 use hinge_cases::cases;
 use hinge_schema::messages::{Member, Role};
 use hinge_upgrade::Endpoint;
 
-use super::Seen;
+use super::LiveMember;
 
-fn tells((ejected, is_held_back, is_ejected): (Option<bool>, bool, bool)) {
+fn check((ejected, is_held_back, is_ejected): (Option<bool>, bool, bool)) {
     let member = Member {
         instance: "llm-1".into(),
         incarnation: 1,
@@ -22,19 +22,19 @@
         running: Some(0),
         ejected,
     };
-    let seen = Seen {
+    let live = LiveMember {
         member,
         is_held_back,
         running: Some(1),
     };
-    let endpoint = Endpoint::from(&seen);
+    let endpoint = Endpoint::from(&live);
     assert_eq!(
         (endpoint.is_ejected, endpoint.running),
         (is_ejected, Some(1))
     );
 }
 
-cases! { tells:
+cases! { check:
     an_ejected_endpoint => (Some(true), false, true),
     an_endpoint_that_is_held_back => (Some(false), true, true),
     an_endpoint_that_is_well => (Some(false), false, false),
