--- a/crates/control/src/routing_calls.rs
+++ b/crates/control/src/routing_calls.rs
@@ -232,10 +232,10 @@
         });
     }
     // A report of an earlier incarnation must not keep a newer one listed that has fallen silent.
-    if !routing.is_of_the_past(&endpoint) {
-        core.soft().heard.note(core.now(), &endpoint.id);
+    if !routing.is_outdated(&endpoint) {
+        core.soft().heard.record(core.now(), &endpoint.id);
     }
-    if routing.is_news(&endpoint) {
+    if routing.is_change(&endpoint) {
         info!(
             Part::Control,
             "An endpoint reports news.",
@@ -246,7 +246,7 @@
             state = endpoint.state,
             sequence = endpoint.sequence
         );
-        change(&core, EndpointCommand::Note(endpoint)).await?;
+        change(&core, EndpointCommand::Report(endpoint)).await?;
     }
     Ok(noted(&core))
 }
@@ -264,7 +264,7 @@
         born_unix_ms: message.born_unix_ms,
     };
     let view = core.driver.view.load();
-    let ended = view.routing.meant(&incarnation);
+    let ended = view.routing.resolve(&incarnation);
     if !view.routing.is_retired(&ended.id, ended.born_unix_ms) {
         info!(
             Part::Control,
--- a/crates/control/src/soft_state.rs
+++ b/crates/control/src/soft_state.rs
@@ -6,7 +6,7 @@
 use hinge_fair::Totals;
 use hinge_schema::messages::{DrainRecord, MembersDelta, ServiceReport, ServiceTotals, Watch};
 use hinge_state::roster::Adopted;
-use hinge_state::{Heard, InstanceName, MemberRules, Members, Roster, service};
+use hinge_state::{InstanceName, LastReports, LeaseLimits, Members, Roster, service};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
@@ -44,7 +44,7 @@
     pub(crate) followed: Roster,
     pub(crate) totals: BTreeMap<Box<str>, Totals>,
     /// When each endpoint last reported.
-    pub(crate) heard: Heard,
+    pub(crate) heard: LastReports,
     /// Count of endpoint reports that this instance refused.
     pub(crate) refused_reports: RefusedReports,
     /// Gateways that watch this instance.
@@ -61,7 +61,7 @@
             members: None,
             followed: Roster::default(),
             totals: BTreeMap::new(),
-            heard: Heard::default(),
+            heard: LastReports::default(),
             refused_reports: RefusedReports::default(),
             watchers: GatewayDirectory::new(WATCHER_TTL, MAX_WATCHERS_RETURNED),
             nearby: BTreeMap::new(),
@@ -78,7 +78,7 @@
     }
 
     /// Begins a term as the leader, starting from the member list that this instance followed.
-    pub(crate) fn begin_term(&mut self, term: u64, now: Duration, rules: MemberRules) {
+    pub(crate) fn begin_term(&mut self, term: u64, now: Duration, rules: LeaseLimits) {
         self.end_term();
         self.term = term;
         self.members = Some(Members::open(term, now, rules, &self.followed));
--- a/crates/state/src/keys.rs
+++ b/crates/state/src/keys.rs
@@ -1,6 +1,8 @@
-//! Brings claims of idempotency keys from their messages to the key table and back.
+//! Conversion of idempotency key claims between messages and the key table.
 
-use hinge_outcome::keys::{ClaimAnswer, KeyOutcome as EndedAs, KeyRules, KeyTable, key_digest};
+use hinge_outcome::keys::{
+    ClaimAnswer, KeyOutcome as StoredOutcome, KeyRules, KeyTable, key_digest,
+};
 use hinge_outcome::{Holder, sidecar_id};
 use hinge_schema::messages::{
     ClaimBatchReply, ClaimKey, ClaimReply, ClaimVerdict, FinishKey, KeyOutcome,
@@ -8,10 +10,10 @@
 
 use crate::WallMs;
 
-/// Wait that a claimer is told whose key is running, in milliseconds; a request takes seconds.
+/// Retry delay for a claim whose key is already running; a request takes seconds.
 const RUNNING_RETRY_MS: u64 = 1000;
 
-/// Applies the ends and then the claims of a batch.
+/// Applies the outcomes and then the claims of a batch.
 pub(crate) fn apply(
     table: &mut KeyTable,
     rules: &KeyRules,
@@ -37,12 +39,12 @@
     let holder = holder(&end.sidecar, end.incarnation, end.claim_id);
     let key = key_digest(&end.key);
     let outcome = match end.outcome {
-        // The message carries neither status nor length; a duplicate is only told that the run completed.
-        KeyOutcome::Completed => EndedAs::Completed {
+        // The message carries neither status nor length; a duplicate request only learns that the first one completed.
+        KeyOutcome::Completed => StoredOutcome::Completed {
             status: 0,
             answer_bytes: 0,
         },
-        KeyOutcome::Failed => EndedAs::Failed,
+        KeyOutcome::Failed => StoredOutcome::Failed,
         KeyOutcome::NeverHandedOver => {
             table.release(&end.team, key, holder, now_ms);
             return;
@@ -65,8 +67,10 @@
         ClaimAnswer::AlreadyRunning { .. } => {
             (ClaimVerdict::AlreadyRunning, None, RUNNING_RETRY_MS)
         }
-        ClaimAnswer::Finished { outcome } => (ClaimVerdict::Finished, Some(name(*outcome)), 0),
-        // A claimer that has released its key meets its own earlier word; it must not run the request after all.
+        ClaimAnswer::Finished { outcome } => {
+            (ClaimVerdict::Finished, Some(outcome_name(*outcome)), 0)
+        }
+        // A claimer that has already released its key must not run the request after all.
         ClaimAnswer::Conflict | ClaimAnswer::Withdrawn => (ClaimVerdict::Conflict, None, 0),
         ClaimAnswer::Full { retry_after_ms } => (ClaimVerdict::Full, None, *retry_after_ms),
     };
@@ -77,11 +81,11 @@
     }
 }
 
-fn name(outcome: EndedAs) -> &'static str {
+fn outcome_name(outcome: StoredOutcome) -> &'static str {
     match outcome {
-        EndedAs::Completed { .. } => "completed",
-        EndedAs::Failed => "failed",
-        EndedAs::Unknown => "unknown",
+        StoredOutcome::Completed { .. } => "completed",
+        StoredOutcome::Failed => "failed",
+        StoredOutcome::Unknown => "unknown",
     }
 }
 
