--- a/crates/daemon/src/roles/admission.rs
+++ b/crates/daemon/src/roles/admission.rs
@@ -5,7 +5,7 @@
 
 use anyhow::{Context as _, Result, bail};
 use hinge_admission::{QueueLimits, Server};
-use hinge_platform::EngineReports;
+use hinge_platform::EngineClient;
 use hinge_telemetry::readiness::Reason;
 
 use crate::context::Context;
@@ -28,7 +28,7 @@
         kv_tokens: given.kv_tokens,
         max_wait_permille: given.turn_permille,
     };
-    let reports = given.engine.map(EngineReports::of);
+    let reports = given.engine.map(EngineClient::new);
     let engine = reports.map(|reports| (reports, super::millis(given.report_interval_ms)));
     let server = Server::bind(&address, limits, &context.key, &context.registry, engine)
         .await
