--- a/crates/control/src/open.rs
+++ b/crates/control/src/open.rs
@@ -87,7 +87,7 @@
                 Write::HardState(hard) => store.write(&[hinge_store::Write::HardState(hard)])?,
                 Write::Truncate { from } => store.write(&[hinge_store::Write::Truncate(from)])?,
                 Write::Append(entries) => store.write(&[hinge_store::Write::Append(entries)])?,
-                Write::MarkComplete => store.write(&[hinge_store::Write::Complete])?,
+                Write::MarkComplete => store.write(&[hinge_store::Write::MarkComplete])?,
                 Write::InstallSnapshot(snapshot) => {
                     store.write(&[hinge_store::Write::InstallSnapshot(snapshot)])?;
                 }
--- a/crates/store/src/format.rs
+++ b/crates/store/src/format.rs
@@ -32,7 +32,7 @@
 pub enum Origin {
     /// It is one of the first voters: its empty log is complete.
     Founder,
-    /// It joins as a learner: it is incomplete until [`Write::Complete`](crate::Write::Complete) is synced.
+    /// It joins as a learner: it is incomplete until [`Write::MarkComplete`](crate::Write::MarkComplete) is synced.
     Joiner,
 }
 
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -47,7 +47,7 @@
     /// Replaces the log through the snapshot's end by a leader's snapshot; durable when `write` returns.
     InstallSnapshot(Snapshot),
     /// Notes that a joiner now holds everything that it has to hold.
-    Complete,
+    MarkComplete,
 }
 
 /// Holds the open log of one instance.
@@ -234,8 +234,8 @@
                 self.put_record(Kind::HardState, &payload(hard_state))
             }
             Write::InstallSnapshot(snapshot) => self.put_snapshot(snapshot),
-            Write::Complete if self.shape.complete => Ok(()),
-            Write::Complete => {
+            Write::MarkComplete if self.shape.complete => Ok(()),
+            Write::MarkComplete => {
                 self.shape.complete = true;
                 self.put_record(Kind::Complete, &[])
             }
--- a/crates/store/tests/store/workload.rs
+++ b/crates/store/tests/store/workload.rs
@@ -53,7 +53,7 @@
         Write::Append(entries) => state.entries.extend(entries.iter().cloned()),
         Write::Truncate(from) => state.entries.retain(|entry| entry.index < *from),
         Write::HardState(hard_state) => state.hard_state = *hard_state,
-        Write::Complete => state.complete = true,
+        Write::MarkComplete => state.complete = true,
         Write::InstallSnapshot(snapshot) => {
             let place = (snapshot.last_index, snapshot.last_term);
             let agrees = state
@@ -93,7 +93,7 @@
             2 => steps.push(put(next - 1)),
             3 => steps.push(put(next - 3)),
             4 => steps.push(put(next + 10)),
-            5 => steps.push(vec![Write::Complete]),
+            5 => steps.push(vec![Write::MarkComplete]),
             _ => {}
         }
         next += if term == 4 { 11 } else { 0 };
