--- a/crates/store/benches/store.rs
+++ b/crates/store/benches/store.rs
@@ -1,6 +1,6 @@
-//! Measures commits by batch size and recoveries by log length, on real files and on the disk in memory.
+//! Benchmarks commits by batch size on real files and in memory, and recoveries by log length on real files.
 //!
-//! Set `TMPDIR` to choose the real disk. The sizes of the folders are printed before the timings.
+//! Set `TMPDIR` to choose the disk. The folder sizes are printed before the timings.
 
 use std::fs;
 use std::hint::black_box;
@@ -9,19 +9,19 @@
 
 use criterion::{BatchSize, BenchmarkId, Criterion, Throughput, criterion_group, criterion_main};
 use hinge_raft::{Entry, EntryKind, Index, Membership, Snapshot};
-use hinge_store::codec::HEAD_BYTES;
+use hinge_store::codec::RECORD_HEADER_BYTES;
 use hinge_store::fake::FakeDisk;
 use hinge_store::{Disk, FolderDisk, Identity, Options, Origin, Store, Write};
 use tempfile::TempDir;
 
-/// Length of a command in bytes: a lease or a claim with its key is about that long.
+/// Length of a command; a lease or a claim with its key has about this length.
 const COMMAND_BYTES: usize = 128;
 
-/// Length of the state in bytes: some 1,500 teams of 170 bytes.
+/// Length of a snapshot's state; about 1,500 teams of 170 bytes each.
 const STATE_BYTES: usize = 256 << 10;
 
-/// Entries behind the snapshot in the runs with one.
-const ENTRIES_BEHIND: Index = 50;
+/// Number of entries after the snapshot, in the runs that have one.
+const ENTRIES_AFTER_SNAPSHOT: Index = 50;
 
 const LOG_LENGTHS: [Index; 3] = [100, 1_000, 10_000];
 const BATCH_LENGTHS: [Index; 5] = [1, 4, 16, 64, 256];
@@ -44,18 +44,21 @@
 }
 
 fn create<D: Disk>(disk: D) -> Store<D> {
-    let made = Store::create(disk, &identity(), 7, Origin::Founder, Options::default());
-    made.expect("an empty folder takes a store").0
+    let created = Store::create(disk, &identity(), 7, Origin::Founder, Options::default());
+    created
+        .expect("a store can be created in an empty folder")
+        .0
 }
 
 fn folder_disk(folder: &Path) -> FolderDisk {
-    FolderDisk::open(&folder.join("data")).expect("a temporary folder takes a data folder")
+    FolderDisk::open(&folder.join("data"))
+        .expect("a data folder can be created in a temporary folder")
 }
 
-/// Fills a store with entries, and a snapshot shortly before the end if one is wanted.
+/// Fills a store with entries, and optionally takes a snapshot shortly before the end.
 fn fill<D: Disk>(store: &mut Store<D>, length: Index, with_snapshot: bool) {
     let covered = if with_snapshot {
-        length - ENTRIES_BEHIND
+        length - ENTRIES_AFTER_SNAPSHOT
     } else {
         length
     };
@@ -120,12 +123,13 @@
     let path = folder.path().join("data/segment-0000000000000001");
     let open = || Store::open(folder_disk(folder.path()), &identity(), Options::default());
     group.bench_function("without a mark/10000", |bencher| {
-        // As after a loss of power: without the mark the segment is written again.
+        // As after a power failure: without the sync mark, recovery rewrites the segment.
         let tear = || {
             let file = fs::OpenOptions::new().write(true).open(&path);
-            let bytes = fs::metadata(&path).expect("it is there").len() - HEAD_BYTES as u64;
+            let bytes =
+                fs::metadata(&path).expect("it is there").len() - RECORD_HEADER_BYTES as u64;
             file.and_then(|file| file.set_len(bytes))
-                .expect("it can be cut");
+                .expect("it can be truncated");
         };
         bencher.iter_batched(
             tear,
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,25 +1,25 @@
-//! Names what the store needs of a disk, and gives it over a real folder.
+//! The file operations that the store needs, as a trait and over a real folder.
 
 use std::collections::HashMap;
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// Name of the file that carries the lock of the folder.
+/// Name of the file whose lock marks the folder as in use.
 const LOCK_NAME: &str = "lock";
 
-/// Reads and changes the files of one flat folder.
+/// The files of one flat folder.
 ///
 /// Nothing is durable before `sync_file` (the bytes of a file) and `sync_folder` (names: create, rename, remove) return.
 /// A rename is atomic. Files are named without a path.
 pub trait Disk {
-    /// Takes the lock of the folder until this value is dropped; returns false if another holder has it.
+    /// Locks the folder until this value is dropped; returns false if another holder has the lock.
     ///
     /// # Errors
     /// Fails if the lock file can't be opened or locked for another reason.
     fn lock(&mut self) -> io::Result<bool>;
 
-    /// Returns the names of the files, in any order, without the lock file.
+    /// Returns the names of all files except the lock file, in any order.
     ///
     /// # Errors
     /// Fails if the folder can't be read.
@@ -31,13 +31,13 @@
     /// Fails if the file is missing or can't be read.
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>>;
 
-    /// Makes an empty file, or empties the one of that name.
+    /// Creates an empty file, or truncates the one of that name.
     ///
     /// # Errors
-    /// Fails if the file can't be made.
+    /// Fails if the file can't be created.
     fn create(&mut self, name: &str) -> io::Result<()>;
 
-    /// Adds bytes at the end of a file; after an error any part of them may be there.
+    /// Appends bytes to a file; after an error any part of them may have been written.
     ///
     /// # Errors
     /// Fails if not all bytes were written.
@@ -46,16 +46,16 @@
     /// Makes the bytes of a file durable.
     ///
     /// # Errors
-    /// Fails if the disk doesn't confirm; the bytes then count as lost.
+    /// Fails if the disk doesn't confirm the sync; the bytes then count as lost.
     fn sync_file(&mut self, name: &str) -> io::Result<()>;
 
     /// Makes created, renamed and removed names durable.
     ///
     /// # Errors
-    /// Fails if the disk doesn't confirm.
+    /// Fails if the disk doesn't confirm the sync.
     fn sync_folder(&mut self) -> io::Result<()>;
 
-    /// Gives a file another name, and replaces the one that had it.
+    /// Renames a file, replacing any file that has the new name.
     ///
     /// # Errors
     /// Fails if the file is missing or the folder can't be changed.
@@ -68,41 +68,41 @@
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
 
-/// Is a real folder.
+/// A folder of the file system.
 #[derive(Debug)]
 pub struct FolderDisk {
     folder: PathBuf,
     lock: Option<File>,
-    /// Files written to, kept open: the system reports a failed write-back to handles that were open at that time.
-    open: HashMap<Box<str>, File>,
+    /// Handles of written files, kept open: the kernel reports a failed write-back only to handles open at that time.
+    open_files: HashMap<Box<str>, File>,
 }
 
 impl FolderDisk {
-    /// Opens a folder, and makes it if it is missing.
+    /// Opens a folder, creating it if it is missing.
     ///
     /// # Errors
-    /// Fails if the folder can't be made.
+    /// Fails if the folder can't be created.
     pub fn open(folder: &Path) -> io::Result<Self> {
         fs::create_dir_all(folder)?;
-        // The name of a new folder lives in its parent, and needs a sync of its own.
+        // A new folder's name is an entry of its parent, which needs a sync of its own.
         if let Some(parent) = folder.canonicalize()?.parent() {
             File::open(parent)?.sync_all()?;
         }
         Ok(Self {
             folder: folder.to_path_buf(),
             lock: None,
-            open: HashMap::new(),
+            open_files: HashMap::new(),
         })
     }
 
     fn handle(&mut self, name: &str) -> io::Result<&mut File> {
-        if !self.open.contains_key(name) {
+        if !self.open_files.contains_key(name) {
             let path = self.folder.join(name);
             let file = OpenOptions::new().append(true).open(path)?;
-            self.open.insert(name.into(), file);
+            self.open_files.insert(name.into(), file);
         }
         Ok(self
-            .open
+            .open_files
             .get_mut(name)
             .expect("the handle was inserted above"))
     }
@@ -133,7 +133,7 @@
         let mut names = Vec::new();
         for item in fs::read_dir(&self.folder)? {
             let item = item?;
-            // A sub-folder (`lost+found` of a mount, for one) and a name that isn't text can't be ours.
+            // Skips what the store never creates: subfolders (such as a mount's `lost+found`) and names that aren't UTF-8.
             if !item.file_type()?.is_file() {
                 continue;
             }
@@ -152,9 +152,9 @@
 
     fn create(&mut self, name: &str) -> io::Result<()> {
         let path = self.folder.join(name);
-        // A truncating open followed by an appending one: `append` and `truncate` exclude each other.
+        // Two opens, since `OpenOptions` doesn't allow `append` with `truncate`.
         drop(File::create(&path)?);
-        self.open.remove(name);
+        self.open_files.remove(name);
         self.handle(name).map(|_| ())
     }
 
@@ -163,7 +163,7 @@
     }
 
     fn sync_file(&mut self, name: &str) -> io::Result<()> {
-        // `sync_data` also writes the length of the file, which is all that a read needs.
+        // `sync_data` also flushes the file's length, the only metadata that a later read needs.
         self.handle(name)?.sync_data()
     }
 
@@ -173,15 +173,15 @@
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
         fs::rename(self.folder.join(from), self.folder.join(to))?;
-        self.open.remove(to);
-        if let Some(file) = self.open.remove(from) {
-            self.open.insert(to.into(), file);
+        self.open_files.remove(to);
+        if let Some(file) = self.open_files.remove(from) {
+            self.open_files.insert(to.into(), file);
         }
         Ok(())
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        self.open.remove(name);
+        self.open_files.remove(name);
         fs::remove_file(self.folder.join(name))
     }
 }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,4 +1,4 @@
-//! Says what went wrong, and what the operator does about it.
+//! Errors of the store; their messages tell the operator what to do.
 
 use std::error::Error;
 use std::fmt::{self, Display, Formatter};
@@ -6,34 +6,34 @@
 
 use hinge_raft::types::{HardState, Index, NodeId, Term};
 
-/// Says what is damaged in a folder.
+/// Damage found in a data folder.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Damage {
-    /// A record is bad, and what follows proves that it was synced.
+    /// A record is invalid, and later records prove that it was synced.
     Record {
-        /// File that holds it.
+        /// File that contains it.
         file: Box<str>,
         /// Offset of the record, in bytes.
         offset: u64,
     },
-    /// A whole record contradicts those before it.
+    /// A valid record contradicts those before it.
     Sequence {
-        /// File that holds it.
+        /// File that contains it.
         file: Box<str>,
         /// Offset of the record, in bytes.
         offset: u64,
     },
-    /// The start of a file that was synced before it got its name is bad.
+    /// The start of a file is invalid, although files are synced before they are renamed into place.
     Start {
         /// The file.
         file: Box<str>,
     },
-    /// A file that must be there is missing.
+    /// A required file is missing.
     Missing {
         /// The file.
         file: Box<str>,
     },
-    /// A file belongs to another incarnation or instance than the folder.
+    /// A file belongs to a different instance or incarnation than the folder does.
     Stray {
         /// The file.
         file: Box<str>,
@@ -45,27 +45,27 @@
         match self {
             Self::Record { file, offset } => write!(
                 f,
-                "{file} holds a bad record at byte {offset} that was synced"
+                "{file} has an invalid record at byte {offset} that had been synced"
             ),
             Self::Sequence { file, offset } => write!(
                 f,
-                "{file} holds a record at byte {offset} that contradicts those before it"
+                "{file} has a record at byte {offset} that contradicts those before it"
             ),
-            Self::Start { file } => write!(f, "{file} has a bad start"),
+            Self::Start { file } => write!(f, "{file} has an invalid start"),
             Self::Missing { file } => write!(f, "{file} is missing"),
             Self::Stray { file } => write!(f, "{file} belongs to another instance or incarnation"),
         }
     }
 }
 
-/// Says why a folder can't be used.
+/// The reason why a data folder can't be used.
 #[derive(Debug)]
 pub enum OpenError {
-    /// The folder holds no store.
+    /// The folder contains no store.
     Empty,
-    /// The folder holds a store already, where a fresh one was asked for.
+    /// The folder already contains a store, but a new one was to be created.
     NotEmpty,
-    /// Another process holds the folder.
+    /// Another process has locked the folder.
     Locked,
     /// The folder belongs to another cluster or instance.
     OtherOwner {
@@ -74,22 +74,22 @@
         /// Cluster and instance expected.
         expected: Box<str>,
     },
-    /// The incarnation for a rejoin is the one that the folder had.
+    /// The incarnation given for a rejoin is one that the folder had before.
     SameIncarnation(NodeId),
-    /// A file has a later format.
+    /// A file has a later format version.
     NewerFormat {
         /// The file.
         file: Box<str>,
-        /// Its format.
+        /// Its format version.
         found: u32,
-        /// Latest format that this program reads.
+        /// Latest format version that this program reads.
         known: u32,
     },
-    /// Synced data is damaged; this incarnation must not go on.
+    /// Synced data is damaged; this incarnation must not continue.
     Damaged(Damage),
     /// The disk is full.
     NoSpace(io::Error),
-    /// The disk failed otherwise.
+    /// The disk failed in another way.
     Disk(io::Error),
 }
 
@@ -105,14 +105,14 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
             Self::Empty => f.write_str(
-                "the data folder holds no store: check the folder in the settings (is the disk mounted?); \
+                "the data folder contains no store: check the folder in the settings (is the disk mounted?); \
                  start a new instance as founder or as joiner only if it never had data, or has lost it",
             ),
             Self::NotEmpty => f.write_str(
-                "the data folder holds a store already: start the instance without asking for a fresh folder",
+                "the data folder already contains a store: start the instance without asking for a fresh folder",
             ),
             Self::Locked => f.write_str(
-                "another process uses the data folder: stop it, or give this process a folder of its own",
+                "another process uses the data folder: stop it, or give this process a different folder",
             ),
             Self::OtherOwner { found, expected } => write!(
                 f,
@@ -124,7 +124,7 @@
             ),
             Self::NewerFormat { file, found, known } => write!(
                 f,
-                "{file} has format {found} and this program reads up to {known}: start the newer program again",
+                "{file} has format version {found}, but this program reads up to {known}: start the newer program again",
             ),
             Self::Damaged(damage) => write!(
                 f,
@@ -137,7 +137,7 @@
             ),
             Self::Disk(error) => write!(
                 f,
-                "the disk failed ({error}): check the disk and the rights on the data folder, then start again",
+                "the disk failed ({error}): check the disk and the permissions of the data folder, then start again",
             ),
         }
     }
@@ -158,7 +158,9 @@
             WriteError::NoSpace(error) => Self::NoSpace(error),
             WriteError::SyncFailed(error) | WriteError::Disk(error) => Self::Disk(error),
             WriteError::OutOfOrder(_) | WriteError::TooLarge { .. } | WriteError::Poisoned => {
-                unreachable!("files that recovery builds hold only what was read or is fresh")
+                unreachable!(
+                    "recovery writes files directly, and only data that it read or that is new"
+                )
             }
         }
     }
@@ -174,46 +176,46 @@
     }
 }
 
-/// Says how a change contradicts the log; it is a fault of the caller.
+/// The way in which a change contradicts the log; always a bug in the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OutOfOrder {
-    /// The entry isn't the next one.
+    /// The entry doesn't have the next index.
     Append {
-        /// Index given.
+        /// Index of the entry.
         index: Index,
-        /// Index that the next entry takes.
+        /// Index of the next entry.
         next_index: Index,
     },
-    /// The entry's term is less than that before it.
+    /// The entry's term is less than that of the entry before it.
     Term {
-        /// Index given.
+        /// Index of the entry.
         index: Index,
-        /// Term given.
+        /// Term of the entry.
         term: Term,
         /// Term of the last entry.
         last_term: Term,
     },
-    /// The cut goes into the snapshot or starts behind the log.
+    /// The truncation would start within the snapshot or after the end of the log.
     Truncate {
-        /// First index to go.
+        /// First index to remove.
         from: Index,
         /// Last index that the snapshot covers.
         base_index: Index,
-        /// Index that the next entry takes.
+        /// Index of the next entry.
         next_index: Index,
     },
-    /// The hard state would step back, or change a vote.
+    /// The hard state would go back, or change a vote.
     HardState {
-        /// Hard state held.
+        /// Hard state in the store.
         held: HardState,
-        /// Hard state given.
+        /// Hard state in the change.
         given: HardState,
     },
-    /// The snapshot is older than the one held, or not one of this log.
+    /// The snapshot is older than the stored one, or doesn't belong to this log.
     Snapshot {
-        /// Last index of the snapshot given.
+        /// Last index of the new snapshot.
         index: Index,
-        /// Last index of the snapshot held.
+        /// Last index of the stored snapshot.
         base_index: Index,
     },
 }
@@ -222,7 +224,7 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
             Self::Append { index, next_index } => {
-                write!(f, "entry {index} given where {next_index} is next")
+                write!(f, "entry {index} was given, but {next_index} is next")
             }
             Self::Term {
                 index,
@@ -236,16 +238,16 @@
             } => {
                 write!(
                     f,
-                    "cut from {from} asked for, with {base_index} in the snapshot and {next_index} next"
+                    "truncation from {from} was requested, but the snapshot ends at {base_index} and the next index is {next_index}"
                 )
             }
             Self::HardState { held, given } => {
-                write!(f, "hard state {given:?} given after {held:?}")
+                write!(f, "hard state {given:?} can't follow {held:?}")
             }
             Self::Snapshot { index, base_index } => {
                 write!(
                     f,
-                    "snapshot through {index} doesn't follow the one through {base_index} or isn't of this log"
+                    "the snapshot through {index} doesn't follow the one through {base_index}, or doesn't belong to this log"
                 )
             }
         }
@@ -254,30 +256,30 @@
 
 impl Error for OutOfOrder {}
 
-/// Says why a change wasn't made.
+/// The reason why a change failed.
 #[derive(Debug)]
 pub enum WriteError {
-    /// The change contradicts the log; the changes before it in the call stay.
+    /// The change contradicts the log; earlier changes of the same call are kept.
     OutOfOrder(OutOfOrder),
-    /// The encoded entry or snapshot is longer than a record may be.
+    /// The encoded entry or snapshot exceeds the maximum record size.
     TooLarge {
         /// Length of the payload, in bytes.
         payload_bytes: usize,
-        /// Greatest length, in bytes.
+        /// Maximum length, in bytes.
         max_bytes: usize,
     },
     /// The disk is full; the store is poisoned.
     NoSpace(io::Error),
     /// A sync failed; the store is poisoned.
     SyncFailed(io::Error),
-    /// The disk failed otherwise; the store is poisoned.
+    /// The disk failed in another way; the store is poisoned.
     Disk(io::Error),
-    /// An earlier call failed, so nothing is known about what is on the disk.
+    /// An earlier call failed, so the contents of the disk are unknown.
     Poisoned,
 }
 
 impl WriteError {
-    /// Returns whether the process must stop: the store takes nothing more.
+    /// Returns whether the process must stop, since the store accepts no more changes.
     #[must_use]
     pub fn is_fatal(&self) -> bool {
         !matches!(self, Self::OutOfOrder(_) | Self::TooLarge { .. })
@@ -291,7 +293,7 @@
         }
     }
 
-    /// A sync may report a full disk too (delayed allocation), and then the data is lost all the same.
+    /// With delayed allocation a sync may report a full disk too; the data is lost in that case as well.
     pub(crate) fn from_sync(error: io::Error) -> Self {
         if is_full(&error) {
             Self::NoSpace(error)
@@ -304,9 +306,9 @@
 impl Display for WriteError {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
-            Self::OutOfOrder(order) => write!(f, "the change contradicts the log: {order}; report this as a fault of the program"),
+            Self::OutOfOrder(order) => write!(f, "the change contradicts the log: {order}; report this as a bug in the program"),
             Self::TooLarge { payload_bytes, max_bytes } => {
-                write!(f, "the change takes {payload_bytes} bytes and {max_bytes} is the most: split it")
+                write!(f, "the change has {payload_bytes} bytes, but the maximum is {max_bytes}: split it")
             }
             Self::NoSpace(error) => write!(
                 f,
@@ -315,13 +317,15 @@
             ),
             Self::SyncFailed(error) => write!(
                 f,
-                "a sync failed ({error}): what it covered is unknown, so the process must stop; check the disk, then start again",
+                "a sync failed ({error}): it is unknown which data is durable, so the process must stop; check the disk, \
+                 then start again",
             ),
             Self::Disk(error) => write!(
                 f,
-                "the disk failed ({error}): the process must stop; check the disk and the rights on the data folder, then start again",
+                "the disk failed ({error}): the process must stop; check the disk and the permissions of the data folder, \
+                 then start again",
             ),
-            Self::Poisoned => f.write_str("the store failed earlier and takes nothing more: stop the process and see the first error"),
+            Self::Poisoned => f.write_str("the store failed earlier and accepts no more changes: stop the process and see the first error"),
         }
     }
 }
--- a/crates/store/src/fake.rs
+++ b/crates/store/src/fake.rs
@@ -1,7 +1,7 @@
-//! Fakes a disk in memory that loses power, tears and reorders writes, fails syncs and fills up.
+//! An in-memory disk that simulates power failures, torn and reordered writes, failed syncs and a full disk.
 //!
-//! Each file has the bytes that a reader sees and those that are durable; so has the folder with its names. A cut of power
-//! keeps what is durable and, by seed, a part of the rest.
+//! Each file keeps the bytes that a reader sees and those that are durable, and the folder does the same for names. A power
+//! failure keeps what is durable and a part of the rest that the seed selects.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -9,10 +9,10 @@
 
 use crate::disk::Disk;
 
-/// Length of the pieces that a cut of power keeps or loses one by one, in bytes; less than a record, so that records tear.
-const PIECE_BYTES: usize = 16;
+/// Length of the fragments that a power failure keeps or loses separately; less than a record, so that records tear.
+const FRAGMENT_BYTES: usize = 16;
 
-/// Is a disk in memory; clones are handles to the same disk.
+/// An in-memory disk; clones are handles to the same disk.
 #[derive(Debug, Default)]
 pub struct FakeDisk {
     state: Arc<Mutex<State>>,
@@ -24,14 +24,14 @@
     files: Vec<File>,
     names: BTreeMap<Box<str>, usize>,
     durable_names: BTreeMap<Box<str>, usize>,
-    /// Changes of names since the last sync of the folder.
+    /// Changes to names since the last sync of the folder.
     name_changes: Vec<NameChange>,
-    /// Changing operations so far.
+    /// Number of modifying operations so far.
     operations: u64,
-    /// Operation from which on power is gone.
-    cut_at: Option<u64>,
-    /// Syncs that go well before one fails.
-    good_syncs: Option<u64>,
+    /// Operation in which the power fails.
+    cut_power_at: Option<u64>,
+    /// Number of syncs that succeed before one fails.
+    syncs_before_failure: Option<u64>,
     capacity_bytes: Option<usize>,
     is_locked: bool,
 }
@@ -50,28 +50,28 @@
     set: Option<(Box<str>, usize)>,
 }
 
-/// Says what a cut of power does to what wasn't synced.
+/// What a power failure does to unsynced changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Loss {
     /// All of it is lost.
     All,
     /// Nothing is lost.
     Nothing,
-    /// A part from the start survives, and ends anywhere.
-    Tail,
-    /// Pieces survive in any order; the others read as zeros or as noise.
-    Scattered,
+    /// A prefix survives, which may end anywhere.
+    Torn,
+    /// Fragments survive in any order; the others read as zeros or as noise.
+    Reordered,
 }
 
 impl Loss {
-    /// Lists every kind.
-    pub const KINDS: [Self; 4] = [Self::All, Self::Nothing, Self::Tail, Self::Scattered];
+    /// All variants.
+    pub const KINDS: [Self; 4] = [Self::All, Self::Nothing, Self::Torn, Self::Reordered];
 }
 
-/// Draws numbers from a seed (splitmix64), so that a failed case can be run again.
-struct Draws(u64);
+/// A seeded random number generator (splitmix64), so that a failed case can be repeated.
+struct SplitMix64(u64);
 
-impl Draws {
+impl SplitMix64 {
     fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mut word = self.0;
@@ -80,65 +80,65 @@
         word ^ (word >> 31)
     }
 
-    fn coin(&mut self) -> bool {
+    fn next_bool(&mut self) -> bool {
         self.next() & 1 == 1
     }
 
-    /// Returns a number from 0 through `most`.
-    fn up_to(&mut self, most: usize) -> usize {
-        usize::try_from(self.next() % (most as u64 + 1)).expect("the result isn't above a usize")
+    /// Returns a number from 0 to `most` inclusive.
+    fn next_up_to(&mut self, most: usize) -> usize {
+        usize::try_from(self.next() % (most as u64 + 1)).expect("the result is at most `most`")
     }
 }
 
 impl FakeDisk {
-    /// Makes an empty disk.
+    /// Creates an empty disk.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns how many changing operations there were.
+    /// Returns the number of modifying operations so far.
     #[must_use]
     pub fn operations(&self) -> u64 {
         self.state().operations
     }
 
-    /// Lets power go in the operation with this number, counted from 0 on.
-    pub fn cut_at(&self, operation: u64) {
-        self.state().cut_at = Some(operation);
+    /// Makes the power fail in the operation with this number, counted from 0.
+    pub fn cut_power_at(&self, operation: u64) {
+        self.state().cut_power_at = Some(operation);
     }
 
-    /// Lets a sync fail after so many good ones; its bytes are lost, and a later sync succeeds without them.
-    pub fn fail_sync_after(&self, good_syncs: u64) {
-        self.state().good_syncs = Some(good_syncs);
+    /// Makes one sync fail after `syncs_before_failure` successes; its bytes are lost, and later syncs succeed without them.
+    pub fn fail_sync_after(&self, syncs_before_failure: u64) {
+        self.state().syncs_before_failure = Some(syncs_before_failure);
     }
 
-    /// Limits the length of all files together.
+    /// Limits the total length of all files.
     pub fn set_capacity(&self, capacity_bytes: Option<usize>) {
         self.state().capacity_bytes = capacity_bytes;
     }
 
-    /// Ends the process: the lock goes, and what was written stays readable, synced or not.
+    /// Simulates a process restart: the lock is released, and everything written stays readable, synced or not.
     pub fn restart_process(&self) {
         let mut state = self.state();
         state.is_locked = false;
-        state.cut_at = None;
-        state.good_syncs = None;
+        state.cut_power_at = None;
+        state.syncs_before_failure = None;
     }
 
-    /// Cuts the power and brings it back: what wasn't synced is lost as `loss` says.
-    pub fn restart_power(&self, loss: Loss, seed: u64) {
+    /// Simulates a power failure and a restart; `loss` determines what happens to unsynced changes.
+    pub fn power_cycle(&self, loss: Loss, seed: u64) {
         self.restart_process();
-        let mut draws = Draws(seed);
+        let mut rng = SplitMix64(seed);
         let mut state = self.state();
         let changes = std::mem::take(&mut state.name_changes);
-        let kept_changes = draws.up_to(changes.len());
-        for (place, change) in changes.into_iter().enumerate() {
+        let kept_changes = rng.next_up_to(changes.len());
+        for (position, change) in changes.into_iter().enumerate() {
             let survives = match loss {
                 Loss::All => false,
                 Loss::Nothing => true,
-                Loss::Tail => place < kept_changes,
-                Loss::Scattered => draws.coin(),
+                Loss::Torn => position < kept_changes,
+                Loss::Reordered => rng.next_bool(),
             };
             if survives {
                 change.apply(&mut state.durable_names);
@@ -146,7 +146,7 @@
         }
         state.names = state.durable_names.clone();
         for file in &mut state.files {
-            file.lose(loss, &mut draws);
+            file.apply_loss(loss, &mut rng);
         }
     }
 
@@ -161,7 +161,7 @@
             .collect()
     }
 
-    /// Makes a disk that durably holds these files.
+    /// Creates a disk on which these files are durable.
     #[must_use]
     pub fn with_contents(contents: &BTreeMap<Box<str>, Vec<u8>>) -> Self {
         let disk = Self::new();
@@ -214,29 +214,29 @@
 }
 
 impl File {
-    fn lose(&mut self, loss: Loss, draws: &mut Draws) {
+    fn apply_loss(&mut self, loss: Loss, rng: &mut SplitMix64) {
         let pending = std::mem::take(&mut self.pending);
         let end = pending.last().map_or(0, |(offset, length)| offset + length);
-        let kept_end = draws.up_to(end);
-        let noise = draws.coin();
+        let kept_end = rng.next_up_to(end);
+        let noise = rng.next_bool();
         for (offset, length) in pending {
-            for start in (offset..offset + length).step_by(PIECE_BYTES) {
-                let stop = (start + PIECE_BYTES).min(offset + length);
+            for start in (offset..offset + length).step_by(FRAGMENT_BYTES) {
+                let stop = (start + FRAGMENT_BYTES).min(offset + length);
                 let kept = match loss {
                     Loss::All => continue,
                     Loss::Nothing => true,
-                    Loss::Tail if start >= kept_end => continue,
-                    Loss::Tail => {
-                        self.keep(start, stop.min(kept_end));
+                    Loss::Torn if start >= kept_end => continue,
+                    Loss::Torn => {
+                        self.make_durable(start, stop.min(kept_end));
                         continue;
                     }
-                    Loss::Scattered => draws.coin(),
+                    Loss::Reordered => rng.next_bool(),
                 };
                 if kept {
-                    self.keep(start, stop);
-                } else if noise && draws.coin() {
-                    self.keep(start, stop);
-                    let at = start + draws.up_to(stop - start - 1);
+                    self.make_durable(start, stop);
+                } else if noise && rng.next_bool() {
+                    self.make_durable(start, stop);
+                    let at = start + rng.next_up_to(stop - start - 1);
                     self.durable[at] ^= 0x55;
                 }
             }
@@ -244,8 +244,8 @@
         self.bytes = self.durable.clone();
     }
 
-    /// Makes a range durable; a gap before it reads as zeros.
-    fn keep(&mut self, start: usize, stop: usize) {
+    /// Makes a range of bytes durable; a gap before it reads as zeros.
+    fn make_durable(&mut self, start: usize, stop: usize) {
         let length = self.durable.len().max(stop);
         self.durable.resize(length, 0);
         self.durable[start..stop].copy_from_slice(&self.bytes[start..stop]);
@@ -253,27 +253,27 @@
 }
 
 impl State {
-    /// Counts a changing operation; returns false from the one on in which power goes.
-    fn step(&mut self) -> bool {
-        let has_power = self.cut_at.is_none_or(|at| self.operations < at);
+    /// Counts a modifying operation; returns false from the one in which the power fails.
+    fn count_operation(&mut self) -> bool {
+        let has_power = self.cut_power_at.is_none_or(|at| self.operations < at);
         self.operations += 1;
         has_power
     }
 
-    /// Returns an error if power went in this operation or before.
-    fn finish(&self) -> io::Result<()> {
-        if self.cut_at.is_some_and(|at| self.operations > at) {
+    /// Returns an error if the power failed in this operation or earlier.
+    fn check_power(&self) -> io::Result<()> {
+        if self.cut_power_at.is_some_and(|at| self.operations > at) {
             return Err(io::Error::other("power is gone"));
         }
         Ok(())
     }
 
-    /// Returns whether power went before this operation, so that it does nothing.
-    fn is_dark(&self) -> bool {
-        self.cut_at.is_some_and(|at| self.operations > at + 1)
+    /// Returns whether the power failed before this operation, which then has no effect.
+    fn is_powered_off(&self) -> bool {
+        self.cut_power_at.is_some_and(|at| self.operations > at + 1)
     }
 
-    fn id(&self, name: &str) -> io::Result<usize> {
+    fn file_id(&self, name: &str) -> io::Result<usize> {
         self.names
             .get(name)
             .copied()
@@ -289,15 +289,15 @@
         self.name_changes.push(change());
     }
 
-    /// Counts a sync; returns false if it fails.
-    fn sync_is_good(&mut self) -> bool {
-        match &mut self.good_syncs {
+    /// Counts a sync; returns false if it must fail.
+    fn count_sync(&mut self) -> bool {
+        match &mut self.syncs_before_failure {
             Some(0) => {
-                self.good_syncs = None;
+                self.syncs_before_failure = None;
                 false
             }
-            Some(left) => {
-                *left -= 1;
+            Some(remaining) => {
+                *remaining -= 1;
                 true
             }
             None => true,
@@ -334,28 +334,28 @@
 
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>> {
         let state = self.state();
-        let id = state.id(name)?;
+        let id = state.file_id(name)?;
         Ok(state.files[id].bytes.clone())
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
         let mut state = self.state();
-        state.step();
-        if !state.is_dark() {
+        state.count_operation();
+        if !state.is_powered_off() {
             let id = state.files.len();
             state.files.push(File::default());
             state.change_name(None, Some((name, id)));
         }
-        state.finish()
+        state.check_power()
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let mut state = self.state();
-        state.step();
-        if state.is_dark() {
-            return state.finish();
+        state.count_operation();
+        if state.is_powered_off() {
+            return state.check_power();
         }
-        let id = state.id(name)?;
+        let id = state.file_id(name)?;
         let written = bytes.len().min(state.free_bytes());
         let file = &mut state.files[id];
         let offset = file.bytes.len();
@@ -364,34 +364,34 @@
         if written < bytes.len() {
             return Err(io::ErrorKind::StorageFull.into());
         }
-        state.finish()
+        state.check_power()
     }
 
     fn sync_file(&mut self, name: &str) -> io::Result<()> {
         let mut state = self.state();
-        if !state.step() {
-            return state.finish();
+        if !state.count_operation() {
+            return state.check_power();
         }
-        let is_good = state.sync_is_good();
-        let id = state.id(name)?;
+        let succeeds = state.count_sync();
+        let id = state.file_id(name)?;
         let file = &mut state.files[id];
-        // As on real systems, a failed sync forgets what it didn't bring to the disk.
+        // As on real systems, a failed sync drops what it didn't write to the disk.
         let pending = std::mem::take(&mut file.pending);
-        if !is_good {
+        if !succeeds {
             return Err(io::Error::other("input/output error"));
         }
         for (offset, length) in pending {
-            file.keep(offset, offset + length);
+            file.make_durable(offset, offset + length);
         }
         Ok(())
     }
 
     fn sync_folder(&mut self) -> io::Result<()> {
         let mut state = self.state();
-        if !state.step() {
-            return state.finish();
+        if !state.count_operation() {
+            return state.check_power();
         }
-        if !state.sync_is_good() {
+        if !state.count_sync() {
             return Err(io::Error::other("input/output error"));
         }
         state.name_changes.clear();
@@ -401,21 +401,21 @@
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
         let mut state = self.state();
-        state.step();
-        if !state.is_dark() {
-            let id = state.id(from)?;
+        state.count_operation();
+        if !state.is_powered_off() {
+            let id = state.file_id(from)?;
             state.change_name(Some(from), Some((to, id)));
         }
-        state.finish()
+        state.check_power()
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
         let mut state = self.state();
-        state.step();
-        if !state.is_dark() {
-            state.id(name)?;
+        state.count_operation();
+        if !state.is_powered_off() {
+            state.file_id(name)?;
             state.change_name(Some(name), None);
         }
-        state.finish()
+        state.check_power()
     }
 }
--- a/crates/store/src/format.rs
+++ b/crates/store/src/format.rs
@@ -1,63 +1,63 @@
-//! Names the files and what the records hold.
+//! File names, record kinds and record payloads of the data folder.
 
 use hinge_raft::types::{Index, NodeId, Term};
 use serde::{Deserialize, Serialize};
 
 use crate::codec;
-use crate::shape::Shape;
+use crate::log_state::LogState;
 
-/// Name of the file that says whose folder this is.
+/// Name of the file that records the [`Owner`] of the folder.
 pub(crate) const IDENTITY_NAME: &str = "identity";
 
-/// Ending of files that are still being written; recovery removes them.
-pub(crate) const TEMPORARY_ENDING: &str = ".tmp";
+/// Suffix of files that are still being written; recovery removes them.
+pub(crate) const TEMPORARY_SUFFIX: &str = ".tmp";
 
-const SEGMENT_START: &str = "segment-";
-const SNAPSHOT_START: &str = "snapshot-";
+const SEGMENT_PREFIX: &str = "segment-";
+const SNAPSHOT_PREFIX: &str = "snapshot-";
 
-/// Number of the identity file in the checksums of its records; segments and snapshots count from 1.
-pub(crate) const IDENTITY_FILE: u64 = 0;
+/// File number of the identity file in its record checksums; segments and snapshots are numbered from 1.
+pub(crate) const IDENTITY_FILE_NUMBER: u64 = 0;
 
-/// Says whose folder it is.
+/// The cluster and instance that a folder belongs to.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// Names the cluster; all its instances carry the same.
+    /// ID of the cluster, shared by all its instances.
     pub cluster_id: Box<str>,
-    /// Names the instance within the cluster, across incarnations.
+    /// Name of the instance within the cluster, the same for all its incarnations.
     pub instance: Box<str>,
 }
 
-/// Says how a fresh folder's incarnation came to the cluster.
+/// How the incarnation of a new folder entered the cluster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Origin {
-    /// It is one of the first voters: its empty log is complete.
+    /// As one of the first voters, whose empty log is complete.
     Founder,
-    /// It joins as a learner: it is incomplete until [`Write::MarkComplete`](crate::Write::MarkComplete) is synced.
+    /// As a learner, incomplete until [`Write::MarkComplete`](crate::Write::MarkComplete) is synced.
     Joiner,
 }
 
-/// Says what a record holds.
+/// The kind of a record, which determines its payload.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Kind {
-    /// [`Header`], first of a segment.
+    /// [`SegmentHeader`], the first record of a segment.
     Header,
-    /// An entry.
+    /// A log entry.
     Entry,
-    /// The index from which entries go.
+    /// The index from which entries are removed.
     Truncate,
     /// The hard state.
     HardState,
-    /// [`Base`]: a snapshot took the place of the log through it.
+    /// [`SnapshotBase`]: a snapshot replaced the log up to this entry.
     Base,
-    /// Nothing; the instance holds everything now.
+    /// No payload; the instance now holds the complete log.
     Complete,
-    /// Nothing; ends a batch, which counts only with it.
+    /// No payload; ends a batch, which recovery ignores without it.
     BatchEnd,
-    /// Nothing; made after a sync, so that its head vouches for all before it.
-    Mark,
-    /// Nothing; the segment's successor is durable.
+    /// No payload; written after a sync, so that its header proves that everything before it was synced.
+    SyncMark,
+    /// No payload; the next segment is durable.
     Seal,
-    /// [`Owner`], in the identity file and first in a snapshot.
+    /// [`Owner`], in the identity file and as the first record of a snapshot.
     Owner,
     /// A snapshot.
     Snapshot,
@@ -72,24 +72,24 @@
         Self::Base,
         Self::Complete,
         Self::BatchEnd,
-        Self::Mark,
+        Self::SyncMark,
         Self::Seal,
         Self::Owner,
         Self::Snapshot,
     ];
 
-    /// Returns the byte of the kind; it is its place in the list, from 1 on.
+    /// Returns the byte that encodes the kind: its position in the enum, from 1.
     pub(crate) fn byte(self) -> u8 {
         self as u8 + 1
     }
 
     pub(crate) fn from_byte(byte: u8) -> Option<Self> {
-        let place = usize::from(byte).checked_sub(1)?;
-        Self::ALL.get(place).copied()
+        let position = usize::from(byte).checked_sub(1)?;
+        Self::ALL.get(position).copied()
     }
 }
 
-/// Holds whose file it is.
+/// The instance and incarnation that a file belongs to.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Owner {
     pub identity: Identity,
@@ -97,51 +97,52 @@
     pub origin: Origin,
 }
 
-/// Holds the start of a segment.
+/// The payload of a segment's first record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Header {
+pub(crate) struct SegmentHeader {
     pub owner: Owner,
-    /// Synced length of the segment before, in bytes; 0 for the first.
+    /// Synced length of the previous segment, in bytes; 0 for the first.
     pub previous_bytes: u64,
-    /// Shape of the log at the start; `next_index` is the segment's first index.
-    pub shape: Shape,
+    /// State of the log at the start of the segment; its `next_index` is the segment's first index.
+    #[serde(rename = "shape")]
+    pub log_state: LogState,
 }
 
-/// Names the last entry that a snapshot covers.
+/// The last entry that a snapshot covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Base {
+pub(crate) struct SnapshotBase {
     pub index: Index,
     pub term: Term,
 }
 
 pub(crate) fn segment_name(number: u64) -> Box<str> {
-    format!("{SEGMENT_START}{number:016x}").into()
+    format!("{SEGMENT_PREFIX}{number:016x}").into()
 }
 
 pub(crate) fn snapshot_name(index: Index) -> Box<str> {
-    format!("{SNAPSHOT_START}{index:016x}").into()
+    format!("{SNAPSHOT_PREFIX}{index:016x}").into()
 }
 
-/// Returns the number of a segment; none for another file's name.
-pub(crate) fn segment_number(name: &str) -> Option<u64> {
-    number(name, SEGMENT_START)
+/// Returns the number in a segment's file name, or `None` for other names.
+pub(crate) fn parse_segment_number(name: &str) -> Option<u64> {
+    parse_hex_after(name, SEGMENT_PREFIX)
 }
 
-/// Returns the index of a snapshot; none for another file's name.
-pub(crate) fn snapshot_number(name: &str) -> Option<u64> {
-    number(name, SNAPSHOT_START)
+/// Returns the index in a snapshot's file name, or `None` for other names.
+pub(crate) fn parse_snapshot_index(name: &str) -> Option<u64> {
+    parse_hex_after(name, SNAPSHOT_PREFIX)
 }
 
-fn number(name: &str, start: &str) -> Option<u64> {
-    u64::from_str_radix(name.strip_prefix(start)?, 16).ok()
+fn parse_hex_after(name: &str, prefix: &str) -> Option<u64> {
+    u64::from_str_radix(name.strip_prefix(prefix)?, 16).ok()
 }
 
-/// Returns the payload of a record.
-pub(crate) fn payload<T: Serialize>(value: &T) -> Vec<u8> {
+/// Encodes a value as the payload of a record.
+pub(crate) fn encode_payload<T: Serialize>(value: &T) -> Vec<u8> {
     rmp_serde::to_vec(value).expect("plain structs always encode")
 }
 
-/// Builds a whole file in memory.
+/// A complete file under construction in memory.
 pub(crate) struct FileBuilder {
     number: u64,
     pub bytes: Vec<u8>,
@@ -162,7 +163,7 @@
         }
     }
 
-    /// Adds a record that vouches for all before it: such a file is synced whole before it gets its name.
+    /// Appends a record that marks everything before it as synced: the file is synced as a whole before it is renamed.
     pub(crate) fn add(mut self, kind: Kind, payload: &[u8]) -> Self {
         let offset = self.bytes.len() as u64;
         codec::encode(
--- a/crates/store/src/shape.rs
+++ b/crates/store/src/log_state.rs
@@ -1,29 +1,29 @@
-//! Follows the shape of the log: where it starts and ends, which terms it holds, and the hard state.
+//! In-memory summary of the log: its first and last index, the terms of its entries, and the hard state.
 //!
 //! The writer checks every change against it, and recovery replays the same changes through it. Each segment's header
-//! holds the shape at its start, so that older segments can go and so that replay can compare.
+//! contains the summary at its start, so that older segments can be removed and replay can compare its own.
 
 use hinge_raft::types::{HardState, Index, Term};
 use serde::{Deserialize, Serialize};
 
 use crate::error::OutOfOrder;
 
-/// Holds the shape of the log.
+/// The bounds, terms and hard state of the log.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Shape {
-    /// Index and term of the last entry that a snapshot covers; zeros without a snapshot.
+pub(crate) struct LogState {
+    /// Index and term of the last entry that a snapshot covers; both 0 without a snapshot.
     pub base_index: Index,
     pub base_term: Term,
-    /// First index and term of each run of entries of one term, in ascending order.
+    /// First index and term of each run of entries with the same term, in ascending order.
     runs: Vec<(Index, Term)>,
-    /// Index that the next entry takes.
+    /// Index of the next entry.
     pub next_index: Index,
     pub hard_state: HardState,
-    /// Whether the instance once held everything that its incarnation has to hold.
+    /// Whether the incarnation has ever held the complete log.
     pub complete: bool,
 }
 
-impl Shape {
+impl LogState {
     pub(crate) fn new(complete: bool) -> Self {
         Self {
             next_index: 1,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Returns the term of an entry; none for one that isn't there.
+    /// Returns the term of an entry, or `None` if the log doesn't contain it.
     pub(crate) fn term_at(&self, index: Index) -> Option<Term> {
         if index == self.base_index {
             return Some(self.base_term);
@@ -66,9 +66,9 @@
         Ok(())
     }
 
-    /// Removes the entries from `from` on; those in the snapshot can't go.
+    /// Removes the entries from `from` on; fails if the snapshot covers one of them.
     ///
-    /// The commit index isn't looked at: in a batch it may come before the entries that it is about.
+    /// The commit index isn't checked: in a batch it may precede the entries that it refers to.
     pub(crate) fn truncate(&mut self, from: Index) -> Result<(), OutOfOrder> {
         if from <= self.base_index || from > self.next_index {
             return Err(OutOfOrder::Truncate {
@@ -82,7 +82,7 @@
         Ok(())
     }
 
-    /// Takes a hard state that may only go forward: term, vote within a term, and commit.
+    /// Replaces the hard state; its term and commit may not decrease, nor its vote change within a term.
     pub(crate) fn set_hard_state(&mut self, hard_state: HardState) -> Result<(), OutOfOrder> {
         let held = self.hard_state;
         let changes_vote = hard_state.term == held.term
@@ -98,7 +98,7 @@
         Ok(())
     }
 
-    /// Starts the log behind a snapshot; keeps the entries behind it only if the log agrees with it.
+    /// Makes the log start after a snapshot; keeps later entries only if the log contains the snapshot's last entry.
     pub(crate) fn rebase(&mut self, index: Index, term: Term) -> Result<(), OutOfOrder> {
         if index < self.base_index {
             return Err(OutOfOrder::Snapshot {
--- a/crates/store/src/replay.rs
+++ b/crates/store/src/replay.rs
@@ -1,28 +1,28 @@
-//! Replays segments in order, and tells a torn end from damage.
+//! Replays segments in order, and distinguishes a torn tail from damage.
 
 use hinge_raft::types::{Entry, Index, Snapshot};
 use serde::de::DeserializeOwned;
 
 use crate::codec::{self, Decoded, MAX_RECORD_BYTES, PREAMBLE_BYTES, Preamble, Record};
 use crate::error::{Damage, OpenError};
-use crate::format::{Base, Header, Kind, Owner, segment_name, snapshot_name};
-use crate::recover::{Cut, Segment};
-use crate::shape::Shape;
+use crate::format::{Kind, Owner, SegmentHeader, SnapshotBase, segment_name, snapshot_name};
+use crate::log_state::LogState;
+use crate::recover::{Segment, TornTail};
 
-/// Holds the state of a replay.
+/// The state of a replay.
 pub(crate) struct Replay {
     owner: Owner,
     snapshot_index: Index,
-    pub shape: Shape,
+    pub log_state: LogState,
     pub entries: Vec<Entry>,
     pub segments: Vec<Segment>,
 }
 
-/// Holds a segment that was read, up to its first bad record.
-pub(crate) struct SegmentEnd {
+/// A segment that was replayed up to its first invalid record.
+pub(crate) struct ReplayedSegment {
     pub number: u64,
     pub bytes: Vec<u8>,
-    /// Length of the prefix of whole batches.
+    /// Length of the prefix that consists of complete batches.
     pub valid_bytes: usize,
     /// Kind, offset and synced length of the last record of that prefix.
     last_kind: Kind,
@@ -30,37 +30,37 @@
     last_synced_bytes: u64,
 }
 
-impl SegmentEnd {
-    /// Returns whether the segment says that its successor is durable.
+impl ReplayedSegment {
+    /// Returns whether the segment records that the next one is durable.
     pub(crate) fn is_sealed(&self) -> bool {
         self.last_kind == Kind::Seal
     }
 
-    /// Returns whether a successful sync of all records is proven: by a mark behind them, or since only the header is there.
-    pub(crate) fn is_proven(&self) -> bool {
-        let vouched = self.last_synced_bytes == self.last_offset;
+    /// Returns whether all records are proven to be synced: a sync mark follows them, or there is only the header.
+    pub(crate) fn is_proven_synced(&self) -> bool {
+        let covers_preceding = self.last_synced_bytes == self.last_offset;
         let whole = self.valid_bytes == self.bytes.len();
-        whole && vouched && matches!(self.last_kind, Kind::Mark | Kind::Header)
+        whole && covers_preceding && matches!(self.last_kind, Kind::SyncMark | Kind::Header)
     }
 
-    /// Returns the length that the writer may count as synced, for a proven segment.
-    pub(crate) fn proven_bytes(&self) -> u64 {
+    /// Returns the length known to be synced, in bytes; meaningful only if [`Self::is_proven_synced`].
+    pub(crate) fn proven_synced_bytes(&self) -> u64 {
         match self.last_kind {
-            // The file was synced whole before it got its name.
+            // The file was synced as a whole before it was renamed.
             Kind::Header => self.valid_bytes as u64,
-            // The mark itself may not be synced.
+            // The sync mark itself may not be synced.
             _ => self.last_synced_bytes,
         }
     }
 
-    /// Returns the whole batches.
-    pub(crate) fn valid(&self) -> &[u8] {
+    /// Returns the bytes up to the end of the last complete batch.
+    pub(crate) fn valid_prefix(&self) -> &[u8] {
         &self.bytes[..self.valid_bytes]
     }
 
-    pub(crate) fn cut(&self) -> Option<Cut> {
+    pub(crate) fn torn_tail(&self) -> Option<TornTail> {
         let bytes = self.bytes.len() - self.valid_bytes;
-        (bytes > 0).then(|| Cut {
+        (bytes > 0).then(|| TornTail {
             file: segment_name(self.number),
             offset: self.valid_bytes as u64,
             bytes: bytes as u64,
@@ -73,28 +73,28 @@
         Self {
             owner,
             snapshot_index,
-            shape: Shape::default(),
+            log_state: LogState::default(),
             entries: Vec::new(),
             segments: Vec::new(),
         }
     }
 
-    /// Replays one segment; `before` is the one replayed before it, if any.
-    pub(crate) fn segment(
+    /// Replays one segment; `previous` is the one replayed before it, if any.
+    pub(crate) fn replay_segment(
         &mut self,
         number: u64,
         bytes: Vec<u8>,
-        before: Option<&SegmentEnd>,
-    ) -> Result<SegmentEnd, OpenError> {
+        previous: Option<&ReplayedSegment>,
+    ) -> Result<ReplayedSegment, OpenError> {
         let name = segment_name(number);
-        let (header, header_end) = self.header(&name, number, &bytes)?;
-        self.check_joint(number, &header, before)?;
+        let (header, header_end) = self.read_header(&name, number, &bytes)?;
+        self.check_continuity(number, &header, previous)?;
         self.segments.push(Segment {
             number,
-            first_index: header.shape.next_index,
+            first_index: header.log_state.next_index,
         });
-        self.shape = header.shape;
-        let mut end = SegmentEnd {
+        self.log_state = header.log_state;
+        let mut end = ReplayedSegment {
             number,
             bytes,
             valid_bytes: header_end,
@@ -102,26 +102,31 @@
             last_offset: PREAMBLE_BYTES as u64,
             last_synced_bytes: PREAMBLE_BYTES as u64,
         };
-        self.batches(&name, &mut end)?;
+        self.replay_batches(&name, &mut end)?;
         Ok(end)
     }
 
     /// Returns whether the snapshot covers everything before the segment.
     pub(crate) fn starts_covered(&self, number: u64, bytes: &[u8]) -> Result<bool, OpenError> {
-        let (header, _) = self.header(&segment_name(number), number, bytes)?;
-        Ok(header.shape.next_index <= self.snapshot_index + 1)
+        let (header, _) = self.read_header(&segment_name(number), number, bytes)?;
+        Ok(header.log_state.next_index <= self.snapshot_index + 1)
     }
 
-    fn header(&self, name: &str, number: u64, bytes: &[u8]) -> Result<(Header, usize), OpenError> {
+    fn read_header(
+        &self,
+        name: &str,
+        number: u64,
+        bytes: &[u8],
+    ) -> Result<(SegmentHeader, usize), OpenError> {
         check_start(name, bytes)?;
         let Decoded::Record(record) =
             codec::decode(bytes, number, PREAMBLE_BYTES, MAX_RECORD_BYTES)
         else {
-            return Err(start(name));
+            return Err(bad_start(name));
         };
-        let header: Header = value(&record).ok_or_else(|| start(name))?;
+        let header: SegmentHeader = decode(&record).ok_or_else(|| bad_start(name))?;
         if Kind::from_byte(record.kind) != Some(Kind::Header) {
-            return Err(start(name));
+            return Err(bad_start(name));
         }
         if header.owner != self.owner {
             return Err(OpenError::Damaged(Damage::Stray { file: name.into() }));
@@ -129,26 +134,28 @@
         Ok((header, record.end))
     }
 
-    /// Checks that nothing is missing between the segment before, or the snapshot, and this one.
-    fn check_joint(
+    /// Checks that nothing is missing between the previous segment, or the snapshot, and this one.
+    fn check_continuity(
         &self,
         number: u64,
-        header: &Header,
-        before: Option<&SegmentEnd>,
+        header: &SegmentHeader,
+        previous: Option<&ReplayedSegment>,
     ) -> Result<(), OpenError> {
-        let shape = &header.shape;
-        let damage = match before {
-            None if shape.base_index > self.snapshot_index => Damage::Missing {
-                file: snapshot_name(shape.base_index),
+        let log_state = &header.log_state;
+        let damage = match previous {
+            None if log_state.base_index > self.snapshot_index => Damage::Missing {
+                file: snapshot_name(log_state.base_index),
             },
-            None if shape.next_index > self.snapshot_index + 1 => Damage::Missing {
+            None if log_state.next_index > self.snapshot_index + 1 => Damage::Missing {
                 file: segment_name(number.saturating_sub(1)),
             },
-            Some(before) if header.previous_bytes > before.valid_bytes as u64 => Damage::Record {
-                file: segment_name(before.number),
-                offset: before.valid_bytes as u64,
-            },
-            Some(_) if *shape != self.shape => Damage::Sequence {
+            Some(previous) if header.previous_bytes > previous.valid_bytes as u64 => {
+                Damage::Record {
+                    file: segment_name(previous.number),
+                    offset: previous.valid_bytes as u64,
+                }
+            }
+            Some(_) if *log_state != self.log_state => Damage::Sequence {
                 file: segment_name(number),
                 offset: PREAMBLE_BYTES as u64,
             },
@@ -157,22 +164,22 @@
         Err(OpenError::Damaged(damage))
     }
 
-    /// Replays the batches behind the header, up to the end or the first one that isn't whole.
-    fn batches(&mut self, name: &str, end: &mut SegmentEnd) -> Result<(), OpenError> {
+    /// Replays the batches after the header, up to the end or the first incomplete one.
+    fn replay_batches(&mut self, name: &str, end: &mut ReplayedSegment) -> Result<(), OpenError> {
         let bytes = std::mem::take(&mut end.bytes);
         let mut batch = Vec::new();
         let mut offset = end.valid_bytes;
         while let Some(record) = next_record(name, end.number, &bytes, offset)? {
-            let contradicts = || contradiction(name, offset);
-            let kind = Kind::from_byte(record.kind).ok_or_else(contradicts)?;
+            let inconsistent = || inconsistent_record(name, offset);
+            let kind = Kind::from_byte(record.kind).ok_or_else(inconsistent)?;
             if record.synced_bytes > offset as u64 || end.is_sealed() {
-                return Err(contradicts());
+                return Err(inconsistent());
             }
             batch.push((kind, offset, record));
-            if matches!(kind, Kind::BatchEnd | Kind::Mark | Kind::Seal) {
+            if matches!(kind, Kind::BatchEnd | Kind::SyncMark | Kind::Seal) {
                 for (kind, offset, record) in batch.drain(..) {
                     self.apply(kind, &record)
-                        .ok_or_else(|| contradiction(name, offset))?;
+                        .ok_or_else(|| inconsistent_record(name, offset))?;
                 }
                 end.last_kind = kind;
                 end.last_offset = offset as u64;
@@ -186,51 +193,51 @@
         Ok(())
     }
 
-    /// Applies a record; returns none if it contradicts those before it.
+    /// Applies a record; returns `None` if it contradicts those before it.
     fn apply(&mut self, kind: Kind, record: &Record<'_>) -> Option<()> {
         match kind {
             Kind::Entry => {
-                let entry: Entry = value(record)?;
-                self.shape.append(entry.index, entry.term).ok()?;
+                let entry: Entry = decode(record)?;
+                self.log_state.append(entry.index, entry.term).ok()?;
                 self.entries.push(entry);
             }
             Kind::Truncate => {
-                self.shape.truncate(value(record)?).ok()?;
-                self.drop_outside();
+                self.log_state.truncate(decode(record)?).ok()?;
+                self.drop_removed_entries();
             }
-            Kind::HardState => self.shape.set_hard_state(value(record)?).ok()?,
-            Kind::Base => self.rebase(value(record)?)?,
-            Kind::Complete => self.shape.complete = true,
-            Kind::BatchEnd | Kind::Mark | Kind::Seal => {}
+            Kind::HardState => self.log_state.set_hard_state(decode(record)?).ok()?,
+            Kind::Base => self.rebase(decode(record)?)?,
+            Kind::Complete => self.log_state.complete = true,
+            Kind::BatchEnd | Kind::SyncMark | Kind::Seal => {}
             Kind::Header | Kind::Owner | Kind::Snapshot => return None,
         }
         Some(())
     }
 
-    fn rebase(&mut self, base: Base) -> Option<()> {
-        self.shape.rebase(base.index, base.term).ok()?;
-        self.drop_outside();
+    fn rebase(&mut self, base: SnapshotBase) -> Option<()> {
+        self.log_state.rebase(base.index, base.term).ok()?;
+        self.drop_removed_entries();
         Some(())
     }
 
-    /// Drops the entries that the shape no longer holds.
-    fn drop_outside(&mut self) {
+    /// Drops the entries that the log state no longer includes.
+    fn drop_removed_entries(&mut self) {
         let last = self
             .entries
-            .partition_point(|entry| entry.index < self.shape.next_index);
+            .partition_point(|entry| entry.index < self.log_state.next_index);
         self.entries.truncate(last);
         let covered = self
             .entries
-            .partition_point(|entry| entry.index <= self.shape.base_index);
+            .partition_point(|entry| entry.index <= self.log_state.base_index);
         self.entries.drain(..covered);
     }
 
-    /// Checks the end of the log, and puts the log behind the snapshot.
+    /// Checks the end of the log, and makes the log start after the snapshot.
     ///
-    /// A crash between the rename of a snapshot and the record of it leaves a snapshot that the log doesn't know yet.
+    /// After a crash between the renaming of a snapshot and its record, the log doesn't refer to the snapshot yet.
     pub(crate) fn finish(
         &mut self,
-        tail: &SegmentEnd,
+        tail: &ReplayedSegment,
         snapshot: Option<&Snapshot>,
     ) -> Result<(), OpenError> {
         if tail.is_sealed() {
@@ -238,13 +245,13 @@
                 file: segment_name(tail.number + 1),
             }));
         }
-        if self.shape.base_index > self.snapshot_index {
+        if self.log_state.base_index > self.snapshot_index {
             return Err(OpenError::Damaged(Damage::Missing {
-                file: snapshot_name(self.shape.base_index),
+                file: snapshot_name(self.log_state.base_index),
             }));
         }
         if let Some(snapshot) = snapshot {
-            let base = Base {
+            let base = SnapshotBase {
                 index: snapshot.last_index,
                 term: snapshot.last_term,
             };
@@ -255,10 +262,10 @@
     }
 }
 
-/// Returns the record at an offset; none at the end or at a torn record.
+/// Returns the record at an offset, or `None` at the end or at a torn record.
 ///
-/// Whole records behind the bad one prove nothing by themselves: unsynced pages reach the disk in any order. Only one that
-/// was made after a sync of the bad record's place proves damage.
+/// Valid records after an invalid one prove nothing by themselves, since unsynced pages reach the disk in any order. Only
+/// a record written after a sync that covered the invalid record's offset proves damage.
 fn next_record<'a>(
     name: &str,
     number: u64,
@@ -269,8 +276,8 @@
         Decoded::Record(record) => Ok(Some(record)),
         Decoded::End => Ok(None),
         Decoded::Bad => {
-            let vouched_bytes = codec::vouched_behind(bytes, number, offset).unwrap_or(0);
-            if vouched_bytes > offset as u64 {
+            let synced_bytes = codec::max_synced_after(bytes, number, offset).unwrap_or(0);
+            if synced_bytes > offset as u64 {
                 return Err(OpenError::Damaged(Damage::Record {
                     file: name.into(),
                     offset: offset as u64,
@@ -281,14 +288,14 @@
     }
 }
 
-fn contradiction(name: &str, offset: usize) -> OpenError {
+fn inconsistent_record(name: &str, offset: usize) -> OpenError {
     OpenError::Damaged(Damage::Sequence {
         file: name.into(),
         offset: offset as u64,
     })
 }
 
-/// Checks the preamble of a file that was synced before it got its name.
+/// Checks the preamble of a file that was synced before it was renamed.
 pub(crate) fn check_start(name: &str, bytes: &[u8]) -> Result<(), OpenError> {
     match codec::check_preamble(bytes) {
         Preamble::Known => Ok(()),
@@ -297,16 +304,16 @@
             found,
             known: codec::FORMAT_VERSION,
         }),
-        Preamble::Bad => Err(start(name)),
+        Preamble::Bad => Err(bad_start(name)),
     }
 }
 
-/// Returns the decoded payload of a record.
-pub(crate) fn value<T: DeserializeOwned>(record: &Record<'_>) -> Option<T> {
+/// Decodes the payload of a record; returns `None` if it is invalid.
+pub(crate) fn decode<T: DeserializeOwned>(record: &Record<'_>) -> Option<T> {
     rmp_serde::from_slice(record.payload).ok()
 }
 
-/// Returns the error for a bad start of a file.
-pub(crate) fn start(name: &str) -> OpenError {
+/// Returns the error for an invalid start of a file.
+pub(crate) fn bad_start(name: &str) -> OpenError {
     OpenError::Damaged(Damage::Start { file: name.into() })
 }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,4 +1,4 @@
-//! Writes the log: buffers changes, syncs them in one go, and starts new segments.
+//! The writer of the log: buffers changes, syncs them in batches, and rolls segments.
 
 use hinge_raft::types::{Entry, HardState, Index, NodeId, Snapshot};
 
@@ -6,24 +6,25 @@
 use crate::disk::Disk;
 use crate::error::{OpenError, OutOfOrder, WriteError};
 use crate::format::{
-    Base, FileBuilder, Header, Identity, Kind, Origin, Owner, payload, segment_name, snapshot_name,
+    FileBuilder, Identity, Kind, Origin, Owner, SegmentHeader, SnapshotBase, encode_payload,
+    segment_name, snapshot_name,
 };
-use crate::recover::{self, Opened, Recovered, Segment, install};
-use crate::shape::Shape;
+use crate::log_state::LogState;
+use crate::recover::{self, OpenedLog, Recovered, Segment, write_atomically};
 
-/// Length from which a segment gets a successor, in bytes.
+/// Default length from which a new segment is started.
 ///
-/// A restart may write the last segment again, so it stays far below what a disk writes in a second; and old segments go
-/// whole, so a small log keeps few of them.
+/// A restart may rewrite the last segment, so it is far less than a disk writes in a second; and since old segments are
+/// removed only as a whole, a small log keeps few of them.
 const SEGMENT_BYTES: u64 = 4 << 20;
 
-/// Buffered bytes from which a batch goes to the file before its sync; bounds the buffer next to the 32 MB of control.
+/// Buffered length from which a batch is written to the file before its sync; bounds the buffer within control's 32 MB.
 const BUFFER_BYTES: usize = 1 << 20;
 
-/// Sets sizes of a store.
+/// Options of a store.
 #[derive(Debug, Clone, Copy)]
 pub struct Options {
-    /// Length from which a segment gets a successor, in bytes.
+    /// Length from which a new segment is started, in bytes.
     pub segment_bytes: u64,
 }
 
@@ -35,47 +36,47 @@
     }
 }
 
-/// Is one change of what the store holds.
+/// A change to the contents of the store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Write {
-    /// Adds entries at the end of the log.
+    /// Appends entries to the log.
     Append(Vec<Entry>),
     /// Removes all entries from this index on.
     Truncate(Index),
-    /// Replaces the hard state by a later one.
+    /// Replaces the hard state with a later one.
     HardState(HardState),
-    /// Replaces the log through the snapshot's end by a leader's snapshot; durable when `write` returns.
+    /// Replaces the log up to the snapshot's last index with a leader's snapshot; durable when `write` returns.
     InstallSnapshot(Snapshot),
-    /// Notes that a joiner now holds everything that it has to hold.
+    /// Records that a joiner now holds the complete log.
     MarkComplete,
 }
 
-/// Holds the open log of one instance.
+/// The open log of one instance.
 #[derive(Debug)]
 pub struct Store<D> {
     disk: D,
     options: Options,
     owner: Owner,
-    shape: Shape,
-    /// All segments in order; the last one is written to.
+    log_state: LogState,
+    /// All segments in order; writes go to the last one.
     segments: Vec<Segment>,
     /// Length of the last segment's file, in bytes.
     tail_bytes: u64,
-    /// Length of it that is known to be synced, in bytes.
+    /// Length of the last segment's file that is known to be synced, in bytes.
     tail_synced_bytes: u64,
-    /// Records that aren't in the file yet.
+    /// Records that aren't written to the file yet.
     buffer: Vec<u8>,
-    /// Whether records wait for a sync.
+    /// Whether records aren't synced yet.
     is_dirty: bool,
     is_poisoned: bool,
 }
 
 impl<D: Disk> Store<D> {
-    /// Opens the store of a folder, and recovers what it holds.
+    /// Opens the store in a folder, and recovers its contents.
     ///
     /// # Errors
-    /// See [`OpenError`]; each says what the operator does. [`OpenError::Empty`] asks for [`Store::create`], and
-    /// [`OpenError::is_damage`] for [`Store::wipe_and_rejoin`].
+    /// See [`OpenError`], whose messages tell the operator what to do. After [`OpenError::Empty`] a new instance calls
+    /// [`Store::create`], and after an error with [`OpenError::is_damage`] it calls [`Store::wipe_and_rejoin`].
     pub fn open(
         mut disk: D,
         identity: &Identity,
@@ -85,10 +86,10 @@
         Self::recover(disk, identity, options)
     }
 
-    /// Makes a store in an empty folder, for an incarnation whose number the caller drew at random.
+    /// Creates a store in an empty folder, for an incarnation whose number the caller drew at random.
     ///
     /// # Errors
-    /// Fails with [`OpenError::NotEmpty`] if a store is there, and as [`Store::open`] does.
+    /// Fails with [`OpenError::NotEmpty`] if the folder contains a store, and otherwise like [`Store::open`].
     pub fn create(
         mut disk: D,
         identity: &Identity,
@@ -106,16 +107,16 @@
             node_id,
             origin,
         };
-        recover::found(&mut disk, &owner)?;
+        recover::create_files(&mut disk, &owner)?;
         Self::recover(disk, identity, options)
     }
 
-    /// Removes what the folder holds, and makes a store for a new incarnation that joins as a learner.
+    /// Removes the store in the folder, and creates one for a new incarnation that joins as a learner.
     ///
-    /// A crash on the way leaves a folder that `open` refuses; the call is then repeated.
+    /// A crash in between leaves a folder that `open` refuses; the caller then repeats the call.
     ///
     /// # Errors
-    /// Refuses a folder of another cluster or instance, and an incarnation that the folder had before.
+    /// Fails for a folder of another cluster or instance, and for an incarnation that the folder had before.
     pub fn wipe_and_rejoin(
         mut disk: D,
         identity: &Identity,
@@ -140,10 +141,10 @@
         options: Options,
     ) -> Result<(Self, Recovered), OpenError> {
         let opened = recover::recover(&mut disk, identity)?;
-        let Opened {
+        let OpenedLog {
             recovered,
             owner,
-            shape,
+            log_state,
             segments,
             tail_bytes,
             tail_synced_bytes,
@@ -152,7 +153,7 @@
             disk,
             options,
             owner,
-            shape,
+            log_state,
             segments,
             tail_bytes,
             tail_synced_bytes,
@@ -163,41 +164,41 @@
         Ok((store, recovered))
     }
 
-    /// Takes changes in order; they are durable once [`Store::sync`] returns, and until then all or none survive a crash.
+    /// Buffers changes in order; they are durable once [`Store::sync`] returns, and a crash before it keeps all or none.
     ///
     /// # Errors
-    /// A change that contradicts the log or is too large is refused with all after it; those before it stay. After any
-    /// other error the process must stop ([`WriteError::is_fatal`]).
+    /// A change that contradicts the log or is too large is refused, as are all after it; those before it are kept. After
+    /// any other error the process must stop ([`WriteError::is_fatal`]).
     pub fn write(&mut self, writes: &[Write]) -> Result<(), WriteError> {
         self.check_poison()?;
-        let result = writes.iter().try_for_each(|write| self.put(write));
+        let result = writes.iter().try_for_each(|write| self.apply(write));
         self.poison_on_fatal(result)
     }
 
-    /// Makes everything written so far durable, with one sync for the whole batch.
+    /// Makes all changes written so far durable, with one sync for the whole batch.
     ///
     /// # Errors
-    /// After an error nothing of the batch may be acknowledged, and the process must stop: a later sync that succeeds says
-    /// nothing about bytes that a failed one lost, so none is tried.
+    /// After an error no part of the batch may be acknowledged, and the process must stop: the success of a later sync
+    /// says nothing about bytes that a failed one lost, so the sync isn't retried.
     pub fn sync(&mut self) -> Result<(), WriteError> {
         self.check_poison()?;
         let result = self.sync_and_roll();
         self.poison_on_fatal(result)
     }
 
-    /// Stores a snapshot of this log durably, and removes segments that it covers.
+    /// Durably stores a snapshot of this log, and removes the segments that it covers.
     ///
     /// # Errors
-    /// Refuses a snapshot whose last entry isn't in the log with that term, and fails as [`Store::sync`] does.
+    /// Fails if the log doesn't contain the snapshot's last entry with that term, and otherwise like [`Store::sync`].
     pub fn take_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), WriteError> {
         self.check_poison()?;
-        if self.shape.term_at(snapshot.last_index) != Some(snapshot.last_term) {
+        if self.log_state.term_at(snapshot.last_index) != Some(snapshot.last_term) {
             return Err(WriteError::OutOfOrder(OutOfOrder::Snapshot {
                 index: snapshot.last_index,
-                base_index: self.shape.base_index,
+                base_index: self.log_state.base_index,
             }));
         }
-        let result = self.put_snapshot(snapshot);
+        let result = self.store_snapshot(snapshot);
         self.poison_on_fatal(result)
     }
 
@@ -207,51 +208,55 @@
         self.owner.node_id
     }
 
-    /// Returns the index of the last entry, whether in the log or covered by the snapshot.
+    /// Returns the index of the last entry, whether it is in the log or covered by the snapshot.
     #[must_use]
     pub fn last_index(&self) -> Index {
-        self.shape.next_index - 1
+        self.log_state.next_index - 1
     }
 
-    /// Returns whether the store failed and takes nothing more.
+    /// Returns whether the store has failed and accepts no more changes.
     #[must_use]
     pub fn is_poisoned(&self) -> bool {
         self.is_poisoned
     }
 
-    fn put(&mut self, write: &Write) -> Result<(), WriteError> {
+    fn apply(&mut self, write: &Write) -> Result<(), WriteError> {
         match write {
-            Write::Append(entries) => entries.iter().try_for_each(|entry| self.put_entry(entry)),
+            Write::Append(entries) => entries
+                .iter()
+                .try_for_each(|entry| self.append_entry(entry)),
             Write::Truncate(from) => {
-                self.shape.truncate(*from).map_err(WriteError::OutOfOrder)?;
-                self.put_record(Kind::Truncate, &payload(from))
+                self.log_state
+                    .truncate(*from)
+                    .map_err(WriteError::OutOfOrder)?;
+                self.buffer_record(Kind::Truncate, &encode_payload(from))
             }
-            Write::HardState(hard_state) if *hard_state == self.shape.hard_state => Ok(()),
+            Write::HardState(hard_state) if *hard_state == self.log_state.hard_state => Ok(()),
             Write::HardState(hard_state) => {
-                self.shape
+                self.log_state
                     .set_hard_state(*hard_state)
                     .map_err(WriteError::OutOfOrder)?;
-                self.put_record(Kind::HardState, &payload(hard_state))
+                self.buffer_record(Kind::HardState, &encode_payload(hard_state))
             }
-            Write::InstallSnapshot(snapshot) => self.put_snapshot(snapshot),
-            Write::MarkComplete if self.shape.complete => Ok(()),
+            Write::InstallSnapshot(snapshot) => self.store_snapshot(snapshot),
+            Write::MarkComplete if self.log_state.complete => Ok(()),
             Write::MarkComplete => {
-                self.shape.complete = true;
-                self.put_record(Kind::Complete, &[])
+                self.log_state.complete = true;
+                self.buffer_record(Kind::Complete, &[])
             }
         }
     }
 
-    fn put_entry(&mut self, entry: &Entry) -> Result<(), WriteError> {
-        let bytes = payload(entry);
+    fn append_entry(&mut self, entry: &Entry) -> Result<(), WriteError> {
+        let bytes = encode_payload(entry);
         check_size(&bytes, MAX_RECORD_BYTES)?;
-        self.shape
+        self.log_state
             .append(entry.index, entry.term)
             .map_err(WriteError::OutOfOrder)?;
-        self.put_record(Kind::Entry, &bytes)
+        self.buffer_record(Kind::Entry, &bytes)
     }
 
-    fn put_record(&mut self, kind: Kind, payload: &[u8]) -> Result<(), WriteError> {
+    fn buffer_record(&mut self, kind: Kind, payload: &[u8]) -> Result<(), WriteError> {
         let number = self.tail_number();
         let offset = self.tail_bytes + self.buffer.len() as u64;
         codec::encode(
@@ -269,7 +274,7 @@
         Ok(())
     }
 
-    /// Brings the buffer to the file, without a sync.
+    /// Writes the buffer to the file, without a sync.
     fn flush(&mut self) -> Result<(), WriteError> {
         let name = segment_name(self.tail_number());
         self.disk
@@ -292,44 +297,44 @@
         if !self.is_dirty {
             return Ok(());
         }
-        // Recovery takes a batch whole or not at all: a commit index without the entries that it was about would make
-        // older entries in their place look committed.
-        self.put_record(Kind::BatchEnd, &[])?;
+        // Recovery applies a batch completely or not at all: a commit index without the entries that it refers to would
+        // make older entries at the same indexes look committed.
+        self.buffer_record(Kind::BatchEnd, &[])?;
         self.flush()?;
         let name = segment_name(self.tail_number());
         self.disk.sync_file(&name).map_err(WriteError::from_sync)?;
         self.tail_synced_bytes = self.tail_bytes;
-        // The mark isn't synced itself. It survives an end of the process, and then tells damage to this batch from a torn
-        // end; after a loss of power it may be missing, and the next batch's records vouch in its place.
-        self.put_record(Kind::Mark, &[])?;
+        // The mark itself isn't synced. It survives a process crash, after which it distinguishes damage to this batch from
+        // a torn tail; a power failure may lose it, and the records of the next batch then take over its role.
+        self.buffer_record(Kind::SyncMark, &[])?;
         self.flush()?;
         self.is_dirty = false;
         Ok(())
     }
 
-    /// Starts a new segment; everything in the one before is synced.
+    /// Starts a new segment; the previous one must be synced.
     fn roll(&mut self) -> Result<(), WriteError> {
         let number = self.tail_number() + 1;
-        let header = Header {
+        let header = SegmentHeader {
             owner: self.owner.clone(),
             previous_bytes: self.tail_synced_bytes,
-            shape: self.shape.clone(),
+            log_state: self.log_state.clone(),
         };
-        let file = FileBuilder::new(number).add(Kind::Header, &payload(&header));
-        install(&mut self.disk, &segment_name(number), &file.bytes)?;
+        let file = FileBuilder::new(number).add(Kind::Header, &encode_payload(&header));
+        write_atomically(&mut self.disk, &segment_name(number), &file.bytes)?;
         self.seal()?;
         self.segments.push(Segment {
             number,
-            first_index: self.shape.next_index,
+            first_index: self.log_state.next_index,
         });
         self.tail_bytes = file.bytes.len() as u64;
         self.tail_synced_bytes = self.tail_bytes;
         Ok(())
     }
 
-    /// Notes in the segment that it has a successor, so that a missing last segment is found out.
+    /// Records in the segment that it has a successor, so that recovery detects a missing last segment.
     fn seal(&mut self) -> Result<(), WriteError> {
-        self.put_record(Kind::Seal, &[])?;
+        self.buffer_record(Kind::Seal, &[])?;
         self.flush()?;
         let name = segment_name(self.tail_number());
         self.disk.sync_file(&name).map_err(WriteError::from_sync)?;
@@ -337,38 +342,38 @@
         Ok(())
     }
 
-    /// Stores a snapshot: file, record, new segment, and only then the removals.
-    fn put_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), WriteError> {
-        let base = Base {
+    /// Stores a snapshot: writes its file, its record and a new segment, and only then removes the replaced files.
+    fn store_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), WriteError> {
+        let base = SnapshotBase {
             index: snapshot.last_index,
             term: snapshot.last_term,
         };
-        if base.index == self.shape.base_index {
+        if base.index == self.log_state.base_index {
             return Ok(());
         }
-        let bytes = payload(snapshot);
+        let bytes = encode_payload(snapshot);
         check_size(&bytes, MAX_SNAPSHOT_BYTES)?;
-        let mut shape = self.shape.clone();
-        shape
+        let mut log_state = self.log_state.clone();
+        log_state
             .rebase(base.index, base.term)
             .map_err(WriteError::OutOfOrder)?;
-        // What the log holds before the snapshot has to be durable before it: recovery puts the snapshot over all of it.
+        // Entries written before the snapshot must be durable before it is: recovery applies the snapshot after all of them.
         self.sync_tail()?;
         let file = FileBuilder::new(base.index)
-            .add(Kind::Owner, &payload(&self.owner))
+            .add(Kind::Owner, &encode_payload(&self.owner))
             .add(Kind::Snapshot, &bytes);
-        let before_index = self.shape.base_index;
-        install(&mut self.disk, &snapshot_name(base.index), &file.bytes)?;
-        self.shape = shape;
-        self.put_record(Kind::Base, &payload(&base))?;
+        let previous_base_index = self.log_state.base_index;
+        write_atomically(&mut self.disk, &snapshot_name(base.index), &file.bytes)?;
+        self.log_state = log_state;
+        self.buffer_record(Kind::Base, &encode_payload(&base))?;
         self.sync_tail()?;
         self.roll()?;
-        self.remove_covered(before_index)
+        self.remove_covered(previous_base_index)
     }
 
-    /// Removes the segments and the snapshot that the latest snapshot takes the place of.
-    fn remove_covered(&mut self, before_index: Index) -> Result<(), WriteError> {
-        let base_index = self.shape.base_index;
+    /// Removes the segments and the snapshot that the latest snapshot replaces.
+    fn remove_covered(&mut self, previous_base_index: Index) -> Result<(), WriteError> {
+        let base_index = self.log_state.base_index;
         let kept_from = self
             .segments
             .iter()
@@ -379,9 +384,9 @@
                 .remove(&segment_name(segment.number))
                 .map_err(WriteError::from_disk)?;
         }
-        if before_index > 0 {
+        if previous_base_index > 0 {
             self.disk
-                .remove(&snapshot_name(before_index))
+                .remove(&snapshot_name(previous_base_index))
                 .map_err(WriteError::from_disk)?;
         }
         self.disk.sync_folder().map_err(WriteError::from_sync)
--- a/crates/store/tests/decode.rs
+++ b/crates/store/tests/decode.rs
@@ -1,44 +1,44 @@
-//! Feeds arbitrary bytes to the decoder and to recovery: no panic, no allocation beyond what the input warrants.
+//! Checks that the decoder and recovery neither panic nor over-allocate on arbitrary bytes.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 
 use hinge_cases::cases;
-use hinge_store::codec::{self, Decoded, HEAD_BYTES, MAX_RECORD_BYTES, PREAMBLE_BYTES};
+use hinge_store::codec::{self, Decoded, MAX_RECORD_BYTES, PREAMBLE_BYTES, RECORD_HEADER_BYTES};
 use hinge_store::fake::FakeDisk;
 use hinge_store::{Identity, Options, Origin, Store};
 use quickcheck::{QuickCheck, quickcheck};
 
-/// Notes the largest allocation of each thread; a test runs on a thread of its own.
-struct Largest;
+/// An allocator that records the largest allocation of each thread; each test runs on its own thread.
+struct LargestAllocation;
 
 thread_local! {
     static LARGEST_BYTES: Cell<usize> = const { Cell::new(0) };
 }
 
-// SAFETY: every call goes on to the system's allocator unchanged.
-unsafe impl GlobalAlloc for Largest {
+// SAFETY: every call is forwarded to the system allocator unchanged.
+unsafe impl GlobalAlloc for LargestAllocation {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         LARGEST_BYTES.with(|largest| largest.set(largest.get().max(layout.size())));
-        // SAFETY: the caller keeps the contract of `alloc`.
+        // SAFETY: the caller upholds the contract of `alloc`.
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, ptr: *mut u8, layout: Layout) {
-        // SAFETY: the caller keeps the contract of `dealloc`, and `ptr` is from the system's allocator.
+        // SAFETY: the caller upholds the contract of `dealloc`, and `ptr` is from the system allocator.
         unsafe { System.dealloc(ptr, layout) }
     }
 }
 
 #[global_allocator]
-static ALLOCATOR: Largest = Largest;
+static ALLOCATOR: LargestAllocation = LargestAllocation;
 
-/// Greatest allocation that short input may cause: the decoding library reserves at most 1 MiB on the word of a length.
-const SMALL_BYTES: usize = 1 << 20;
+/// Largest allocation that short input may cause: the decoding library reserves at most 1 MiB for a claimed length.
+const MAX_ALLOCATION_BYTES: usize = 1 << 20;
 
-/// Kinds of records that exist, and a few that don't.
-const KINDS: u8 = 16;
+/// Bound of the kind bytes that are tried: all kinds of records, and a few unknown ones.
+const KIND_COUNT: u8 = 16;
 
 fn identity() -> Identity {
     Identity {
@@ -60,12 +60,12 @@
     disk.contents()
 }
 
-/// Opens a folder; true if neither a panic nor a large allocation came of it.
-fn opens_small(contents: &BTreeMap<Box<str>, Vec<u8>>) -> bool {
+/// Opens a store with these files; returns whether every allocation was small.
+fn opens_with_small_allocations(contents: &BTreeMap<Box<str>, Vec<u8>>) -> bool {
     let disk = FakeDisk::with_contents(contents);
     LARGEST_BYTES.set(0);
     drop(Store::open(disk, &identity(), Options::default()));
-    LARGEST_BYTES.get() <= SMALL_BYTES
+    LARGEST_BYTES.get() <= MAX_ALLOCATION_BYTES
 }
 
 quickcheck! {
@@ -96,7 +96,7 @@
         let _ = codec::check_preamble(&bytes);
         for at in [near, offset, usize::MAX] {
             let _ = codec::decode(&bytes, file, at, MAX_RECORD_BYTES);
-            let _ = codec::vouched_behind(&bytes, file, at);
+            let _ = codec::max_synced_after(&bytes, file, at);
         }
         LARGEST_BYTES.get() == 0
     }
@@ -115,7 +115,7 @@
             let start = if whole_start { codec::preamble() } else { Vec::new() };
             contents.insert(name.clone(), [start, bytes.clone()].concat());
             contents.insert("snapshot-00000000000000aa".into(), bytes.clone());
-            opens_small(&contents)
+            opens_with_small_allocations(&contents)
         })
     }
 }
@@ -127,18 +127,18 @@
         ("snapshot-00000000000000aa", 0xaa),
     ] {
         let bytes = contents.entry(name.into()).or_insert_with(codec::preamble);
-        // A snapshot's first record names its owner; the identity file's does under another number.
+        // Takes the place of the owner record that starts a snapshot.
         if file == 0xaa {
-            bytes.extend(vec![0; HEAD_BYTES]);
+            bytes.extend(vec![0; RECORD_HEADER_BYTES]);
         }
         let offset = bytes.len() as u64;
-        codec::encode(bytes, file, offset, offset, kind % KINDS, payload);
+        codec::encode(bytes, file, offset, offset, kind % KIND_COUNT, payload);
         let offset = bytes.len() as u64;
         codec::encode(bytes, file, offset, offset, 8, &[]);
     }
-    let with_snapshot = opens_small(&contents);
+    let with_snapshot = opens_with_small_allocations(&contents);
     contents.remove("snapshot-00000000000000aa");
-    with_snapshot && opens_small(&contents)
+    with_snapshot && opens_with_small_allocations(&contents)
 }
 
 cases! {
@@ -147,10 +147,10 @@
         QuickCheck::new().tests(2_000).quickcheck(property as fn(u8, Vec<u8>) -> bool);
     }
 
-    lengths_that_lie_reserve_little => {
-        // A MessagePack list, bytes, and text that claim 4 GiB.
+    false_lengths_cause_small_allocations => {
+        // Starts of a MessagePack array, bytes and text with a claimed length of 4 GiB.
         for start in [0xDD, 0xC6, 0xDB] {
-            for kind in 0..KINDS {
+            for kind in 0..KIND_COUNT {
                 for lead in [&[][..], &[0x94], &[0x94, 1, 1, 0xA4], &[0x94, 1, 1, 0x92]] {
                     let payload = [lead, &[start, 0xFF, 0xFF, 0xFF, 0xFF]].concat();
                     assert!(arbitrary_payloads(kind, &payload), "{start:#x} in kind {kind}");
--- a/crates/store/tests/store/crash.rs
+++ b/crates/store/tests/store/crash.rs
@@ -1,4 +1,4 @@
-//! Cuts power, ends the process, fails syncs and fills the disk at every operation of the script.
+//! Simulates power failures, process crashes, failed syncs and a full disk at every operation of the script.
 
 use hinge_cases::cases;
 use hinge_raft::HardState;
@@ -8,26 +8,28 @@
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
 
-use crate::workload::{create, entry, full_disk, open, run, script, snapshot, state_of, states};
+use crate::workload::{
+    create, entry, expected_states, open, recovered_state, run, script, scripted_disk, snapshot,
+};
 
-/// Seeds for each point and kind of loss.
+/// Number of seeds for each operation and kind of loss.
 const SEEDS: u64 = 6;
 
-/// Operations of a recovery in which a second crash is tried.
+/// Number of operations of a recovery in which a second crash is tried.
 const RECOVERY_OPERATIONS: u64 = 8;
 
-/// Seeds for scripts that run over many lives of the process.
-const LIVES_SEEDS: u64 = 400;
+/// Number of seeds for the script that runs across many restarts.
+const RESTART_SEEDS: u64 = 400;
 
-/// Ends the process with or without a loss of power.
+/// Simulates a restart, after a power failure if `loss` is given.
 fn restart(disk: &FakeDisk, loss: Option<Loss>, seed: u64) {
     match loss {
-        Some(loss) => disk.restart_power(loss, seed),
+        Some(loss) => disk.power_cycle(loss, seed),
         None => disk.restart_process(),
     }
 }
 
-/// Runs the script on a disk with a fault set; returns the acknowledged steps, or none if there is no store yet.
+/// Runs the script on a disk with a fault; returns the number of acknowledged steps, or `None` without a store.
 fn run_to_fault(disk: &FakeDisk) -> Option<usize> {
     let (mut store, _) = create(disk.clone()).ok()?;
     let (done, result) = run(&mut store, &script());
@@ -41,10 +43,10 @@
     Some(done)
 }
 
-/// Checks that the disk gives back all acknowledged steps or one more, that this lasts, and that the script can go on.
-fn check(disk: &FakeDisk, done: Option<usize>, context: &str) {
-    let states = states(&script());
-    let found = match (done, state_of(disk)) {
+/// Checks that recovery returns the acknowledged steps or one more, durably, and that the script can continue.
+fn check_recovery(disk: &FakeDisk, done: Option<usize>, context: &str) {
+    let states = expected_states(&script());
+    let found = match (done, recovered_state(disk)) {
         (None, Err(OpenError::Empty)) => return,
         (None, Ok(found)) => return assert_eq!(found, states[0], "{context}"),
         (_, Err(error)) => panic!("{context}: {error}"),
@@ -59,26 +61,26 @@
                 states[done]
             )
         });
-    disk.restart_power(Loss::All, 0);
+    disk.power_cycle(Loss::All, 0);
     assert_eq!(
-        state_of(disk).expect("a mended folder opens"),
+        recovered_state(disk).expect("a repaired folder opens"),
         found,
         "{context}: not durable"
     );
-    let (mut store, _) = open(disk.clone()).expect("a mended folder opens");
+    let (mut store, _) = open(disk.clone()).expect("a repaired folder opens");
     let (_, result) = run(&mut store, &script()[reached..]);
-    result.expect("the script goes on");
+    result.expect("the script continues");
     drop(store);
-    disk.restart_power(Loss::All, 0);
+    disk.power_cycle(Loss::All, 0);
     assert_eq!(
-        state_of(disk).expect("it opens").entries,
+        recovered_state(disk).expect("it opens").entries,
         states[states.len() - 1].entries,
         "{context}"
     );
 }
 
 fn survives_crashes(loss: Option<Loss>) {
-    let operations = full_disk().operations();
+    let operations = scripted_disk().operations();
     assert!(
         operations > 150,
         "the script is too short: {operations} operations"
@@ -87,28 +89,28 @@
         for seed in 0..SEEDS {
             let context = format!("crash in operation {operation}, {loss:?}, seed {seed}");
             let disk = FakeDisk::new();
-            disk.cut_at(operation);
+            disk.cut_power_at(operation);
             let done = run_to_fault(&disk);
             restart(&disk, loss, seed);
-            // A second crash in the recovery itself; the seed picks where.
-            disk.cut_at(disk.operations() + (operation + seed) % RECOVERY_OPERATIONS);
+            // A second crash during recovery, at an operation that the seed selects.
+            disk.cut_power_at(disk.operations() + (operation + seed) % RECOVERY_OPERATIONS);
             drop(open(disk.clone()));
             restart(&disk, loss, seed + SEEDS);
-            check(&disk, done, &context);
+            check_recovery(&disk, done, &context);
         }
     }
 }
 
 cases! { survives_crashes:
-    survives_ends_of_the_process => None,
-    survives_losing_all_unsynced => Some(Loss::All),
-    survives_cuts_that_lose_nothing => Some(Loss::Nothing),
-    survives_torn_writes => Some(Loss::Tail),
-    survives_reordered_writes => Some(Loss::Scattered),
+    survives_process_crashes => None,
+    survives_power_failures_that_lose_all_unsynced_writes => Some(Loss::All),
+    survives_power_failures_that_lose_nothing => Some(Loss::Nothing),
+    survives_torn_writes => Some(Loss::Torn),
+    survives_reordered_writes => Some(Loss::Reordered),
 }
 
 cases! {
-    a_failed_sync_poisons_and_loses_nothing => {
+    a_failed_sync_poisons_the_store_and_loses_nothing => {
         let mut failures = 0;
         for good_syncs in 0.. {
             let disk = FakeDisk::new();
@@ -119,12 +121,12 @@
             }
             failures += 1;
             disk.restart_process();
-            check(&disk, done, &format!("failed sync after {good_syncs} good ones"));
+            check_recovery(&disk, done, &format!("failed sync after {good_syncs} good ones"));
         }
         assert!(failures > 60, "only {failures} syncs failed");
     }
 
-    a_full_disk_stops_and_loses_nothing => {
+    a_full_disk_stops_the_store_and_loses_nothing => {
         let mut refusals = 0;
         for capacity_bytes in (0..6_000).step_by(7) {
             let disk = FakeDisk::new();
@@ -137,34 +139,34 @@
                 Err(error) => panic!("{capacity_bytes} bytes: {error}"),
             }
             disk.set_capacity(None);
-            check(&disk, done, &format!("disk of {capacity_bytes} bytes"));
+            check_recovery(&disk, done, &format!("disk of {capacity_bytes} bytes"));
         }
-        assert!(refusals > 0, "no opening met the full disk");
+        assert!(refusals > 0, "no opening failed with a full disk");
     }
 
-    unsynced_batches_come_back_whole_or_not_at_all => {
+    unsynced_batches_survive_completely_or_not_at_all => {
         let synced = vec![entry(1, 1), entry(2, 1)];
         let hard_state = HardState { term: 2, voted_for: None, commit: 2 };
         for seed in 0..400 {
             let disk = FakeDisk::new();
-            let (mut store, _) = create(disk.clone()).expect("an empty disk takes a store");
+            let (mut store, _) = create(disk.clone()).expect("a store can be created on an empty disk");
             store.write(&[Write::Append(synced.clone())]).expect("in order");
             store.sync().expect("a good disk");
             let batch = [Write::HardState(hard_state), Write::Truncate(2), Write::Append(vec![entry(2, 2)])];
             store.write(&batch).expect("in order");
-            // The sync's own operation is the second of the two that it makes.
-            disk.cut_at(disk.operations() + 1);
+            // `Store::sync` first appends the batch and then syncs it; the power fails in the second operation.
+            disk.cut_power_at(disk.operations() + 1);
             assert!(store.sync().is_err(), "power is gone");
             drop(store);
-            disk.restart_power(if seed % 2 == 0 { Loss::Tail } else { Loss::Scattered }, seed);
-            let found = state_of(&disk).expect("a torn end is no damage");
+            disk.power_cycle(if seed % 2 == 0 { Loss::Torn } else { Loss::Reordered }, seed);
+            let found = recovered_state(&disk).expect("a torn tail isn't damage");
             let is_new = found.entries == [entry(1, 1), entry(2, 2)] && found.hard_state == hard_state;
             let is_old = found.entries == synced && found.hard_state == HardState::default();
             assert!(is_new || is_old, "seed {seed}: {found:?}");
         }
     }
 
-    a_snapshot_never_outruns_the_batch_before_it => {
+    a_snapshot_is_never_durable_before_earlier_writes_of_its_batch => {
         let hard_state = HardState { term: 1, voted_for: Some(3), commit: 2 };
         let batch = [
             Write::HardState(hard_state),
@@ -174,12 +176,12 @@
         for operation in 0..25 {
             for loss in Loss::KINDS {
                 let disk = FakeDisk::new();
-                let (mut store, _) = create(disk.clone()).expect("an empty disk takes a store");
-                disk.cut_at(disk.operations() + operation);
+                let (mut store, _) = create(disk.clone()).expect("a store can be created on an empty disk");
+                disk.cut_power_at(disk.operations() + operation);
                 let done = store.write(&batch).is_ok();
                 drop(store);
-                disk.restart_power(loss, operation);
-                let found = state_of(&disk).expect("a cut is no damage");
+                disk.power_cycle(loss, operation);
+                let found = recovered_state(&disk).expect("a power failure isn't damage");
                 let held = (found.hard_state, found.snapshot.as_ref().map(|held| held.last_index), found.entries.len());
                 let wanted = [(hard_state, Some(2), 2), (hard_state, None, 4), (HardState::default(), None, 0)];
                 assert!(wanted[..if done { 1 } else { 3 }].contains(&held), "{operation}, {loss:?}: {held:?}");
@@ -187,23 +189,23 @@
         }
     }
 
-    many_lives_with_mixed_faults_lose_nothing => {
+    repeated_restarts_with_mixed_faults_lose_nothing => {
         let script = script();
-        let states = states(&script);
-        for seed in 0..LIVES_SEEDS {
-            let mut draws = StdRng::seed_from_u64(seed);
+        let states = expected_states(&script);
+        for seed in 0..RESTART_SEEDS {
+            let mut rng = StdRng::seed_from_u64(seed);
             let disk = FakeDisk::new();
-            drop(create(disk.clone()).expect("an empty disk takes a store"));
+            drop(create(disk.clone()).expect("a store can be created on an empty disk"));
             let mut reached = 0;
-            for life in 0.. {
-                let context = format!("seed {seed}, life {life}");
-                if draws.random_bool(0.2) {
-                    disk.fail_sync_after(draws.random_range(0..20));
+            for process_run in 0.. {
+                let context = format!("seed {seed}, process run {process_run}");
+                if rng.random_bool(0.2) {
+                    disk.fail_sync_after(rng.random_range(0..20));
                 }
-                disk.cut_at(disk.operations() + draws.random_range(0..60));
+                disk.cut_power_at(disk.operations() + rng.random_range(0..60));
                 let done = match open(disk.clone()) {
                     Ok((mut store, recovered)) => {
-                        assert_eq!(Recovered { cut: None, ..recovered }, states[reached], "{context}: the opening stepped back");
+                        assert_eq!(Recovered { torn_tail: None, ..recovered }, states[reached], "{context}: a step was lost");
                         run(&mut store, &script[reached..]).0
                     }
                     Err(error) => {
@@ -211,8 +213,8 @@
                         0
                     }
                 };
-                restart(&disk, *[None, Some(Loss::Tail), Some(Loss::Scattered)].choose(&mut draws).expect("three"), draws.random());
-                let found = state_of(&disk).unwrap_or_else(|error| panic!("{context}: {error}"));
+                restart(&disk, *[None, Some(Loss::Torn), Some(Loss::Reordered)].choose(&mut rng).expect("three"), rng.random());
+                let found = recovered_state(&disk).unwrap_or_else(|error| panic!("{context}: {error}"));
                 let acknowledged = reached + done;
                 reached = (acknowledged..=acknowledged + 1)
                     .find(|step| states.get(*step) == Some(&found))
--- a/crates/store/tests/store/folder.rs
+++ b/crates/store/tests/store/folder.rs
@@ -1,4 +1,4 @@
-//! Runs the store on real files.
+//! Tests of the store on real files.
 
 use std::fs;
 use std::path::PathBuf;
@@ -7,16 +7,17 @@
 use hinge_store::{Damage, FolderDisk, OpenError, Recovered};
 use tempfile::TempDir;
 
-use crate::workload::{create, open, run, script, states};
+use crate::workload::{create, expected_states, open, run, script};
 
 fn disk(folder: &TempDir) -> FolderDisk {
-    FolderDisk::open(&folder.path().join("data")).expect("a temporary folder takes a data folder")
+    FolderDisk::open(&folder.path().join("data"))
+        .expect("a data folder can be created in a temporary folder")
 }
 
-/// Runs the script, with the process ended and started again after each step.
+/// Runs the script, reopening the store for each step.
 fn filled() -> TempDir {
     let folder = TempDir::new().expect("a temporary folder");
-    drop(create(disk(&folder)).expect("an empty folder takes a store"));
+    drop(create(disk(&folder)).expect("a store can be created in an empty folder"));
     for step in script() {
         let (mut store, _) = open(disk(&folder)).expect("it opens");
         run(&mut store, &[step]).1.expect("a good disk");
@@ -35,13 +36,13 @@
 }
 
 cases! {
-    real_files_give_everything_back_after_each_step => {
+    real_files_keep_everything_across_reopening => {
         let folder = filled();
         let (_, recovered) = open(disk(&folder)).expect("it opens");
-        assert_eq!(Some(recovered), states(&script()).pop());
+        assert_eq!(Some(recovered), expected_states(&script()).pop());
     }
 
-    a_second_holder_of_a_real_folder_is_refused => {
+    a_locked_real_folder_is_refused => {
         let folder = filled();
         let first = open(disk(&folder)).expect("it opens");
         assert!(matches!(open(disk(&folder)), Err(OpenError::Locked)));
@@ -49,19 +50,19 @@
         drop(open(disk(&folder)).expect("the lock is free"));
     }
 
-    a_torn_end_of_a_real_file_is_cut => {
+    a_torn_tail_of_a_real_file_is_discarded => {
         let folder = filled();
         let path = last_segment(&folder);
         let mut bytes = fs::read(&path).expect("it can be read");
         bytes.extend([7; 90]);
         fs::write(&path, &bytes).expect("it can be written");
-        let (mut store, recovered) = open(disk(&folder)).expect("a torn end is no damage");
-        assert_eq!(recovered.cut.clone().map(|cut| cut.bytes), Some(90));
-        assert_eq!(Some(Recovered { cut: None, ..recovered }), states(&script()).pop());
-        store.sync().expect("it goes on");
+        let (mut store, recovered) = open(disk(&folder)).expect("a torn tail isn't damage");
+        assert_eq!(recovered.torn_tail.clone().map(|tail| tail.bytes), Some(90));
+        assert_eq!(Some(Recovered { torn_tail: None, ..recovered }), expected_states(&script()).pop());
+        store.sync().expect("the store stays usable");
     }
 
-    a_flip_in_a_real_file_is_damage => {
+    a_bit_flip_in_a_real_file_is_damage => {
         let folder = filled();
         let path = last_segment(&folder);
         let mut bytes = fs::read(&path).expect("it can be read");
--- a/crates/store/tests/store/main.rs
+++ b/crates/store/tests/store/main.rs
@@ -1,4 +1,4 @@
-//! Checks the store on fake and real disks.
+//! Tests of the store on fake and real disks.
 
 mod crash;
 mod damage;
--- a/crates/store/tests/store/workload.rs
+++ b/crates/store/tests/store/workload.rs
@@ -1,4 +1,4 @@
-//! Scripts a workload, and follows what it must leave behind.
+//! A scripted workload and the states that recovery must return after each step.
 
 use std::slice;
 
@@ -10,7 +10,7 @@
 
 pub const NODE_ID: u64 = 77;
 
-/// Makes segments of a few records, so that a short script rolls often.
+/// Options with segments of a few records, so that a short script rolls often.
 pub const OPTIONS: Options = Options { segment_bytes: 700 };
 
 pub fn identity() -> Identity {
@@ -43,9 +43,9 @@
     }
 }
 
-/// Is one batch that is acknowledged as a whole: several calls of `write`, then one sync.
+/// A batch that is acknowledged as a whole: several calls of `write`, then one sync.
 ///
-/// A single snapshot of what the log holds goes through `take_snapshot` instead.
+/// A step that consists of one snapshot within the log calls `take_snapshot` instead.
 pub type Step = Vec<Write>;
 
 fn apply(state: &mut Recovered, write: &Write) {
@@ -68,31 +68,38 @@
     }
 }
 
-/// Returns a script with appends, cuts, hard states, both kinds of snapshots, and many rolls.
+/// Returns a script with appends, truncations, hard states, both kinds of snapshots, and many segment rolls.
 pub fn script() -> Vec<Step> {
     let mut steps = Vec::new();
     let mut next = 1;
     for term in 1..=6 {
-        let hard = |voted_for, commit| {
+        let hard_state = |voted_for, commit| {
             Write::HardState(HardState {
                 term,
                 voted_for,
                 commit,
             })
         };
-        let run = |from, to| Write::Append((from..to).map(|index| entry(index, term)).collect());
-        let put = |last_index| vec![Write::InstallSnapshot(snapshot(last_index, term))];
-        steps.push(vec![hard(None, next - 1)]);
-        steps.push(vec![hard(Some(term), next - 1), run(next, next + 3)]);
-        steps.push(vec![run(next + 3, next + 4)]);
-        // A follower cuts what a leader of the next term lacks, with the commit index ahead of the entries it is about.
-        steps.push(vec![run(next + 4, next + 7)]);
-        steps.push(vec![hard(Some(term), next + 3), Write::Truncate(next + 5)]);
+        let append = |from, to| Write::Append((from..to).map(|index| entry(index, term)).collect());
+        let install_snapshot =
+            |last_index| vec![Write::InstallSnapshot(snapshot(last_index, term))];
+        steps.push(vec![hard_state(None, next - 1)]);
+        steps.push(vec![
+            hard_state(Some(term), next - 1),
+            append(next, next + 3),
+        ]);
+        steps.push(vec![append(next + 3, next + 4)]);
+        // A follower truncates what the next term's leader lacks, with the commit index ahead of the entries it refers to.
+        steps.push(vec![append(next + 4, next + 7)]);
+        steps.push(vec![
+            hard_state(Some(term), next + 3),
+            Write::Truncate(next + 5),
+        ]);
         next += 5;
         match term {
-            2 => steps.push(put(next - 1)),
-            3 => steps.push(put(next - 3)),
-            4 => steps.push(put(next + 10)),
+            2 => steps.push(install_snapshot(next - 1)),
+            3 => steps.push(install_snapshot(next - 3)),
+            4 => steps.push(install_snapshot(next + 10)),
             5 => steps.push(vec![Write::MarkComplete]),
             _ => {}
         }
@@ -101,8 +108,8 @@
     steps
 }
 
-/// Returns what a folder has to give back before the first step, and after each.
-pub fn states(steps: &[Step]) -> Vec<Recovered> {
+/// Returns the states that recovery must return before the first step and after each.
+pub fn expected_states(steps: &[Step]) -> Vec<Recovered> {
     let mut state = Recovered {
         node_id: NODE_ID,
         ..Recovered::default()
@@ -117,7 +124,7 @@
     states
 }
 
-/// Makes the store of the script: a joiner's, so that `Complete` is a change.
+/// Creates the store for the script; its origin is a joiner, so that `MarkComplete` is a change.
 pub fn create<D: Disk>(disk: D) -> Result<(Store<D>, Recovered), OpenError> {
     Store::create(disk, &identity(), NODE_ID, Origin::Joiner, OPTIONS)
 }
@@ -126,20 +133,20 @@
     Store::open(disk, &identity(), OPTIONS)
 }
 
-/// Opens the folder and returns what it gives back, but for what was cut.
-pub fn state_of(disk: &FakeDisk) -> Result<Recovered, OpenError> {
+/// Opens the store and returns what was recovered, without the discarded tail.
+pub fn recovered_state(disk: &FakeDisk) -> Result<Recovered, OpenError> {
     open(disk.clone()).map(|(_, recovered)| Recovered {
-        cut: None,
+        torn_tail: None,
         ..recovered
     })
 }
 
-/// Runs steps until one fails; returns how many were acknowledged.
+/// Runs steps until one fails; returns the number of acknowledged steps.
 pub fn run<D: Disk>(store: &mut Store<D>, steps: &[Step]) -> (usize, Result<(), WriteError>) {
     for (done, step) in steps.iter().enumerate() {
         let result = match step.as_slice() {
-            [Write::InstallSnapshot(own)] if own.last_index <= store.last_index() => {
-                store.take_snapshot(own)
+            [Write::InstallSnapshot(snapshot)] if snapshot.last_index <= store.last_index() => {
+                store.take_snapshot(snapshot)
             }
             writes => writes
                 .iter()
@@ -153,11 +160,11 @@
     (steps.len(), Ok(()))
 }
 
-/// Returns a disk on which the whole script ran.
-pub fn full_disk() -> FakeDisk {
+/// Returns a disk on which the whole script has run.
+pub fn scripted_disk() -> FakeDisk {
     let disk = FakeDisk::new();
-    let (mut store, _) = create(disk.clone()).expect("an empty disk takes a store");
+    let (mut store, _) = create(disk.clone()).expect("a store can be created on an empty disk");
     let (_, result) = run(&mut store, &script());
-    result.expect("a good disk takes the script");
+    result.expect("the script succeeds on a good disk");
     disk
 }
