--- a/crates/capacity/examples/measure/members.rs
+++ b/crates/capacity/examples/measure/members.rs
@@ -166,7 +166,7 @@
 pub async fn until(members: &[Member], version: u64) -> Result<Vec<f64>> {
     let began = Instant::now();
     let waits = members.iter().map(|member| async move {
-        let mut changed = member.changed();
+        let mut changed = member.subscribe();
         while member.config_version() < version {
             changed.changed().await?;
         }
--- a/crates/daemon/src/roles.rs
+++ b/crates/daemon/src/roles.rs
@@ -107,7 +107,7 @@
     readiness.set(Reason::NoConfig);
     let (member, readiness) = (member.clone(), std::sync::Arc::clone(readiness));
     tokio::spawn(async move {
-        let mut changed = member.changed();
+        let mut changed = member.subscribe();
         while !member.is_current() && changed.changed().await.is_ok() {}
         readiness.clear(Reason::NoConfig);
     });
--- a/crates/entry/benches/stream.rs
+++ b/crates/entry/benches/stream.rs
@@ -149,7 +149,7 @@
         name: "a.toml".into(),
         text: text.into(),
     }];
-    let applied = member.learn_config(&ConfigDelta {
+    let applied = member.apply_config(&ConfigDelta {
         base_version: 0,
         digest: folder::digest(&put),
         put,
@@ -157,7 +157,7 @@
         version: 1,
     });
     assert_eq!(applied, hinge_config::held::Applied::Advanced(1));
-    member.learn_members(&MembersDelta {
+    member.apply_members(&MembersDelta {
         base_version: 0,
         epoch: 1,
         put: vec![sidecar],
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -170,7 +170,7 @@
 
 /// Brings the readiness up to date with every change of the configuration, until the member's handle is gone.
 async fn follow_readiness(shared: Arc<Shared>) {
-    let mut changed = shared.member.changed();
+    let mut changed = shared.member.subscribe();
     loop {
         shared.update_readiness();
         if changed.changed().await.is_err() {
--- a/crates/entry/src/offers.rs
+++ b/crates/entry/src/offers.rs
@@ -353,7 +353,7 @@
         return false;
     }
     spread_config(shared, address, refused.config_version);
-    let mut changed = shared.member.changed();
+    let mut changed = shared.member.subscribe();
     let caught_up = async {
         while shared.member.config_version() < refused.config_version {
             if changed.changed().await.is_err() {
@@ -379,9 +379,9 @@
     let address = Box::<str>::from(address);
     tokio::spawn(async move {
         if seen_version > held {
-            member.learn_from(&address, seen_version).await;
+            member.fetch_config_from(&address, seen_version).await;
         } else {
-            member.push_to(&address, seen_version).await;
+            member.push_config_to(&address, seen_version).await;
         }
     });
 }
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -15,7 +15,7 @@
         .post("/v1/config/fetch", move |request: Request| {
             let (key, member) = (fetch_key.clone(), fetch_member.clone());
             async move {
-                let fetch = |ask: FetchConfig| async move { Ok(member.fetched(&ask)) };
+                let fetch = |ask: FetchConfig| async move { Ok(member.answer_fetch(&ask)) };
                 unary(&key, request, fetch).await
             }
         })
@@ -34,6 +34,6 @@
 async fn push(member: &Member, delta: ConfigDelta) -> FetchedConfig {
     let config_version = delta.version;
     // What became of it shows in the version of the answer.
-    let _applied = member.learn_config_apart(delta).await;
-    member.fetched(&FetchConfig { config_version })
+    let _applied = member.apply_config_off_thread(delta).await;
+    member.answer_fetch(&FetchConfig { config_version })
 }
--- a/crates/entry/tests/entry/callers.rs
+++ b/crates/entry/tests/entry/callers.rs
@@ -109,7 +109,7 @@
         refused(fleet.chat(&[]).await.expect("the call ends"), 503, "not_run", "not_ready").await;
         let ready = fleet.send(Method::GET, "/readyz", &[], whole("")).await.expect("the call ends");
         assert_eq!((ready.status().as_u16(), fleet.readiness.is_ready()), (503, false));
-        fleet.member.learn_config(&crate::support::config(1, ""));
+        fleet.member.apply_config(&crate::support::config(1, ""));
         let ready = fleet.send(Method::GET, "/readyz", &[], whole("")).await.expect("the call ends");
         assert_eq!((ready.status().as_u16(), fleet.readiness.is_ready()), (200, true));
     }
--- a/crates/entry/tests/entry/support.rs
+++ b/crates/entry/tests/entry/support.rs
@@ -344,8 +344,8 @@
 impl Fleet {
     pub async fn bind(limits: &str, settings: EntrySettings, sidecars: Vec<Process>) -> Self {
         let fleet = Self::bind_unready(settings).await;
-        fleet.member.learn_config(&config(1, limits));
-        fleet.member.learn_members(&MembersDelta {
+        fleet.member.apply_config(&config(1, limits));
+        fleet.member.apply_members(&MembersDelta {
             base_version: 0,
             epoch: 1,
             put: sidecars,
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -10,5 +10,5 @@
 mod spread;
 mod tasks;
 
-pub use list::{Learned, MemberList};
+pub use list::{MemberList, MembersApplied};
 pub use member::Member;
--- a/crates/member/src/list.rs
+++ b/crates/member/src/list.rs
@@ -15,7 +15,7 @@
 
 /// Says what became of a change of the member list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Learned {
+pub enum MembersApplied {
     /// The list advanced.
     Advanced,
     /// The change was known already.
@@ -65,22 +65,22 @@
     }
 
     /// Applies a change; `now` counts from the start of the process.
-    pub fn apply(&mut self, delta: &MembersDelta, now: Duration) -> Learned {
+    pub fn apply(&mut self, delta: &MembersDelta, now: Duration) -> MembersApplied {
         let same_epoch = delta.epoch == self.epoch;
         if same_epoch && delta.version <= self.version {
-            return Learned::Ignored;
+            return MembersApplied::Ignored;
         }
         if delta.base_version == 0 {
             self.replace(delta, same_epoch, now);
         } else if same_epoch && delta.base_version == self.version {
             self.advance(delta);
         } else {
-            return Learned::NeedsFull;
+            return MembersApplied::NeedsFull;
         }
         self.epoch = delta.epoch;
         self.version = delta.version;
         self.rebuild_pools();
-        Learned::Advanced
+        MembersApplied::Advanced
     }
 
     /// Drops members that a new epoch did not confirm in time, and returns whether any was dropped.
--- a/crates/member/src/member.rs
+++ b/crates/member/src/member.rs
@@ -15,7 +15,7 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use crate::list::{Learned, MemberList};
+use crate::list::{MemberList, MembersApplied};
 use crate::spread::Spread;
 use crate::tasks;
 
@@ -120,7 +120,7 @@
 
     /// Returns the addresses of control or relay instances from the settings.
     #[must_use]
-    pub fn control(&self) -> &[Box<str>] {
+    pub fn control_addresses(&self) -> &[Box<str>] {
         &self.shared.control
     }
 
@@ -158,7 +158,7 @@
     }
 
     /// Records the highest fencing number that an order has shown, for the next announcement.
-    pub fn saw_fence(&self, fence: u64) {
+    pub fn record_fence(&self, fence: u64) {
         self.shared.highest_fence.fetch_max(fence, Ordering::AcqRel);
     }
 
@@ -232,8 +232,8 @@
         clippy::must_use_candidate,
         reason = "it is called for what it changes"
     )]
-    pub fn learn_config(&self, delta: &ConfigDelta) -> Applied {
-        let applied = self.apply_config(delta);
+    pub fn apply_config(&self, delta: &ConfigDelta) -> Applied {
+        let applied = self.apply_config_in_order(delta);
         if matches!(applied, Applied::Advanced(_)) {
             self.note_change();
         }
@@ -244,7 +244,7 @@
     }
 
     /// Applies a change and writes the record of it, so that the records have the order of the versions.
-    fn apply_config(&self, delta: &ConfigDelta) -> Applied {
+    fn apply_config_in_order(&self, delta: &ConfigDelta) -> Applied {
         let writer = self.shared.config_writer.lock();
         let _writer = writer.unwrap_or_else(PoisonError::into_inner);
         let applied = self.shared.held.apply(delta);
@@ -265,9 +265,9 @@
     /// # Panics
     ///
     /// Panics outside a tokio runtime, and when the merge itself panicked.
-    pub async fn learn_config_apart(&self, delta: ConfigDelta) -> Applied {
+    pub async fn apply_config_off_thread(&self, delta: ConfigDelta) -> Applied {
         let member = self.clone();
-        let learning = tokio::task::spawn_blocking(move || member.learn_config(&delta));
+        let learning = tokio::task::spawn_blocking(move || member.apply_config(&delta));
         learning
             .await
             .expect("the merge does not panic and is never cancelled")
@@ -278,13 +278,13 @@
         clippy::must_use_candidate,
         reason = "it is called for what it changes"
     )]
-    pub fn learn_members(&self, delta: &MembersDelta) -> Learned {
+    pub fn apply_members(&self, delta: &MembersDelta) -> MembersApplied {
         self.change_members(|list, now| list.apply(delta, now))
     }
 
     /// Answers a peer that asks for the configuration.
     #[must_use]
-    pub fn fetched(&self, ask: &FetchConfig) -> FetchedConfig {
+    pub fn answer_fetch(&self, ask: &FetchConfig) -> FetchedConfig {
         FetchedConfig {
             config: self.shared.held.delta_since(ask.config_version),
         }
@@ -292,17 +292,17 @@
 
     /// Returns a channel whose number rises with every change of the configuration or the member list.
     #[must_use]
-    pub fn changed(&self) -> watch::Receiver<u64> {
+    pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.shared.changes.subscribe()
     }
 
     /// Fetches the configuration from a peer that showed a newer version.
-    pub async fn learn_from(&self, address: &str, seen_version: u64) {
+    pub async fn fetch_config_from(&self, address: &str, seen_version: u64) {
         crate::spread::learn_from(self, address, seen_version).await;
     }
 
     /// Pushes the configuration to a peer that showed an older version.
-    pub async fn push_to(&self, address: &str, seen_version: u64) {
+    pub async fn push_config_to(&self, address: &str, seen_version: u64) {
         crate::spread::push_to(self, address, seen_version).await;
     }
 
@@ -336,9 +336,9 @@
     pub(crate) fn expire_members(&self) {
         self.change_members(|list, now| {
             if list.expire(now) {
-                Learned::Advanced
+                MembersApplied::Advanced
             } else {
-                Learned::Ignored
+                MembersApplied::Ignored
             }
         });
     }
@@ -355,11 +355,14 @@
         }
     }
 
-    fn change_members(&self, change: impl FnOnce(&mut MemberList, Duration) -> Learned) -> Learned {
+    fn change_members(
+        &self,
+        change: impl FnOnce(&mut MemberList, Duration) -> MembersApplied,
+    ) -> MembersApplied {
         let _writer = self.lock_members();
         let mut list = MemberList::clone(&self.shared.members.load());
         let learned = change(&mut list, self.shared.started.elapsed());
-        if learned == Learned::Advanced {
+        if learned == MembersApplied::Advanced {
             self.shared.members.store(Arc::new(list));
             self.note_change();
         }
--- a/crates/member/src/spread.rs
+++ b/crates/member/src/spread.rs
@@ -70,7 +70,7 @@
         else {
             break;
         };
-        if member.learn_config_apart(delta).await != Applied::NeedsFull {
+        if member.apply_config_off_thread(delta).await != Applied::NeedsFull {
             break;
         }
     }
--- a/crates/member/src/tasks.rs
+++ b/crates/member/src/tasks.rs
@@ -10,7 +10,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::backoff::Backoff;
-use crate::list::Learned;
+use crate::list::MembersApplied;
 use crate::member::Member;
 
 /// Longest wait for the answer to an announcement.
@@ -203,7 +203,7 @@
     let mut wants_full = false;
     if let Some(delta) = update.config {
         let version = delta.version;
-        match member.learn_config_apart(delta).await {
+        match member.apply_config_off_thread(delta).await {
             Applied::NeedsFull => wants_full = true,
             Applied::Advanced(_) | Applied::Ignored => {}
             Applied::Invalid(problems) => {
@@ -222,7 +222,7 @@
         }
     }
     if let Some(delta) = &update.members {
-        wants_full |= member.learn_members(delta) == Learned::NeedsFull;
+        wants_full |= member.apply_members(delta) == MembersApplied::NeedsFull;
     }
     if wants_full {
         Progress::NeedsFull
--- a/crates/member/tests/learn.rs
+++ b/crates/member/tests/learn.rs
@@ -7,7 +7,7 @@
 use hinge_cases::{async_cases, cases};
 use hinge_config::folder;
 use hinge_link::{Client, ClusterKey, Limits, Server, unary};
-use hinge_member::{Learned, Member, MemberList};
+use hinge_member::{Member, MemberList, MembersApplied};
 use hinge_schema::messages::FetchedConfig;
 use hinge_schema::messages::{Announce, ConfigDelta, ConfigFile, FetchConfig, MembersDelta, Role};
 use quickcheck::quickcheck;
@@ -76,8 +76,8 @@
         let member = Member::detached(entry());
         versions.into_iter().map(u64::from).all(|version| {
             let before = member.config_version();
-            member.learn_config(&full_config(version));
-            let asked = member.fetched(&FetchConfig { config_version: version });
+            member.apply_config(&full_config(version));
+            let asked = member.answer_fetch(&FetchConfig { config_version: version });
             member.config_version() == before.max(version) && asked.config.is_none_or(|delta| delta.version > version)
         })
     }
@@ -95,9 +95,9 @@
 cases! {
     a_change_of_a_list_that_is_not_held_is_refused => {
         let mut list = MemberList::default();
-        assert_eq!(list.apply(&members(1, 0, 3, &["a"]), Duration::ZERO), Learned::Advanced);
-        assert_eq!(list.apply(&members(1, 4, 5, &["b"]), Duration::ZERO), Learned::NeedsFull);
-        assert_eq!(list.apply(&members(2, 3, 4, &["b"]), Duration::ZERO), Learned::NeedsFull);
+        assert_eq!(list.apply(&members(1, 0, 3, &["a"]), Duration::ZERO), MembersApplied::Advanced);
+        assert_eq!(list.apply(&members(1, 4, 5, &["b"]), Duration::ZERO), MembersApplied::NeedsFull);
+        assert_eq!(list.apply(&members(2, 3, 4, &["b"]), Duration::ZERO), MembersApplied::NeedsFull);
         assert_eq!(names(&list), ["a"]);
     }
     a_new_leader_with_a_short_list_empties_no_pool => {
@@ -123,7 +123,7 @@
     a_restart_with_empty_state_is_not_current_before_it_has_learnt => {
         let member = Member::detached(entry());
         assert!(!member.is_current());
-        member.learn_config(&full_config(3));
+        member.apply_config(&full_config(3));
         assert!(member.is_current());
     }
 }
@@ -149,10 +149,10 @@
         let server = Server::bind("127.0.0.1:0", serving(&key), Limits::default()).await.expect("a free port exists");
         let address = server.local_address().to_string();
         let member = Member::spawn(Client::new(key), entry(), Vec::new());
-        let mut dropped = Box::pin(member.learn_from(&address, 3));
+        let mut dropped = Box::pin(member.fetch_config_from(&address, 3));
         assert!(futures::poll!(&mut dropped).is_pending());
         drop(dropped);
-        member.learn_from(&address, 3).await;
+        member.fetch_config_from(&address, 3).await;
         assert_eq!(member.config_version(), 3);
     }
 }
--- a/crates/sidecar/src/exchange.rs
+++ b/crates/sidecar/src/exchange.rs
@@ -128,7 +128,7 @@
             return;
         };
         let member = member.clone();
-        tokio::spawn(async move { member.learn_from(&entry.peer_address, seen).await });
+        tokio::spawn(async move { member.fetch_config_from(&entry.peer_address, seen).await });
     }
 
     /// Waits for the grant; `None` when the exchange is over.
--- a/crates/sidecar/src/order.rs
+++ b/crates/sidecar/src/order.rs
@@ -33,7 +33,7 @@
 pub(crate) async fn take(shell: &Shell, order: &Order) -> OrderReply {
     let mut fence = shell.fence.lock().await;
     let check = fence.check(order.fence, shell.member.fence());
-    shell.member.saw_fence(fence.highest());
+    shell.member.record_fence(fence.highest());
     let verdict = match check {
         FenceCheck::Valid => forward(shell, order).await,
         FenceCheck::Fenced => OrderVerdict::Fenced,
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -89,7 +89,7 @@
         tokio::spawn(stop.clone().run_until_cancelled_owned(sweeps));
         let looks = watch_endpoint(Arc::clone(&shell));
         tokio::spawn(stop.clone().run_until_cancelled_owned(looks));
-        if !shell.member.control().is_empty() {
+        if !shell.member.control_addresses().is_empty() {
             let reports = Reporter::new(Arc::clone(&shell), client).run();
             tokio::spawn(stop.clone().run_until_cancelled_owned(reports));
         }
@@ -265,7 +265,7 @@
             let (shell, key) = fetches.clone();
             async move {
                 unary(&key, request, |ask: FetchConfig| async move {
-                    Ok::<FetchedConfig, _>(shell.member.fetched(&ask))
+                    Ok::<FetchedConfig, _>(shell.member.answer_fetch(&ask))
                 })
                 .await
             }
@@ -287,8 +287,8 @@
 async fn pushed(shell: &Shell, delta: ConfigDelta) -> FetchedConfig {
     let config_version = delta.version;
     // Whatever became of it, the answer shows what is held here.
-    let _applied = shell.member.learn_config_apart(delta).await;
-    shell.member.fetched(&FetchConfig { config_version })
+    let _applied = shell.member.apply_config_off_thread(delta).await;
+    shell.member.answer_fetch(&FetchConfig { config_version })
 }
 
 fn verdict(shell: &Shell, ask: &AskVerdict) -> VerdictReply {
--- a/crates/sidecar/src/sums.rs
+++ b/crates/sidecar/src/sums.rs
@@ -61,7 +61,7 @@
     }
 
     async fn send(&mut self, report: &ServiceReport) -> Option<ServiceTotals> {
-        let control = self.shell.member.control();
+        let control = self.shell.member.control_addresses();
         for _ in 0..control.len() {
             let address = &control[self.preferred];
             let called = self.client.call(address, SUMS_PATH, report, SUMS_TIMEOUT);
--- a/crates/sidecar/tests/sidecar/orders.rs
+++ b/crates/sidecar/tests/sidecar/orders.rs
@@ -171,10 +171,10 @@
         let member = Member::spawn(Client::new(key()), announce(), vec![control.address().into()]);
         let bed = Bed::of(member, StandInSettings::default(), |_| ()).await;
         bed.until_announced().await;
-        assert_eq!(bed.member.learn_config(&config(3)), Applied::Advanced(3));
+        assert_eq!(bed.member.apply_config(&config(3)), Applied::Advanced(3));
         let refused = bed.offer(offer(1)).await.refused().await;
         assert_eq!(refused.reason, NotRunReason::NotReady);
-        assert_eq!(bed.member.learn_config(&config(4)), Applied::Advanced(4));
+        assert_eq!(bed.member.apply_config(&config(4)), Applied::Advanced(4));
         bed.granted(Offer { config_version: 4, ..offer(2) }).await;
     }
     the_end_of_the_last_run_of_a_drained_sidecar_is_announced_at_once => {
--- a/crates/sidecar/tests/sidecar/support.rs
+++ b/crates/sidecar/tests/sidecar/support.rs
@@ -134,7 +134,7 @@
         change: impl FnOnce(&mut SidecarSettings),
     ) -> Self {
         let member = Member::detached(announce());
-        let applied = member.learn_config(&config(3));
+        let applied = member.apply_config(&config(3));
         assert_eq!(applied, Applied::Advanced(3));
         Self::of(member, stand_in, change).await
     }
@@ -147,7 +147,7 @@
     ) -> Self {
         let client = Client::new(key());
         let member = Member::spawn(client, announce(), vec![control.into()]);
-        let _applied = member.learn_config(&config(3));
+        let _applied = member.apply_config(&config(3));
         Self::of(member, stand_in, change).await
     }
 
