--- a/crates/member/src/backoff.rs
+++ b/crates/member/src/backoff.rs
@@ -1,30 +1,32 @@
-//! Spaces out tries to reach control.
+//! Exponential backoff with jitter for calls to control.
 
 use std::time::Duration;
 
 use rand::{Rng, RngExt};
 
-/// First wait after a failure; a restarted control instance is back in a few hundred milliseconds.
-const FIRST: Duration = Duration::from_millis(100);
+/// Maximum wait after the first failure; a control instance restarts within a few hundred milliseconds.
+const INITIAL_MAX_WAIT: Duration = Duration::from_millis(100);
 
-/// Longest wait, so that a changed configuration is still in force within 7 s of control's return.
-const LONGEST: Duration = Duration::from_secs(2);
+/// Maximum wait; short enough that a changed configuration is in force within 7 s of control's return.
+const MAX_WAIT: Duration = Duration::from_secs(2);
 
-/// Counts failures in a row, and gives the wait before the next try.
+/// Counts consecutive failures, and computes the wait before the next attempt.
 #[derive(Debug, Default)]
 pub(crate) struct Backoff {
-    failures: u32,
+    consecutive_failures: u32,
 }
 
 impl Backoff {
-    pub(crate) fn succeed(&mut self) {
-        self.failures = 0;
+    pub(crate) fn record_success(&mut self) {
+        self.consecutive_failures = 0;
     }
 
-    /// Returns a wait with full jitter, so that a whole data centre that comes back does not call at one moment.
-    pub(crate) fn fail(&mut self, rng: &mut impl Rng) -> Duration {
-        let longest = FIRST.saturating_mul(1 << self.failures.min(8)).min(LONGEST);
-        self.failures = self.failures.saturating_add(1);
-        rng.random_range(longest / 4..=longest)
+    /// Records a failure and returns a jittered wait, so that the processes of a recovering data centre don't call all at once.
+    pub(crate) fn record_failure(&mut self, rng: &mut impl Rng) -> Duration {
+        let max_wait = INITIAL_MAX_WAIT
+            .saturating_mul(1 << self.consecutive_failures.min(8))
+            .min(MAX_WAIT);
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+        rng.random_range(max_wait / 4..=max_wait)
     }
 }
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -1,13 +1,13 @@
-//! Holds what a process knows of the fleet: the configuration, the live members, and its own lease.
+//! A process's view of the fleet: the configuration, the live members, and its own lease.
 //!
-//! A background task announces the process to control, renews its lease, and watches for changes. What arrives on the data path
-//! (from an entry or a sidecar that holds a newer configuration) is taken in the same way, so that a process that control can't
-//! reach still learns. Nothing here ever steps back to an older configuration.
+//! Background tasks announce the process to control, renew its lease, and watch for changes. Updates that arrive on the data
+//! path (from an entry or a sidecar with a newer configuration) are applied in the same way, so that a process that can't
+//! reach control still receives them. The configuration never goes back to an older version.
 
 mod backoff;
+mod gossip;
 mod list;
 mod member;
-mod spread;
 mod tasks;
 
 pub use list::{MemberList, MembersApplied};
--- a/crates/member/src/member.rs
+++ b/crates/member/src/member.rs
@@ -1,4 +1,4 @@
-//! Holds the handle that the roles read from.
+//! The handle through which roles access a process's view of the fleet.
 
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -15,11 +15,11 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
+use crate::gossip::Gossip;
 use crate::list::{MemberList, MembersApplied};
-use crate::spread::Spread;
 use crate::tasks;
 
-/// Gives access to what the process knows of the fleet; clones share it.
+/// This process as a member of the fleet, with its view of the others; clones share the same state.
 #[derive(Debug, Clone)]
 pub struct Member {
     pub(crate) shared: Arc<Shared>,
@@ -29,12 +29,12 @@
 pub(crate) struct Shared {
     pub(crate) held: Held,
     pub(crate) client: Option<Client>,
-    pub(crate) control: Vec<Box<str>>,
-    pub(crate) spread: Spread,
-    /// Wakes the announcing task when something about this process has changed.
+    pub(crate) control_addresses: Vec<Box<str>>,
+    pub(crate) gossip: Gossip,
+    /// Wakes the announcing task when the state of this process has changed.
     pub(crate) announce_now: tokio::sync::Notify,
-    announce: Announce,
-    started: Instant,
+    announce_template: Announce,
+    started_at: Instant,
     members: ArcSwap<MemberList>,
     config_writer: Mutex<()>,
     members_writer: Mutex<()>,
@@ -44,7 +44,7 @@
     fence_known: AtomicBool,
     highest_fence: AtomicU64,
     leaving: AtomicBool,
-    /// Whether control has said that this process is drained.
+    /// Whether control has marked this process as drained.
     drained: AtomicBool,
     running: AtomicU32,
     ejected: AtomicBool,
@@ -54,41 +54,49 @@
 }
 
 impl Member {
-    /// Starts announcing the process and watching for changes.
+    /// Creates a handle and starts announcing the process and watching for changes.
     ///
-    /// `announce` is the template of the announcement: name, role, pool, slots and the like.
+    /// `announce_template` contains the constant fields of the announcements: name, role, pool, slots and the like.
     ///
     /// # Panics
     ///
     /// Panics outside a tokio runtime.
     #[must_use]
-    pub fn spawn(client: Client, announce: Announce, control: Vec<Box<str>>) -> Self {
-        let member = Self::new(Some(client), announce, control);
+    pub fn spawn(
+        client: Client,
+        announce_template: Announce,
+        control_addresses: Vec<Box<str>>,
+    ) -> Self {
+        let member = Self::new(Some(client), announce_template, control_addresses);
         tasks::spawn(&member);
         member
     }
 
-    /// Creates a handle with no control to talk to; it learns only what it is told.
+    /// Creates a handle without control; only changes passed to it are applied.
     #[must_use]
-    pub fn detached(announce: Announce) -> Self {
-        Self::new(None, announce, Vec::new())
+    pub fn detached(announce_template: Announce) -> Self {
+        Self::new(None, announce_template, Vec::new())
     }
 
-    fn new(client: Option<Client>, announce: Announce, control: Vec<Box<str>>) -> Self {
-        let model_version = ArcSwap::from_pointee(announce.model_version.clone());
-        let peer_address = ArcSwap::from_pointee(announce.peer_address.clone());
+    fn new(
+        client: Option<Client>,
+        announce_template: Announce,
+        control_addresses: Vec<Box<str>>,
+    ) -> Self {
+        let model_version = ArcSwap::from_pointee(announce_template.model_version.clone());
+        let peer_address = ArcSwap::from_pointee(announce_template.peer_address.clone());
         let shared = Shared {
             held: Held::empty(),
             client,
-            control,
-            spread: Spread::default(),
+            control_addresses,
+            gossip: Gossip::default(),
             announce_now: tokio::sync::Notify::new(),
-            leaving: AtomicBool::new(announce.leaving),
+            leaving: AtomicBool::new(announce_template.leaving),
             drained: AtomicBool::new(false),
             running: AtomicU32::new(0),
             ejected: AtomicBool::new(false),
-            announce,
-            started: Instant::now(),
+            announce_template,
+            started_at: Instant::now(),
             members: ArcSwap::default(),
             config_writer: Mutex::default(),
             members_writer: Mutex::default(),
@@ -109,19 +117,19 @@
     /// Returns the name of this instance.
     #[must_use]
     pub fn instance(&self) -> &str {
-        &self.shared.announce.instance
+        &self.shared.announce_template.instance
     }
 
-    /// Returns the number that this process drew when it started.
+    /// Returns the random number that identifies this run of the process.
     #[must_use]
     pub fn incarnation(&self) -> u64 {
-        self.shared.announce.incarnation
+        self.shared.announce_template.incarnation
     }
 
-    /// Returns the addresses of control or relay instances from the settings.
+    /// Returns the addresses of the control or relay instances from the settings.
     #[must_use]
     pub fn control_addresses(&self) -> &[Box<str>] {
-        &self.shared.control
+        &self.shared.control_addresses
     }
 
     /// Returns the configuration in force here, without a lock.
@@ -130,13 +138,13 @@
         self.shared.held.current()
     }
 
-    /// Returns the version of the configuration in force here; 0 before the first.
+    /// Returns the version of the configuration in force here; 0 before the first configuration.
     #[must_use]
     pub fn config_version(&self) -> u64 {
         self.shared.held.version()
     }
 
-    /// Returns the members known here, without a lock.
+    /// Returns the current member list, without a lock.
     #[must_use]
     pub fn members(&self) -> Arc<MemberList> {
         self.shared.members.load_full()
@@ -144,31 +152,31 @@
 
     /// Returns whether control or a peer has confirmed the configuration since this process started.
     ///
-    /// A process that has just restarted with empty state takes no work before this.
+    /// A process that has restarted with empty state accepts no work before this.
     #[must_use]
     pub fn is_current(&self) -> bool {
         self.shared.confirmed.load(Ordering::Acquire)
     }
 
-    /// Returns the lowest fencing number that is still valid, once control has told it.
+    /// Returns the lowest fencing number that is still valid, or `None` until control has sent it.
     #[must_use]
     pub fn fence(&self) -> Option<u64> {
         let known = self.shared.fence_known.load(Ordering::Acquire);
         known.then(|| self.shared.fence.load(Ordering::Acquire))
     }
 
-    /// Records the highest fencing number that an order has shown, for the next announcement.
+    /// Records a fencing number from an order; the next announcement reports the highest.
     pub fn record_fence(&self, fence: u64) {
         self.shared.highest_fence.fetch_max(fence, Ordering::AcqRel);
     }
 
-    /// Says that this process takes no new work, and announces it at once.
+    /// Marks this process as leaving, so that it gets no new work, and announces it at once.
     pub fn set_leaving(&self) {
         self.shared.leaving.store(true, Ordering::Release);
         self.shared.announce_now.notify_one();
     }
 
-    /// Returns whether this process takes no new work.
+    /// Returns whether this process is leaving, so that it gets no new work.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         self.shared.leaving.load(Ordering::Acquire)
@@ -176,7 +184,7 @@
 
     /// Records how many grants and requests run at the endpoint.
     ///
-    /// It goes with the next announcement, or at once when the last one ends while the process is leaving or drained.
+    /// The next announcement reports it; when the last one ends while the process is leaving or drained, it is sent at once.
     pub fn set_running(&self, running: u32) {
         let shared = &self.shared;
         let before = shared.running.swap(running, Ordering::SeqCst);
@@ -185,25 +193,25 @@
         }
     }
 
-    /// Returns whether the process takes no new work, by its own word or by control's.
+    /// Returns whether the process gets no new work, because it is leaving or because control drained it.
     fn is_drained(&self) -> bool {
         self.is_leaving() || self.shared.drained.load(Ordering::SeqCst)
     }
 
-    /// Returns whether control must hear at once of what has changed since an announcement.
+    /// Returns whether a change since the last announcement must be announced at once.
     ///
-    /// What changes while an announcement is under way may matter only by the reply to it.
-    pub(crate) fn owes_word(&self, told: &Announce) -> bool {
+    /// The check follows the reply to an announcement, since the reply may make a change during the call relevant.
+    pub(crate) fn needs_announcement(&self, last: &Announce) -> bool {
         let now = self.announcement();
-        let last_run_ended = told.running > Some(0) && now.running == Some(0) && self.is_drained();
+        let last_run_ended = last.running > Some(0) && now.running == Some(0) && self.is_drained();
         last_run_ended
-            || told.leaving != now.leaving
-            || told.ejected != now.ejected
-            || told.model_version != now.model_version
-            || told.peer_address != now.peer_address
+            || last.leaving != now.leaving
+            || last.ejected != now.ejected
+            || last.model_version != now.model_version
+            || last.peer_address != now.peer_address
     }
 
-    /// Records whether the endpoint gets no work because it failed, and announces a change at once.
+    /// Records whether the endpoint is ejected, and announces a change at once.
     pub fn set_ejected(&self, is_ejected: bool) {
         let before = self.shared.ejected.swap(is_ejected, Ordering::AcqRel);
         if before != is_ejected {
@@ -211,7 +219,7 @@
         }
     }
 
-    /// Records the version that the endpoint serves, and announces it at once.
+    /// Records the model version that the endpoint serves, and announces it at once.
     pub fn set_model_version(&self, version: &str) {
         self.shared.model_version.store(Arc::new(version.into()));
         self.shared.announce_now.notify_one();
@@ -219,23 +227,23 @@
 
     /// Records the address at which other processes reach this one; nothing is announced before it is known.
     ///
-    /// An address in the template, which an operator has set, stays.
+    /// An address in the announcement template takes precedence, since an operator has set it.
     pub fn set_peer_address(&self, address: &str) {
-        if self.shared.announce.peer_address.is_empty() {
+        if self.shared.announce_template.peer_address.is_empty() {
             self.shared.peer_address.store(Arc::new(address.into()));
         }
         self.shared.announce_now.notify_one();
     }
 
-    /// Takes in a change of the configuration; an older or repeated one changes nothing.
+    /// Applies a change of the configuration; an older or repeated one has no effect.
     #[expect(
         clippy::must_use_candidate,
-        reason = "it is called for what it changes"
+        reason = "callers may need only its effect"
     )]
     pub fn apply_config(&self, delta: &ConfigDelta) -> Applied {
         let applied = self.apply_config_in_order(delta);
         if matches!(applied, Applied::Advanced(_)) {
-            self.note_change();
+            self.notify_change();
         }
         if matches!(applied, Applied::Advanced(_) | Applied::Ignored) {
             self.confirm_if_reached();
@@ -243,7 +251,7 @@
         applied
     }
 
-    /// Applies a change and writes the record of it, so that the records have the order of the versions.
+    /// Applies a change and logs it under one lock, so that the log lines are in the order of the versions.
     fn apply_config_in_order(&self, delta: &ConfigDelta) -> Applied {
         let writer = self.shared.config_writer.lock();
         let _writer = writer.unwrap_or_else(PoisonError::into_inner);
@@ -258,57 +266,57 @@
         applied
     }
 
-    /// Takes in a change of the configuration on a thread of its own.
+    /// Applies a change of the configuration on a blocking thread.
     ///
-    /// Merging the folder of 1,500 teams takes some ten milliseconds, in which answers that stream on this thread would stand still.
+    /// Merging the folder of 1,500 teams takes about 10 ms, during which answers that stream on this thread would stall.
     ///
     /// # Panics
     ///
-    /// Panics outside a tokio runtime, and when the merge itself panicked.
+    /// Panics outside a tokio runtime, and if the merge panics.
     pub async fn apply_config_off_thread(&self, delta: ConfigDelta) -> Applied {
         let member = self.clone();
-        let learning = tokio::task::spawn_blocking(move || member.apply_config(&delta));
-        learning
+        let applying = tokio::task::spawn_blocking(move || member.apply_config(&delta));
+        applying
             .await
             .expect("the merge does not panic and is never cancelled")
     }
 
-    /// Takes in a change of the member list.
+    /// Applies a change of the member list.
     #[expect(
         clippy::must_use_candidate,
-        reason = "it is called for what it changes"
+        reason = "callers may need only its effect"
     )]
     pub fn apply_members(&self, delta: &MembersDelta) -> MembersApplied {
         self.change_members(|list, now| list.apply(delta, now))
     }
 
-    /// Answers a peer that asks for the configuration.
+    /// Returns the reply to a peer that requests the configuration.
     #[must_use]
-    pub fn answer_fetch(&self, ask: &FetchConfig) -> FetchedConfig {
+    pub fn answer_fetch(&self, request: &FetchConfig) -> FetchedConfig {
         FetchedConfig {
-            config: self.shared.held.delta_since(ask.config_version),
+            config: self.shared.held.delta_since(request.config_version),
         }
     }
 
-    /// Returns a channel whose number rises with every change of the configuration or the member list.
+    /// Returns a channel whose value increases with every change of the configuration or the member list.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.shared.changes.subscribe()
     }
 
-    /// Fetches the configuration from a peer that showed a newer version.
-    pub async fn fetch_config_from(&self, address: &str, seen_version: u64) {
-        crate::spread::learn_from(self, address, seen_version).await;
+    /// Fetches the configuration from a peer that reported a newer version.
+    pub async fn fetch_config_from(&self, address: &str, peer_version: u64) {
+        crate::gossip::fetch_from(self, address, peer_version).await;
     }
 
-    /// Pushes the configuration to a peer that showed an older version.
-    pub async fn push_config_to(&self, address: &str, seen_version: u64) {
-        crate::spread::push_to(self, address, seen_version).await;
+    /// Pushes the configuration to a peer that reported an older version.
+    pub async fn push_config_to(&self, address: &str, peer_version: u64) {
+        crate::gossip::push_to(self, address, peer_version).await;
     }
 
     pub(crate) fn announcement(&self) -> Announce {
         let shared = &self.shared;
-        let is_sidecar = shared.announce.role == Role::Sidecar;
+        let is_sidecar = shared.announce_template.role == Role::Sidecar;
         Announce {
             config_version: self.config_version(),
             highest_fence: shared.highest_fence.load(Ordering::Acquire),
@@ -317,11 +325,11 @@
             ejected: is_sidecar.then(|| shared.ejected.load(Ordering::Acquire)),
             model_version: Box::clone(&shared.model_version.load()),
             peer_address: Box::clone(&shared.peer_address.load()),
-            ..shared.announce.clone()
+            ..shared.announce_template.clone()
         }
     }
 
-    pub(crate) fn learn_announced(&self, announced: &Announced) {
+    pub(crate) fn apply_announce_reply(&self, announced: &Announced) {
         let shared = &self.shared;
         shared.fence.fetch_max(announced.fence, Ordering::AcqRel);
         let is_drained = announced.drained == Some(true);
@@ -343,7 +351,7 @@
         });
     }
 
-    /// Confirms the configuration once a version is held that is as new as any that control or a peer has shown.
+    /// Confirms the configuration once its version is at least the newest that control has reported, if any.
     fn confirm_if_reached(&self) {
         let held = self.config_version();
         if held > 0
@@ -351,7 +359,7 @@
             && !self.is_current()
         {
             self.shared.confirmed.store(true, Ordering::Release);
-            self.note_change();
+            self.notify_change();
         }
     }
 
@@ -361,12 +369,12 @@
     ) -> MembersApplied {
         let _writer = self.lock_members();
         let mut list = MemberList::clone(&self.shared.members.load());
-        let learned = change(&mut list, self.shared.started.elapsed());
-        if learned == MembersApplied::Advanced {
+        let applied = change(&mut list, self.shared.started_at.elapsed());
+        if applied == MembersApplied::Advanced {
             self.shared.members.store(Arc::new(list));
-            self.note_change();
+            self.notify_change();
         }
-        learned
+        applied
     }
 
     fn lock_members(&self) -> MutexGuard<'_, ()> {
@@ -374,7 +382,7 @@
         lock.unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn note_change(&self) {
+    fn notify_change(&self) {
         self.shared.changes.send_modify(|count| *count += 1);
     }
 }
--- a/crates/member/src/tasks.rs
+++ b/crates/member/src/tasks.rs
@@ -1,4 +1,4 @@
-//! Runs the tasks that talk to control.
+//! Background tasks that communicate with control.
 
 use std::time::Duration;
 
@@ -13,16 +13,16 @@
 use crate::list::MembersApplied;
 use crate::member::Member;
 
-/// Longest wait for the answer to an announcement.
+/// Timeout of an announcement.
 const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest wait of one watch; an answer without changes then shows that control is still there.
+/// How long control may delay the reply to a watch; an empty reply then shows that control is still reachable.
 const WATCH_WAIT: Duration = Duration::from_secs(20);
 
-/// How much longer than its own wait a watch may take before its connection counts as silent.
+/// How much longer than [`WATCH_WAIT`] a watch may take before its connection counts as dead.
 const WATCH_MARGIN: Duration = Duration::from_secs(2);
 
-/// Announcements in one lease, so that two lost ones in a row cost nothing.
+/// Announcements per lease, so that the lease survives the loss of two in a row.
 const RENEWALS_PER_LEASE: u32 = 3;
 
 pub(crate) fn spawn(member: &Member) {
@@ -30,21 +30,21 @@
     tokio::spawn(watch_forever(member.clone()));
 }
 
-/// Walks through the addresses of control, and moves on when one fails.
+/// A client that calls one control address at a time, and moves to the next when a call fails.
 #[derive(Debug)]
-struct Control {
+struct ControlClient {
     client: Client,
     addresses: Vec<Box<str>>,
     next: usize,
 }
 
-impl Control {
-    fn of(member: &Member) -> Option<Self> {
-        let addresses = member.shared.control.clone();
+impl ControlClient {
+    fn new(member: &Member) -> Option<Self> {
+        let addresses = member.shared.control_addresses.clone();
         if addresses.is_empty() {
             return None;
         }
-        // Processes start at different addresses, so that they spread over the control instances.
+        // Processes start at different addresses, to distribute them over the control instances.
         let start = usize::try_from(member.incarnation() % 1_024).unwrap_or_default();
         Some(Self {
             client: member.shared.client.clone()?,
@@ -57,23 +57,23 @@
         &self.addresses[self.next]
     }
 
-    fn move_on(&mut self) {
+    fn select_next(&mut self) {
         self.next = (self.next + 1) % self.addresses.len();
     }
 }
 
 async fn announce_forever(member: Member) {
-    let Some(mut control) = Control::of(&member) else {
+    let Some(mut control) = ControlClient::new(&member) else {
         return;
     };
     let mut backoff = Backoff::default();
-    let mut is_known = false;
+    let mut is_connected = false;
     while member.announcement().peer_address.is_empty() {
         member.shared.announce_now.notified().await;
     }
     loop {
         let announcement = member.announcement();
-        let announced = control
+        let result = control
             .client
             .call::<_, Announced>(
                 control.address(),
@@ -82,44 +82,48 @@
                 ANNOUNCE_TIMEOUT,
             )
             .await;
-        let wait = match announced {
-            Ok(announced) => {
-                member.learn_announced(&announced);
-                note_known(&mut is_known, &control);
-                backoff.succeed();
-                Duration::from_millis(announced.lease_ms) / RENEWALS_PER_LEASE
+        let wait = match result {
+            Ok(reply) => {
+                member.apply_announce_reply(&reply);
+                log_connected(&mut is_connected, &control);
+                backoff.record_success();
+                Duration::from_millis(reply.lease_ms) / RENEWALS_PER_LEASE
             }
             Err(cause) => {
-                note_lost(&mut is_known, &control, &cause);
-                control.move_on();
-                backoff.fail(&mut rand::rng())
+                log_disconnected(&mut is_connected, &control, &cause);
+                control.select_next();
+                backoff.record_failure(&mut rand::rng())
             }
         };
-        let _changed_or_elapsed = timeout(wait, owes_word(&member, &announcement)).await;
+        let _changed_or_elapsed = timeout(wait, announcement_needed(&member, &announcement)).await;
         member.expire_members();
     }
 }
 
-/// Waits until control must hear at once of what has changed since an announcement.
-async fn owes_word(member: &Member, told: &Announce) {
-    while !member.owes_word(told) {
+/// Waits until a change since the last announcement must be announced at once.
+async fn announcement_needed(member: &Member, last: &Announce) {
+    while !member.needs_announcement(last) {
         member.shared.announce_now.notified().await;
     }
 }
 
-fn note_known(is_known: &mut bool, control: &Control) {
-    if !*is_known {
+fn log_connected(is_connected: &mut bool, control: &ControlClient) {
+    if !*is_connected {
         info!(
             Part::Link,
             "Announced to control.",
             address = control.address()
         );
     }
-    *is_known = true;
+    *is_connected = true;
 }
 
-fn note_lost(is_known: &mut bool, control: &Control, cause: &hinge_link::CallError) {
-    if *is_known {
+fn log_disconnected(
+    is_connected: &mut bool,
+    control: &ControlClient,
+    cause: &hinge_link::CallError,
+) {
+    if *is_connected {
         warn!(
             Part::Link,
             "Control does not answer.",
@@ -127,11 +131,11 @@
             cause = cause
         );
     }
-    *is_known = false;
+    *is_connected = false;
 }
 
 async fn watch_forever(member: Member) {
-    let Some(mut control) = Control::of(&member) else {
+    let Some(mut control) = ControlClient::new(&member) else {
         return;
     };
     let mut backoff = Backoff::default();
@@ -144,21 +148,21 @@
             .call::<_, Update>(control.address(), "/v1/watch", &watch, wait)
             .await
         {
-            Ok(update) => match learn(&member, update).await {
-                Progress::Learned => {
+            Ok(update) => match apply_update(&member, update).await {
+                NextWatch::Changes => {
                     wants_full = false;
-                    backoff.succeed();
+                    backoff.record_success();
                 }
-                // Without a wait the same answer would come again at once.
-                Progress::NeedsFull => {
+                // Without a wait the same reply would arrive again at once.
+                NextWatch::Full => {
                     wants_full = true;
-                    let wait = backoff.fail(&mut rand::rng());
+                    let wait = backoff.record_failure(&mut rand::rng());
                     sleep(wait).await;
                 }
             },
             Err(_cause) => {
-                control.move_on();
-                let wait = backoff.fail(&mut rand::rng());
+                control.select_next();
+                let wait = backoff.record_failure(&mut rand::rng());
                 sleep(wait).await;
             }
         }
@@ -178,28 +182,30 @@
         members_epoch: list.epoch(),
         members_version,
         wait_ms: u64::try_from(WATCH_WAIT.as_millis()).unwrap_or(u64::MAX),
-        pools: wanted_pools(member),
+        pools: watched_pools(member),
     }
 }
 
-/// Only entries choose among endpoints; a name that no pool has keeps the list away from the others.
-fn wanted_pools(member: &Member) -> Vec<Box<str>> {
+/// Returns the pools whose members to watch: all for entries, relays and control, none for sidecars.
+///
+/// Only entries choose among endpoints. An empty list requests all pools, so sidecars ask for a name that no pool has.
+fn watched_pools(member: &Member) -> Vec<Box<str>> {
     match member.announcement().role {
         Role::Entry | Role::Relay | Role::Control => Vec::new(),
         Role::Sidecar => vec!["-".into()],
     }
 }
 
-/// Says how the next watch must ask.
+/// What the next watch must request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Progress {
-    /// For changes since what is held.
-    Learned,
-    /// For everything, after a wait.
-    NeedsFull,
+enum NextWatch {
+    /// Changes since the current versions.
+    Changes,
+    /// The full state, after a wait.
+    Full,
 }
 
-async fn learn(member: &Member, update: Update) -> Progress {
+async fn apply_update(member: &Member, update: Update) -> NextWatch {
     let mut wants_full = false;
     if let Some(delta) = update.config {
         let version = delta.version;
@@ -225,8 +231,8 @@
         wants_full |= member.apply_members(delta) == MembersApplied::NeedsFull;
     }
     if wants_full {
-        Progress::NeedsFull
+        NextWatch::Full
     } else {
-        Progress::Learned
+        NextWatch::Changes
     }
 }
--- a/crates/member/tests/announce.rs
+++ b/crates/member/tests/announce.rs
@@ -1,4 +1,4 @@
-//! Checks that control hears at once of what changes while an announcement is under way.
+//! Checks that changes during an announcement are announced at once after its reply.
 
 mod support;
 
@@ -14,33 +14,33 @@
 
 use support::announce;
 
-/// Ends a case that hangs; no case waits for it to pass.
+/// Timeout of a hanging case; a passing case never waits that long.
 const WAIT: Duration = Duration::from_secs(30);
 
 const VERSION: &str = "2";
 
-/// Plays a control instance that holds its reply to an announcement with a run back, and says only there that the sidecar is drained.
-struct Control {
+/// A fake control instance that delays its reply to an announcement with a running request; only that reply says `drained`.
+struct FakeControl {
     server: ServerHandle,
     announced: watch::Receiver<Vec<Announce>>,
     may_reply: Arc<Semaphore>,
 }
 
-impl Control {
+impl FakeControl {
     async fn bind() -> Self {
-        let (kept, announced) = watch::channel(Vec::new());
+        let (sender, announced) = watch::channel(Vec::new());
         let may_reply = Arc::new(Semaphore::new(0));
         let held = Arc::clone(&may_reply);
         let router = Router::new().post("/v1/announce", move |request: Request| {
-            let (kept, held) = (kept.clone(), Arc::clone(&held));
+            let (sender, held) = (sender.clone(), Arc::clone(&held));
             async move {
                 unary(&key(), request, |announce: Announce| async move {
-                    let has_run = announce.running == Some(1);
-                    kept.send_modify(|all: &mut Vec<Announce>| all.push(announce));
-                    if has_run {
-                        let _permit = held.acquire().await.expect("it is never closed");
+                    let is_running = announce.running == Some(1);
+                    sender.send_modify(|all: &mut Vec<Announce>| all.push(announce));
+                    if is_running {
+                        let _permit = held.acquire().await.expect("the semaphore is never closed");
                     }
-                    Ok(reply(has_run))
+                    Ok(reply(is_running))
                 })
                 .await
             }
@@ -53,11 +53,11 @@
         }
     }
 
-    async fn until(&self, condition: impl Fn(&[Announce]) -> bool) {
+    async fn wait_until(&self, condition: impl Fn(&[Announce]) -> bool) {
         let mut announced = self.announced.clone();
         let met = tokio::time::timeout(WAIT, announced.wait_for(|all| condition(all))).await;
-        met.expect("it is announced at once")
-            .expect("control lives");
+        met.expect("the change is announced at once")
+            .expect("the fake control is running");
     }
 }
 
@@ -69,7 +69,7 @@
     Announced {
         config_version: 0,
         fence: 1,
-        // A third of it is longer than any case waits.
+        // No case lasts a third of it, which is the interval of announcements.
         lease_ms: 600_000,
         members_version: 0,
         drained: Some(drained),
@@ -85,52 +85,55 @@
     }
 }
 
-/// Lets something change while control holds the reply to an announcement with a run back, and waits until control hears of it.
-async fn changes_while_a_reply_is_held(
+/// Makes a change while control delays the reply to an announcement with a running request, and waits until it is announced.
+async fn is_announced_after_the_delayed_reply(
     change: impl Fn(&Member),
-    is_told: impl Fn(&Announce) -> bool,
+    announces_change: impl Fn(&Announce) -> bool,
 ) {
-    let control = Control::bind().await;
+    let control = FakeControl::bind().await;
     let address = control.server.local_address().to_string();
     let member = Member::spawn(Client::new(key()), sidecar(), vec![address.into()]);
-    // The first announcement is answered, so that nothing but the change can lead to another one after the held reply.
+    // Waits for the reply to the first announcement, so that only the change can cause another one after the delayed reply.
     while member.fence().is_none() {
         tokio::task::yield_now().await;
     }
     member.set_running(1);
     member.set_model_version(VERSION);
-    let has_run = |announce: &Announce| announce.running == Some(1);
-    control.until(|all| all.iter().any(has_run)).await;
+    let is_running = |announce: &Announce| announce.running == Some(1);
+    control.wait_until(|all| all.iter().any(is_running)).await;
     change(&member);
     control.may_reply.add_permits(Semaphore::MAX_PERMITS);
     control
-        .until(|all| {
-            let busy = all.iter().position(has_run).expect("it was waited for");
-            all[busy + 1..].iter().any(&is_told)
+        .wait_until(|all| {
+            let busy = all
+                .iter()
+                .position(is_running)
+                .expect("this announcement was awaited above");
+            all[busy + 1..].iter().any(&announces_change)
         })
         .await;
 }
 
 async_cases! { real
-    the_end_of_a_run_during_the_reply_that_drains_its_sidecar_is_announced_at_once => {
-        changes_while_a_reply_is_held(
+    the_end_of_the_last_request_during_the_reply_that_drains_a_sidecar_is_announced_at_once => {
+        is_announced_after_the_delayed_reply(
             |member| member.set_running(0),
             |announce| announce.running == Some(0),
         )
         .await;
     }
     an_ejection_during_a_reply_is_announced_at_once => {
-        changes_while_a_reply_is_held(
+        is_announced_after_the_delayed_reply(
             |member| member.set_ejected(true),
             |announce| announce.ejected == Some(true),
         )
         .await;
     }
-    a_leave_during_a_reply_is_announced_at_once => {
-        changes_while_a_reply_is_held(Member::set_leaving, |announce| announce.leaving).await;
+    leaving_during_a_reply_is_announced_at_once => {
+        is_announced_after_the_delayed_reply(Member::set_leaving, |announce| announce.leaving).await;
     }
-    a_version_during_a_reply_is_announced_at_once => {
-        changes_while_a_reply_is_held(
+    a_model_version_change_during_a_reply_is_announced_at_once => {
+        is_announced_after_the_delayed_reply(
             |member| member.set_model_version("3"),
             |announce| &*announce.model_version == "3",
         )
--- a/crates/member/tests/support/mod.rs
+++ b/crates/member/tests/support/mod.rs
@@ -1,8 +1,8 @@
-//! Describes the process that the tests play.
+//! The announcement of the process under test.
 
 use hinge_schema::messages::{Announce, Role};
 
-/// Returns the template of an announcement, with a lease that no case outlives.
+/// Returns an announcement template with a lease that outlasts every case.
 pub fn announce(instance: &str, role: Role) -> Announce {
     Announce {
         config_version: 0,
--- a/crates/member/tests/learn.rs
+++ b/crates/member/tests/updates.rs
@@ -1,4 +1,4 @@
-//! Checks that what a process has learnt never steps back, whatever order it arrives in.
+//! Checks that the configuration and the member list never go back, in whatever order updates arrive.
 
 mod support;
 
@@ -70,19 +70,19 @@
 }
 
 quickcheck! {
-    fn a_configuration_never_steps_back(versions: Vec<u8>) -> bool {
+    fn a_configuration_never_goes_back(versions: Vec<u8>) -> bool {
         let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime starts");
         let _entered = runtime.enter();
         let member = Member::detached(entry());
         versions.into_iter().map(u64::from).all(|version| {
             let before = member.config_version();
             member.apply_config(&full_config(version));
-            let asked = member.answer_fetch(&FetchConfig { config_version: version });
-            member.config_version() == before.max(version) && asked.config.is_none_or(|delta| delta.version > version)
+            let answer = member.answer_fetch(&FetchConfig { config_version: version });
+            member.config_version() == before.max(version) && answer.config.is_none_or(|delta| delta.version > version)
         })
     }
 
-    fn a_list_never_steps_back_within_an_epoch(versions: Vec<u8>) -> bool {
+    fn a_member_list_never_goes_back_within_an_epoch(versions: Vec<u8>) -> bool {
         let mut list = MemberList::default();
         versions.into_iter().map(u64::from).all(|version| {
             let before = list.version();
@@ -93,14 +93,14 @@
 }
 
 cases! {
-    a_change_of_a_list_that_is_not_held_is_refused => {
+    a_change_based_on_another_list_version_is_refused => {
         let mut list = MemberList::default();
         assert_eq!(list.apply(&members(1, 0, 3, &["a"]), Duration::ZERO), MembersApplied::Advanced);
         assert_eq!(list.apply(&members(1, 4, 5, &["b"]), Duration::ZERO), MembersApplied::NeedsFull);
         assert_eq!(list.apply(&members(2, 3, 4, &["b"]), Duration::ZERO), MembersApplied::NeedsFull);
         assert_eq!(names(&list), ["a"]);
     }
-    a_new_leader_with_a_short_list_empties_no_pool => {
+    an_incomplete_list_of_a_new_leader_empties_no_pool => {
         let mut list = MemberList::default();
         list.apply(&members(1, 0, 9, &["a", "b"]), Duration::ZERO);
         list.apply(&members(2, 0, 1, &["a"]), Duration::from_secs(1));
@@ -109,7 +109,7 @@
         assert!(list.expire(Duration::from_secs(11)));
         assert_eq!(names(&list), ["a"]);
     }
-    a_member_that_announces_itself_to_the_new_leader_stays => {
+    a_member_that_announces_itself_to_the_new_leader_is_kept => {
         let mut list = MemberList::default();
         list.apply(&members(1, 0, 9, &["a", "b"]), Duration::ZERO);
         list.apply(&members(2, 0, 1, &["a"]), Duration::from_secs(1));
@@ -120,7 +120,7 @@
 }
 
 async_cases! {
-    a_restart_with_empty_state_is_not_current_before_it_has_learnt => {
+    a_process_restarted_with_empty_state_is_not_current_before_it_has_a_configuration => {
         let member = Member::detached(entry());
         assert!(!member.is_current());
         member.apply_config(&full_config(3));
@@ -128,25 +128,25 @@
     }
 }
 
-/// Serves a configuration to whoever fetches it.
-fn serving(key: &ClusterKey) -> Router {
+/// Returns a router that answers configuration fetches.
+fn config_router(key: &ClusterKey) -> Router {
     let key = key.clone();
     Router::new().post("/v1/config/fetch", move |request: Request| {
         let key = key.clone();
-        async move { unary(&key, request, fetched).await }
+        async move { unary(&key, request, fetch_config).await }
     })
 }
 
-async fn fetched(_ask: FetchConfig) -> Result<FetchedConfig, http::StatusCode> {
+async fn fetch_config(_request: FetchConfig) -> Result<FetchedConfig, http::StatusCode> {
     Ok(FetchedConfig {
         config: Some(full_config(3)),
     })
 }
 
 async_cases! { real
-    a_fetch_that_was_dropped_does_not_stop_the_next => {
+    a_dropped_fetch_does_not_block_the_next => {
         let key = ClusterKey::derive(b"one");
-        let server = Server::bind("127.0.0.1:0", serving(&key), Limits::default()).await.expect("a free port exists");
+        let server = Server::bind("127.0.0.1:0", config_router(&key), Limits::default()).await.expect("a free port exists");
         let address = server.local_address().to_string();
         let member = Member::spawn(Client::new(key), entry(), Vec::new());
         let mut dropped = Box::pin(member.fetch_config_from(&address, 3));
