--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -1,7 +1,7 @@
-//! Gives open orders to their endpoints' sidecars, as the leader.
+//! Dispatches open orders to the sidecars of their endpoints, on the leader.
 //!
-//! An order goes out only while this instance's lease holds and its term is opened in the state, so its fencing number is of
-//! this term. Orders to one endpoint go out one after another, in the order of their numbers.
+//! An order is sent only while this instance's lease holds and its term is opened in the state, so that its fencing
+//! number belongs to this term. Orders to one endpoint are sent one at a time, in the order of their IDs.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -10,25 +10,25 @@
 use hinge_schema::messages::{Order, OrderRecord, OrderReply, OrderVerdict};
 use hinge_state::{Command, InstanceName, OrderResult};
 
-use crate::core::{Core, Place};
+use crate::core::{Core, Leadership};
 
-/// Path at the sidecar.
+/// Path of orders at a sidecar.
 const ORDER_PATH: &str = "/v1/order";
 
-/// Wait for a sidecar's answer; an endpoint that takes longer answers `running`.
-const WAIT: Duration = Duration::from_secs(10);
+/// Timeout for a sidecar's reply; an order that takes longer is answered `running`.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Orders on the way at once.
-const MAX_UNDER_WAY: usize = 64;
+/// Maximum number of orders in flight.
+const MAX_IN_FLIGHT_ORDERS: usize = 64;
 
-/// Holds which endpoints have an order on the way.
+/// The endpoints that have an order in flight.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct UnderWay(Arc<Mutex<BTreeSet<InstanceName>>>);
+pub(crate) struct InFlightOrders(Arc<Mutex<BTreeSet<InstanceName>>>);
 
-impl UnderWay {
+impl InFlightOrders {
     fn begin(&self, instance: &str) -> bool {
         let mut names = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        names.len() < MAX_UNDER_WAY && names.insert(instance.into())
+        names.len() < MAX_IN_FLIGHT_ORDERS && names.insert(instance.into())
     }
 
     fn end(&self, instance: &str) {
@@ -37,23 +37,23 @@
     }
 }
 
-/// Sends each endpoint's oldest open order, unless one is on the way.
-pub(crate) fn give(core: &Arc<Core>, under_way: &UnderWay) {
+/// Sends each endpoint's oldest open order, unless one is already in flight.
+pub(crate) fn dispatch(core: &Arc<Core>, in_flight: &InFlightOrders) {
     let view = core.driver.view.load_full();
     let mut seen = BTreeSet::new();
     for order in &view.open_orders {
-        // A later order to the same endpoint waits, even while the first one can't be sent.
+        // Later orders to the same endpoint wait, even while the first one can't be sent.
         if !seen.insert(&order.instance) {
             continue;
         }
         let address = address_of(core, &order.instance);
         if let Some(address) = address
-            && under_way.begin(&order.instance)
+            && in_flight.begin(&order.instance)
         {
-            let (core, order, under_way) = (Arc::clone(core), order.clone(), under_way.clone());
+            let (core, order, in_flight) = (Arc::clone(core), order.clone(), in_flight.clone());
             tokio::spawn(async move {
-                give_one(&core, &order, &address).await;
-                under_way.end(&order.instance);
+                dispatch_one(&core, &order, &address).await;
+                in_flight.end(&order.instance);
             });
         }
     }
@@ -68,7 +68,7 @@
     Some(member.peer_address.clone())
 }
 
-async fn give_one(core: &Core, record: &OrderRecord, address: &str) {
+async fn dispatch_one(core: &Core, record: &OrderRecord, address: &str) {
     let order = Order {
         order_id: record.order_id,
         fence: record.fence,
@@ -76,12 +76,12 @@
         subject: record.subject.clone(),
         version: record.version.clone(),
     };
-    if !matches!(core.place(), Place::Here(_)) {
+    if !matches!(core.leadership(), Leadership::Local(_)) {
         return;
     }
     let reply = core
-        .caller
-        .call::<_, OrderReply>(address, ORDER_PATH, &order, WAIT)
+        .client
+        .call::<_, OrderReply>(address, ORDER_PATH, &order, ORDER_TIMEOUT)
         .await;
     let Ok(reply) = reply else {
         return;
@@ -101,6 +101,6 @@
         done,
         detail,
     };
-    // If it is lost, the order goes out again, and the sidecar answers the same.
+    // If the result is lost, the order is sent again, and the sidecar repeats its answer.
     let _may_be_lost = core.propose(Command::SettleOrder(result)).await;
 }
--- a/crates/control/tests/roles/main.rs
+++ b/crates/control/tests/roles/main.rs
@@ -1,7 +1,7 @@
-//! Checks control instances and relays in one process, over sockets and folders.
+//! Tests control instances and relays in one process, over sockets and folders.
 
 mod control;
 mod diskless;
 mod fleet;
-mod halves;
+mod partition;
 mod relay;
--- a/crates/member/src/member.rs
+++ b/crates/member/src/member.rs
@@ -211,7 +211,7 @@
             || last.peer_address != now.peer_address
     }
 
-    /// Records whether the endpoint is ejected, and announces a change at once.
+    /// Records whether the endpoint is ejected because it failed, and announces a change at once.
     pub fn set_ejected(&self, is_ejected: bool) {
         let before = self.shared.ejected.swap(is_ejected, Ordering::AcqRel);
         if before != is_ejected {
