--- a/crates/sidecar/src/order.rs
+++ b/crates/sidecar/src/order.rs
@@ -33,7 +33,7 @@
 pub(crate) async fn execute(shared: &Shared, order: &Order) -> OrderReply {
     let mut fence = shared.fence.lock().await;
     let check = fence.check(order.fence, shared.member.fence());
-    shared.member.saw_fence(fence.highest());
+    shared.member.record_fence(fence.highest());
     let verdict = match check {
         FenceCheck::Valid => forward(shared, order).await,
         FenceCheck::Fenced => OrderVerdict::Fenced,
