--- a/crates/member/src/list.rs
+++ b/crates/member/src/list.rs
@@ -31,6 +31,7 @@
     version: u64,
     by_name: BTreeMap<Box<str>, Arc<Member>>,
     pools: BTreeMap<Box<str>, Vec<Arc<Member>>>,
+    /// Members that the new epoch hasn't confirmed yet, with the time at which they are dropped.
     unconfirmed: BTreeMap<Box<str>, Duration>,
 }
 
--- a/crates/store/src/replay.rs
+++ b/crates/store/src/replay.rs
@@ -43,7 +43,7 @@
         whole && covers_preceding && matches!(self.last_kind, Kind::SyncMark | Kind::Header)
     }
 
-    /// Returns the length known to be synced, in bytes; meaningful only if [`Self::is_proven_synced`].
+    /// Returns the length known to be synced, in bytes, of a segment for which [`Self::is_proven_synced`] holds.
     pub(crate) fn proven_synced_bytes(&self) -> u64 {
         match self.last_kind {
             // The file was synced as a whole before it was renamed.
