--- a/crates/control/src/upgrade.rs
+++ b/crates/control/src/upgrade.rs
@@ -46,7 +46,7 @@
         Self {
             folder: state.changes().folder().clone(),
             upgrades: state.upgrades().clone(),
-            orders: state.walk_orders(),
+            orders: state.upgrade_orders(),
             drains: state.drains(),
             now_ms: state.now_ms(),
         }
@@ -203,12 +203,14 @@
 fn log_steps(steps: &[UpgradeStep]) {
     for step in steps {
         match step {
-            UpgradeStep::Put { instance, walk, .. } => info!(
+            UpgradeStep::Put {
+                instance, progress, ..
+            } => info!(
                 Component::Control,
                 "An upgrade advances.",
-                plan = walk.plan,
+                plan = progress.plan,
                 instance = instance,
-                step = walk.step
+                step = progress.step
             ),
             UpgradeStep::StopPlan { plan, reason, .. } => warn!(
                 Component::Control,
--- a/crates/daemon/src/roles.rs
+++ b/crates/daemon/src/roles.rs
@@ -109,7 +109,7 @@
     readiness.set(Reason::NoConfig);
     let (member, readiness) = (member.clone(), std::sync::Arc::clone(readiness));
     tokio::spawn(async move {
-        let mut changed = member.changed();
+        let mut changed = member.subscribe();
         while !member.is_current() && changed.changed().await.is_ok() {}
         readiness.clear(Reason::NoConfig);
     });
--- a/crates/daemon/src/roles/admission.rs
+++ b/crates/daemon/src/roles/admission.rs
@@ -5,7 +5,7 @@
 
 use anyhow::{Context as _, Result, bail};
 use hinge_admission::{QueueLimits, Server};
-use hinge_platform::EngineReports;
+use hinge_platform::EngineClient;
 use hinge_telemetry::readiness::Reason;
 
 use crate::context::Context;
@@ -28,7 +28,7 @@
         kv_tokens: section.kv_tokens,
         max_wait_permille: section.turn_permille,
     };
-    let reports = section.engine.map(EngineReports::of);
+    let reports = section.engine.map(EngineClient::new);
     let engine = reports.map(|reports| (reports, super::millis(section.report_interval_ms)));
     let server = Server::bind(&address, limits, &context.key, &context.registry, engine)
         .await
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -175,7 +175,7 @@
 
 /// Updates the readiness on every change of the configuration, until the member is dropped.
 async fn follow_readiness(shared: Arc<Shared>) {
-    let mut changed = shared.member.changed();
+    let mut changed = shared.member.subscribe();
     loop {
         shared.update_readiness();
         if changed.changed().await.is_err() {
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -89,7 +89,7 @@
         tokio::spawn(stop.clone().run_until_cancelled_owned(sweeps));
         let polls = poll_endpoint(Arc::clone(&shared));
         tokio::spawn(stop.clone().run_until_cancelled_owned(polls));
-        if !shared.member.control().is_empty() {
+        if !shared.member.control_addresses().is_empty() {
             let reports = Reporter::new(Arc::clone(&shared), client).run();
             tokio::spawn(stop.clone().run_until_cancelled_owned(reports));
         }
@@ -272,7 +272,7 @@
             let (shared, key) = fetches.clone();
             async move {
                 unary(&key, request, |ask: FetchConfig| async move {
-                    Ok::<FetchedConfig, _>(shared.member.fetched(&ask))
+                    Ok::<FetchedConfig, _>(shared.member.answer_fetch(&ask))
                 })
                 .await
             }
@@ -294,8 +294,8 @@
 async fn apply_pushed_config(shared: &Shared, delta: ConfigDelta) -> FetchedConfig {
     let config_version = delta.version;
     // The reply shows the configuration in force here, whether or not the delta was applied.
-    let _applied = shared.member.learn_config_apart(delta).await;
-    shared.member.fetched(&FetchConfig { config_version })
+    let _applied = shared.member.apply_config_off_thread(delta).await;
+    shared.member.answer_fetch(&FetchConfig { config_version })
 }
 
 fn verdict(shared: &Shared, ask: &AskVerdict) -> VerdictReply {
--- a/crates/state/tests/changes.rs
+++ b/crates/state/tests/changes.rs
@@ -1,4 +1,4 @@
-//! Checks that one change wins for each version, and that answers stay as they were.
+//! Tests that one change is accepted per version, and that a resent change gets its first answer again.
 
 use std::collections::BTreeMap;
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// Applies changes in the order of the log.
+/// A state with the log index of its last change.
 struct Log {
     state: State,
     index: u64,
@@ -46,7 +46,7 @@
             .apply(self.index, 1, Command::ApplyChange(change))
         {
             Reply::Change(reply) => reply,
-            other => panic!("an answer to a change, not {other:?}"),
+            other => panic!("expected an answer to a change, got {other:?}"),
         }
     }
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// Compares answers but for the mark of a resent change.
+/// Returns whether two answers agree apart from the `resent` flag, which the second must have.
 fn is_same(first: &ApplyReply, again: &ApplyReply) -> bool {
     match (first, again) {
         (ApplyReply::Accepted(first), ApplyReply::Accepted(again)) => {
@@ -76,18 +76,18 @@
     of_two_changes_on_one_version_the_first_wins => {
         let mut log = Log::new();
         assert_eq!(version(&log.apply(change("a", 0, "1"))), Some(1));
-        let ApplyReply::Conflict(conflict) = log.apply(change("b", 0, "2")) else { panic!("the second loses") };
+        let ApplyReply::Conflict(conflict) = log.apply(change("b", 0, "2")) else { panic!("the second change conflicts") };
         assert_eq!((conflict.base_version, conflict.current_version), (0, 1));
         assert_eq!((&*conflict.winner_change_id, &*conflict.winner_operator), ("a", "operator of a"));
         assert_eq!(conflict.winner_put, change("a", 0, "1").put);
     }
     an_invalid_change_takes_no_version => {
         let mut log = Log::new();
-        let ApplyReply::Invalid(invalid) = log.apply(change("a", 0, "\"much\"")) else { panic!("a share is a number") };
+        let ApplyReply::Invalid(invalid) = log.apply(change("a", 0, "\"much\"")) else { panic!("a share that is no number is refused") };
         assert_eq!((&*invalid.problems[0].file, invalid.problems[0].line), ("surf.toml", 2));
         assert_eq!(version(&log.apply(change("b", 0, "1"))), Some(1));
     }
-    one_number_for_two_changes_is_refused => {
+    one_id_for_two_changes_is_refused => {
         let mut log = Log::new();
         log.apply(change("a", 0, "1"));
         assert!(matches!(log.apply(change("a", 0, "2")), ApplyReply::Invalid(_)));
@@ -118,8 +118,8 @@
             log.apply(change(&number.to_string(), number, "1"));
         }
         let folder = log.state.changes().folder();
-        assert_eq!(folder.delta_since(1).expect("it lags").base_version, 0);
-        assert_eq!(folder.delta_since(2).expect("it lags").base_version, 2);
+        assert_eq!(folder.delta_since(1).expect("the watcher is behind").base_version, 0);
+        assert_eq!(folder.delta_since(2).expect("the watcher is behind").base_version, 2);
         assert_eq!(folder.delta_since(folder.version()), None);
     }
 }
@@ -140,7 +140,7 @@
                 Some((sent, first)) => (sent.clone(), Some(first.clone())),
                 None => (new, None),
             };
-            // What the leader found on the base in force must give the same as a check by each instance.
+            // The leader's check on the version in force must give the same result as a check by each instance.
             let files = log.state.changes().folder().after(&sent.put, &sent.removed);
             let checked = (sent.base_version == before).then(|| Checked::of(&files));
             let mut other = State::restore(&log.state.encode()).expect("the state can be restored");
--- a/crates/state/tests/routing.rs
+++ b/crates/state/tests/routing.rs
@@ -1,11 +1,11 @@
-//! Checks what the log's commands make of route tables and endpoints.
+//! Tests route tables and endpoints as commands of the log.
 
 use std::time::Duration;
 
 use hinge_cases::cases;
 use hinge_schema::routing::{CallerLimits, Endpoint, EndpointState, RouteTable};
-use hinge_state::routing::SILENCE;
-use hinge_state::{Command, EndpointCommand, Heard, Incarnation, Reply, State};
+use hinge_state::routing::REPORT_TIMEOUT;
+use hinge_state::{Command, EndpointCommand, Incarnation, LastReports, Reply, State};
 use quickcheck::quickcheck;
 use serde_bytes::ByteBuf;
 
@@ -48,8 +48,8 @@
     }
 }
 
-/// Describes a report of an endpoint that was born at some millisecond.
-fn born(id: &str, born_unix_ms: u64, sequence: u64) -> Endpoint {
+/// Returns a report of an endpoint that started at a given Unix millisecond.
+fn started(id: &str, born_unix_ms: u64, sequence: u64) -> Endpoint {
     Endpoint {
         born_unix_ms: Some(born_unix_ms),
         ..endpoint(id, sequence)
@@ -63,7 +63,7 @@
     })
 }
 
-/// Returns the birth and the state of an endpoint that is listed.
+/// Returns the start time and the state of a listed endpoint.
 fn listed(state: &State, id: &str) -> Option<(Option<u64>, EndpointState)> {
     let list = state.routing().list();
     let found = list.endpoints.iter().find(|endpoint| *endpoint.id == *id);
@@ -103,7 +103,7 @@
     a_snapshot_keeps_tables_and_endpoints => {
         let mut state = State::default();
         put(&mut state, 5, "five");
-        change(&mut state, EndpointCommand::Note(endpoint("e", 1)));
+        change(&mut state, EndpointCommand::Report(endpoint("e", 1)));
         change(&mut state, end("gone", None));
         let restored = State::restore(&state.encode()).expect("a snapshot can be read");
         assert_eq!(restored.routing().table(), state.routing().table());
@@ -112,93 +112,93 @@
     }
     a_late_report_does_not_end_a_drain => {
         let mut state = State::default();
-        change(&mut state, EndpointCommand::Note(endpoint("e", 4)));
-        change(&mut state, EndpointCommand::Note(draining("e", 6)));
-        change(&mut state, EndpointCommand::Note(endpoint("e", 5)));
+        change(&mut state, EndpointCommand::Report(endpoint("e", 4)));
+        change(&mut state, EndpointCommand::Report(draining("e", 6)));
+        change(&mut state, EndpointCommand::Report(endpoint("e", 5)));
         assert_eq!(state_of(&state, "e"), Some(EndpointState::Draining));
-        change(&mut state, EndpointCommand::Note(endpoint("e", 7)));
+        change(&mut state, EndpointCommand::Report(endpoint("e", 7)));
         assert_eq!(state_of(&state, "e"), Some(EndpointState::Draining));
     }
     a_late_report_does_not_revive_an_endpoint_that_has_retired => {
         let mut state = State::default();
-        change(&mut state, EndpointCommand::Note(endpoint("e", 4)));
+        change(&mut state, EndpointCommand::Report(endpoint("e", 4)));
         change(&mut state, end("e", None));
-        change(&mut state, EndpointCommand::Note(endpoint("e", 9)));
+        change(&mut state, EndpointCommand::Report(endpoint("e", 9)));
         assert_eq!(state_of(&state, "e"), None);
-        // One whose end overtook its first report stays away as well.
+        // An endpoint whose end overtook its first report is not listed either.
         change(&mut state, end("f", None));
-        change(&mut state, EndpointCommand::Note(endpoint("f", 1)));
+        change(&mut state, EndpointCommand::Report(endpoint("f", 1)));
         assert_eq!(state_of(&state, "f"), None);
     }
-    an_endpoint_that_starts_again_under_its_id_is_taken_in_though_it_counts_anew => {
+    an_endpoint_that_restarts_under_its_id_is_listed_though_its_sequence_starts_over => {
         let mut state = State::default();
-        change(&mut state, EndpointCommand::Note(born("e", 100, 900)));
-        change(&mut state, EndpointCommand::Note(born("e", 200, 1)));
+        change(&mut state, EndpointCommand::Report(started("e", 100, 900)));
+        change(&mut state, EndpointCommand::Report(started("e", 200, 1)));
         assert_eq!(listed(&state, "e"), Some((Some(200), EndpointState::Ready)));
         // A late report of the former start changes nothing, whatever its number.
-        assert!(!state.routing().is_news(&born("e", 100, 901)));
-        change(&mut state, EndpointCommand::Note(born("e", 100, 901)));
+        assert!(!state.routing().is_change(&started("e", 100, 901)));
+        change(&mut state, EndpointCommand::Report(started("e", 100, 901)));
         assert_eq!(listed(&state, "e"), Some((Some(200), EndpointState::Ready)));
     }
     a_drain_ends_with_the_incarnation_that_drains => {
         let mut state = State::default();
-        change(&mut state, EndpointCommand::Note(born("e", 100, 5)));
-        change(&mut state, EndpointCommand::Note(Endpoint {
+        change(&mut state, EndpointCommand::Report(started("e", 100, 5)));
+        change(&mut state, EndpointCommand::Report(Endpoint {
             state: EndpointState::Draining,
-            ..born("e", 100, 6)
+            ..started("e", 100, 6)
         }));
-        change(&mut state, EndpointCommand::Note(born("e", 100, 7)));
+        change(&mut state, EndpointCommand::Report(started("e", 100, 7)));
         assert_eq!(listed(&state, "e"), Some((Some(100), EndpointState::Draining)));
-        change(&mut state, EndpointCommand::Note(born("e", 200, 1)));
+        change(&mut state, EndpointCommand::Report(started("e", 200, 1)));
         assert_eq!(listed(&state, "e"), Some((Some(200), EndpointState::Ready)));
     }
     an_end_holds_for_the_incarnation_that_ended_and_those_before_it => {
         let mut state = State::default();
-        change(&mut state, EndpointCommand::Note(born("e", 100, 5)));
+        change(&mut state, EndpointCommand::Report(started("e", 100, 5)));
         change(&mut state, end("e", Some(100)));
         assert_eq!(listed(&state, "e"), None);
-        change(&mut state, EndpointCommand::Note(born("e", 100, 6)));
-        change(&mut state, EndpointCommand::Note(born("e", 90, 7)));
-        change(&mut state, EndpointCommand::Note(endpoint("e", 8)));
+        change(&mut state, EndpointCommand::Report(started("e", 100, 6)));
+        change(&mut state, EndpointCommand::Report(started("e", 90, 7)));
+        change(&mut state, EndpointCommand::Report(endpoint("e", 8)));
         assert_eq!(listed(&state, "e"), None);
-        change(&mut state, EndpointCommand::Note(born("e", 200, 1)));
+        change(&mut state, EndpointCommand::Report(started("e", 200, 1)));
         assert_eq!(listed(&state, "e"), Some((Some(200), EndpointState::Ready)));
         // A late end of the former start does not take the new one away.
         change(&mut state, end("e", Some(100)));
         assert_eq!(listed(&state, "e"), Some((Some(200), EndpointState::Ready)));
     }
-    an_end_that_names_no_birth_means_the_incarnation_that_is_known => {
+    an_end_without_a_start_time_means_the_known_incarnation => {
         let mut state = State::default();
-        change(&mut state, EndpointCommand::Note(born("e", 100, 5)));
+        change(&mut state, EndpointCommand::Report(started("e", 100, 5)));
         change(&mut state, end("e", None));
-        change(&mut state, EndpointCommand::Note(born("e", 100, 6)));
+        change(&mut state, EndpointCommand::Report(started("e", 100, 6)));
         assert_eq!(listed(&state, "e"), None);
-        change(&mut state, EndpointCommand::Note(born("e", 200, 1)));
+        change(&mut state, EndpointCommand::Report(started("e", 200, 1)));
         assert_eq!(listed(&state, "e"), Some((Some(200), EndpointState::Ready)));
     }
     a_report_that_contradicts_its_incarnation_changes_nothing => {
         let mut state = State::default();
-        change(&mut state, EndpointCommand::Note(born("e", 100, 5)));
-        let elsewhere = Endpoint { address: ([10, 9, 9, 9], 1).into(), ..born("e", 100, 6) };
-        let renamed = Endpoint { service: "other".into(), ..born("e", 100, 7) };
+        change(&mut state, EndpointCommand::Report(started("e", 100, 5)));
+        let elsewhere = Endpoint { address: ([10, 9, 9, 9], 1).into(), ..started("e", 100, 6) };
+        let renamed = Endpoint { service: "other".into(), ..started("e", 100, 7) };
         for report in [elsewhere, renamed] {
             assert!(state.routing().contradicts(&report));
-            change(&mut state, EndpointCommand::Note(report));
+            change(&mut state, EndpointCommand::Report(report));
         }
         let list = state.routing().list();
-        assert_eq!(list.endpoints, [born("e", 100, 5)]);
+        assert_eq!(list.endpoints, [started("e", 100, 5)]);
         // A newer incarnation may listen anywhere.
-        let moved = Endpoint { address: ([10, 9, 9, 9], 1).into(), ..born("e", 200, 1) };
+        let moved = Endpoint { address: ([10, 9, 9, 9], 1).into(), ..started("e", 200, 1) };
         assert!(!state.routing().contradicts(&moved));
-        assert!(state.routing().is_news(&moved));
+        assert!(state.routing().is_change(&moved));
     }
-    word_of_a_former_start_is_told_from_word_of_the_present_one => {
+    reports_of_a_former_incarnation_are_outdated => {
         let mut state = State::default();
-        change(&mut state, EndpointCommand::Note(born("e", 200, 5)));
-        assert!(state.routing().is_of_the_past(&born("e", 100, 9)));
-        assert!(state.routing().is_of_the_past(&endpoint("e", 9)));
-        assert!(!state.routing().is_of_the_past(&born("e", 200, 1)));
-        assert!(!state.routing().is_of_the_past(&born("e", 300, 1)));
+        change(&mut state, EndpointCommand::Report(started("e", 200, 5)));
+        assert!(state.routing().is_outdated(&started("e", 100, 9)));
+        assert!(state.routing().is_outdated(&endpoint("e", 9)));
+        assert!(!state.routing().is_outdated(&started("e", 200, 1)));
+        assert!(!state.routing().is_outdated(&started("e", 300, 1)));
     }
     ends_in_older_snapshots_are_read => {
         let written = rmp_serde::to_vec_named(&"gone").expect("text can be written");
@@ -213,13 +213,13 @@
         for number in 0..8_u8 {
             let address = ([10, 0, 0, number], 8_080).into();
             let old = Endpoint { address, ..endpoint(&format!("old-{number}"), 40) };
-            change(&mut state, EndpointCommand::Note(old));
+            change(&mut state, EndpointCommand::Report(old));
         }
-        // All lose power and come back at their addresses, within a second.
+        // All lose power and come back at their addresses under new ids, within a second.
         for number in 0..8_u8 {
             let address = ([10, 0, 0, number], 8_080).into();
             let new = Endpoint { address, ..endpoint(&format!("new-{number}"), 1) };
-            change(&mut state, EndpointCommand::Note(new));
+            change(&mut state, EndpointCommand::Report(new));
         }
         let ids = |state: &State| {
             let list = state.routing().list();
@@ -227,63 +227,63 @@
         };
         assert_eq!(ids(&state).len(), 8);
         assert!(ids(&state).iter().all(|id| id.starts_with("new-")));
-        // A report of the former one that a cut has held up changes nothing.
+        // A report of the former endpoint that a network partition has delayed changes nothing.
         let late = Endpoint { address: ([10, 0, 0, 0], 8_080).into(), ..draining("old-0", 41) };
-        change(&mut state, EndpointCommand::Note(late));
+        change(&mut state, EndpointCommand::Report(late));
         assert!(!ids(&state).contains(&"old-0".into()));
-        // Where the newer one is gone, the older one is listed as it was; its own silence ends it.
+        // Once the newer endpoint is dropped, the older one is listed again, until its own reports time out.
         change(&mut state, EndpointCommand::Drop("new-1".into()));
         assert!(ids(&state).contains(&"old-1".into()));
         change(&mut state, EndpointCommand::Drop("old-1".into()));
         assert_eq!(ids(&state).len(), 7);
     }
-    a_report_without_news_is_none => {
+    a_report_that_only_repeats_the_state_is_no_change => {
         let mut state = State::default();
-        change(&mut state, EndpointCommand::Note(endpoint("e", 1)));
-        assert!(!state.routing().is_news(&endpoint("e", 2)));
-        assert!(state.routing().is_news(&draining("e", 3)));
-        assert!(state.routing().is_news(&endpoint("new", 1)));
+        change(&mut state, EndpointCommand::Report(endpoint("e", 1)));
+        assert!(!state.routing().is_change(&endpoint("e", 2)));
+        assert!(state.routing().is_change(&draining("e", 3)));
+        assert!(state.routing().is_change(&endpoint("new", 1)));
     }
     a_silent_endpoint_is_dropped_and_comes_back_with_its_next_report => {
         let mut state = State::default();
-        change(&mut state, EndpointCommand::Note(endpoint("e", 1)));
-        let mut heard = Heard::default();
-        assert!(heard.silent(Duration::ZERO, state.routing()).is_empty());
-        let later = SILENCE.saturating_sub(Duration::from_millis(1));
-        assert!(heard.silent(later, state.routing()).is_empty());
-        assert_eq!(heard.silent(SILENCE, state.routing()), vec!["e".into()]);
+        change(&mut state, EndpointCommand::Report(endpoint("e", 1)));
+        let mut last_reports = LastReports::default();
+        assert!(last_reports.silent(Duration::ZERO, state.routing()).is_empty());
+        let later = REPORT_TIMEOUT.saturating_sub(Duration::from_millis(1));
+        assert!(last_reports.silent(later, state.routing()).is_empty());
+        assert_eq!(last_reports.silent(REPORT_TIMEOUT, state.routing()), vec!["e".into()]);
         change(&mut state, EndpointCommand::Drop("e".into()));
         assert_eq!(state_of(&state, "e"), None);
-        change(&mut state, EndpointCommand::Note(endpoint("e", 2)));
+        change(&mut state, EndpointCommand::Report(endpoint("e", 2)));
         assert_eq!(state_of(&state, "e"), Some(EndpointState::Ready));
     }
-    an_endpoint_whose_address_another_one_reports_is_dropped_sooner => {
+    an_endpoint_whose_address_another_one_reports_times_out_sooner => {
         let mut state = State::default();
-        change(&mut state, EndpointCommand::Note(endpoint("old", 1)));
-        change(&mut state, EndpointCommand::Note(endpoint("new", 1)));
+        change(&mut state, EndpointCommand::Report(endpoint("old", 1)));
+        change(&mut state, EndpointCommand::Report(endpoint("new", 1)));
         assert!(state_of(&state, "old").is_none());
-        let mut heard = Heard::default();
-        heard.note(Duration::ZERO, "old");
+        let mut last_reports = LastReports::default();
+        last_reports.record(Duration::ZERO, "old");
         for second in 1..=4 {
-            heard.note(Duration::from_secs(second), "new");
+            last_reports.record(Duration::from_secs(second), "new");
         }
-        assert!(heard.silent(Duration::from_secs(2), state.routing()).is_empty());
-        assert_eq!(heard.silent(Duration::from_secs(4), state.routing()), vec!["old".into()]);
+        assert!(last_reports.silent(Duration::from_secs(2), state.routing()).is_empty());
+        assert_eq!(last_reports.silent(Duration::from_secs(4), state.routing()), vec!["old".into()]);
     }
-    a_new_leader_gives_every_endpoint_its_whole_time_again => {
+    a_new_leader_gives_every_endpoint_the_full_report_timeout => {
         let mut state = State::default();
-        change(&mut state, EndpointCommand::Note(endpoint("e", 1)));
-        let mut heard = Heard::default();
-        heard.note(Duration::ZERO, "e");
-        heard.clear();
-        let now = SILENCE * 3;
-        assert!(heard.silent(now, state.routing()).is_empty());
-        assert!(!heard.silent(now + SILENCE, state.routing()).is_empty());
+        change(&mut state, EndpointCommand::Report(endpoint("e", 1)));
+        let mut last_reports = LastReports::default();
+        last_reports.record(Duration::ZERO, "e");
+        last_reports.clear();
+        let now = REPORT_TIMEOUT * 3;
+        assert!(last_reports.silent(now, state.routing()).is_empty());
+        assert!(!last_reports.silent(now + REPORT_TIMEOUT, state.routing()).is_empty());
     }
 }
 
 quickcheck! {
-    fn tables_in_any_order_leave_the_highest(numbers: Vec<u8>) -> bool {
+    fn tables_in_any_order_leave_the_highest_number_in_force(numbers: Vec<u8>) -> bool {
         let mut state = State::default();
         let mut highest = 0;
         for number in &numbers {
@@ -295,36 +295,36 @@
         state.routing().table_number() == highest
     }
 
-    fn a_newer_incarnation_is_never_followed_by_an_older_one(reports: Vec<(u8, u8, bool)>) -> bool {
+    fn an_older_incarnation_never_replaces_a_newer_one(reports: Vec<(u8, u8, bool)>) -> bool {
         let mut state = State::default();
         let mut newest = None;
-        reports.iter().all(|(birth, sequence, ends)| {
-            let birth = u64::from(*birth % 8);
+        reports.iter().all(|(start, sequence, ends)| {
+            let start = u64::from(*start % 8);
             let before = listed(&state, "e");
             change(&mut state, if *ends {
-                end("e", Some(birth))
+                end("e", Some(start))
             } else {
-                EndpointCommand::Note(born("e", birth, u64::from(*sequence)))
+                EndpointCommand::Report(started("e", start, u64::from(*sequence)))
             });
-            newest = newest.max(before.and_then(|(birth, _)| birth));
-            listed(&state, "e").is_none_or(|(birth, _)| birth >= newest)
+            newest = newest.max(before.and_then(|(start, _)| start));
+            listed(&state, "e").is_none_or(|(start, _)| start >= newest)
         })
     }
 
-    fn the_list_changes_only_forwards(commands: Vec<(u8, u8, u8)>) -> bool {
+    fn every_change_of_the_list_increases_its_version(commands: Vec<(u8, u8, u8)>) -> bool {
         let mut state = State::default();
         commands.iter().all(|(id, kind, sequence)| {
             let before = (state.routing().list(), state.routing().endpoints_version());
             let id = format!("e{}", id % 4);
             let sequence = u64::from(*sequence);
             change(&mut state, match kind % 4 {
-                0 => EndpointCommand::Note(endpoint(&id, sequence)),
-                1 => EndpointCommand::Note(draining(&id, sequence)),
+                0 => EndpointCommand::Report(endpoint(&id, sequence)),
+                1 => EndpointCommand::Report(draining(&id, sequence)),
                 2 => end(&id, None),
                 _ => EndpointCommand::Drop(id.as_str().into()),
             });
             let after = state.routing();
-            // A gateway that holds the version holds the list.
+            // A gateway that has the current version must have the current list.
             after.endpoints_version() > before.1 || after.list() == before.0
         })
     }
--- a/crates/upgrade/src/stops.rs
+++ b/crates/upgrade/src/stops.rs
@@ -1,4 +1,4 @@
-//! Moves planned stops on.
+//! The steps of planned stops.
 
 use hinge_config::effective::Stop;
 use hinge_schema::messages::Role;
@@ -9,7 +9,7 @@
 use crate::fleet::{Endpoint, Fleet};
 use crate::report::StopReport;
 
-/// Moves every planned stop on, and reports on each of the folder.
+/// Advances every planned stop, and reports on each stop of the folder.
 pub(crate) fn advance<'a>(fleet: &Fleet<'a>, draft: &mut Draft<'a>) -> Vec<StopReport> {
     for (name, record) in fleet.upgrades.stops() {
         if fleet.effective.stops.get(name) != Some(&record.stop) {
@@ -22,13 +22,13 @@
         .collect()
 }
 
-/// Ends a stop that the folder no longer holds like this; a changed one begins anew a tick later.
+/// Ends a stop that was removed from the folder or changed; a changed one begins again a tick later.
 fn clear(name: &str, record: &StopRecord, draft: &mut Draft<'_>) {
     for (instance, phase) in &record.instances {
         if matches!(phase, StopPhase::Draining { .. }) {
-            draft.steps.push(UpgradeStep::LetBack {
+            draft.steps.push(UpgradeStep::EndDrain {
                 instance: instance.clone(),
-                by: drainer(name),
+                by: drain_owner(name),
             });
         }
     }
@@ -53,7 +53,7 @@
             report.has_begun = true;
             for (instance, phase) in &record.instances {
                 report.total += 1;
-                move_on(fleet, stop, instance, *phase, draft, &mut report);
+                advance_instance(fleet, stop, instance, *phase, draft, &mut report);
             }
             if is_whole_data_center(stop) {
                 report.below_floor = below_floor(fleet, record, draft);
@@ -66,14 +66,14 @@
     report
 }
 
-/// Fixes which instances a stop concerns: those that live when it begins, so that later ones aren't stopped for nothing.
+/// Begins a stop of the instances that are live now, so that instances started later aren't stopped needlessly.
 fn begin(fleet: &Fleet<'_>, name: &str, stop: &Stop, draft: &mut Draft<'_>) {
     let endpoints = fleet.endpoints.values();
-    let concerned = endpoints.filter(|endpoint| is_concerned(stop, endpoint));
-    let instances = concerned.map(|endpoint| {
+    let affected = endpoints.filter(|endpoint| is_affected(stop, endpoint));
+    let instances = affected.map(|endpoint| {
         let incarnation = endpoint.incarnation;
         let phase = StopPhase::Waiting { incarnation };
-        (Fleet::name(endpoint.instance), phase)
+        (Fleet::instance_name(endpoint.instance), phase)
     });
     draft.steps.push(UpgradeStep::BeginStop {
         name: name.into(),
@@ -84,7 +84,7 @@
     });
 }
 
-fn is_concerned(stop: &Stop, endpoint: &Endpoint<'_>) -> bool {
+fn is_affected(stop: &Stop, endpoint: &Endpoint<'_>) -> bool {
     let is_instance = stop.instance.as_deref();
     if let Some(instance) = is_instance {
         return instance == endpoint.instance;
@@ -94,12 +94,12 @@
     stop.data_center.as_deref().is_none_or(is_there) && stop.pool.as_deref().is_none_or(is_of)
 }
 
-/// Returns whether the stop names a whole data centre; its operator has decided that the floor gives way.
+/// Returns whether the stop covers a whole data centre, which by the operator's decision overrides the floor.
 fn is_whole_data_center(stop: &Stop) -> bool {
     stop.data_center.is_some() && stop.pool.is_none()
 }
 
-fn move_on<'a>(
+fn advance_instance<'a>(
     fleet: &Fleet<'a>,
     stop: &Stop,
     instance: &str,
@@ -140,14 +140,14 @@
 }
 
 fn may_drain(fleet: &Fleet<'_>, stop: &Stop, endpoint: &Endpoint<'_>, draft: &Draft<'_>) -> bool {
-    let is_walking = fleet.upgrades.walks().contains_key(endpoint.instance);
-    if draft.is_full() || is_walking {
+    let is_upgrading = fleet.upgrades.in_progress().contains_key(endpoint.instance);
+    if draft.is_full() || is_upgrading {
         return false;
     }
-    // Another stop of this decision may have taken it already.
+    // Another stop of this decision may already drain it.
     let serves = endpoint.role == Role::Sidecar
         && fleet.is_in_service(endpoint)
-        && !draft.taken.contains(endpoint.instance);
+        && !draft.drained.contains(endpoint.instance);
     is_whole_data_center(stop) || !serves || draft.pools.get(endpoint.pool).has_room()
 }
 
@@ -158,14 +158,14 @@
     draft: &mut Draft<'a>,
     report: &mut StopReport,
 ) {
-    let instance = Fleet::name(endpoint.instance);
-    let is_first = draft.taken.insert(endpoint.instance);
+    let instance = Fleet::instance_name(endpoint.instance);
+    let is_first = draft.drained.insert(endpoint.instance);
     if is_first && endpoint.role == Role::Sidecar && fleet.is_in_service(endpoint) {
-        draft.pools.take_one(endpoint.pool);
+        draft.pools.remove_one(endpoint.pool);
     }
     draft.steps.push(UpgradeStep::Drain {
         instance: instance.clone(),
-        by: drainer(&report.stop),
+        by: drain_owner(&report.stop),
         deadline_ms: stop.deadline_ms,
     });
     draft.steps.push(UpgradeStep::MoveStop {
@@ -179,11 +179,11 @@
     report.draining += 1;
 }
 
-/// Lets an instance back that has been stopped and started again.
+/// Ends the drain of an instance that was stopped and started again.
 fn end(name: &str, instance: &str, draft: &mut Draft<'_>) {
-    draft.steps.push(UpgradeStep::LetBack {
+    draft.steps.push(UpgradeStep::EndDrain {
         instance: instance.into(),
-        by: drainer(name),
+        by: drain_owner(name),
     });
     draft.steps.push(UpgradeStep::MoveStop {
         name: name.into(),
@@ -197,14 +197,14 @@
         .instances
         .keys()
         .filter_map(|name| fleet.endpoints.get(&**name));
-    let concerned: Vec<_> = endpoints.map(|endpoint| endpoint.pool).collect();
+    let affected: Vec<_> = endpoints.map(|endpoint| endpoint.pool).collect();
     let below = draft.pools.below_floor();
     below
-        .filter(|pool| concerned.contains(pool))
+        .filter(|pool| affected.contains(pool))
         .map(Box::from)
         .collect()
 }
 
-fn drainer(stop: &str) -> Box<str> {
+fn drain_owner(stop: &str) -> Box<str> {
     format!("stop/{stop}").into()
 }
--- a/crates/upgrade/tests/night/world.rs
+++ b/crates/upgrade/tests/night/simulation.rs
@@ -1,22 +1,22 @@
-//! Runs a fleet of endpoints in virtual time, and checks the rules at every step.
+//! A simulation of a fleet of endpoints in virtual time that checks invariants at every step.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use hinge_config::effective::EffectiveConfig;
 use hinge_schema::messages::{ConfigFile, OrderKind, OrderRecord, OrderState, Role};
-use hinge_state::upgrades::{UpgradeCommand, WalkStep};
+use hinge_state::upgrades::{EndpointStep, UpgradeCommand};
 use hinge_state::{ChangeCommand, Command, OrderResult, State, UpgradeStep};
-use hinge_upgrade::{Decision, Endpoint, Fleet, decide, needed};
+use hinge_upgrade::{Decision, Endpoint, Fleet, decide, required_endpoints};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
 pub const DAY_MS: u64 = 86_400_000;
-/// 02:00 on some day, when the window of the plans opens.
+/// 02:00 UTC on some day, when the window of the plans opens.
 pub const OPENING_MS: u64 = 20_000 * DAY_MS + 2 * 3_600_000;
-/// Longest request, and the pool's deadline.
+/// Length of the longest request, which is also the pool's deadline.
 const REQUEST_MS: u64 = 20_000;
 
-/// What endpoints announce beside their version.
+/// What endpoints announce in addition to their version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Announces {
     Nothing,
@@ -32,11 +32,11 @@
     pub announced: Box<str>,
     pub serving: Box<str>,
     pub loaded: BTreeSet<Box<str>>,
-    /// When the last request that was taken ends.
+    /// End of the last accepted request.
     pub busy_until_ms: u64,
 }
 
-/// Chances of faults in a second, in thousandths.
+/// Probabilities of faults per tick, in thousandths.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Faults {
     pub gone: u32,
@@ -46,7 +46,7 @@
     pub repeated: u32,
 }
 
-pub struct World {
+pub struct Simulation {
     pub now_ms: u64,
     pub state: State,
     pub effective: EffectiveConfig,
@@ -54,14 +54,14 @@
     pub rng: StdRng,
     pub faults: Faults,
     pub step_ms: u64,
-    /// Kind of order that every endpoint fails.
-    pub fails: Option<OrderKind>,
-    /// What loading takes beside the few seconds of any order.
+    /// Kind of order that fails at every endpoint.
+    pub failing_kind: Option<OrderKind>,
+    /// Time that loading takes in addition to the few seconds of any order.
     pub load_ms: u64,
-    /// Whether everything but the log is forgotten at each step.
-    pub forgets: bool,
+    /// Whether the state is restored from a snapshot at each tick, which loses everything outside the log.
+    pub restores_state: bool,
     pub announces: Announces,
-    /// How long the longest request runs.
+    /// Length of the longest request.
     pub request_ms: u64,
     /// Endpoints that announce that they are ejected.
     pub ejected: BTreeSet<Box<str>>,
@@ -69,14 +69,14 @@
     pub last: Option<Decision>,
     index: u64,
     term: u64,
-    late: Option<UpgradeCommand>,
+    previous: Option<UpgradeCommand>,
     loads: Vec<(u64, u64)>,
-    in_walk: BTreeSet<(Box<str>, OrderKind, Box<str>)>,
+    ordered: BTreeSet<(Box<str>, OrderKind, Box<str>)>,
 }
 
-impl World {
+impl Simulation {
     pub fn new(seed: u64, folder: &str, pools: &[(&str, usize)]) -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             now_ms: OPENING_MS,
             state: State::default(),
             effective: EffectiveConfig::default(),
@@ -84,9 +84,9 @@
             rng: StdRng::seed_from_u64(seed),
             faults: Faults::default(),
             step_ms: 1000,
-            fails: None,
+            failing_kind: None,
             load_ms: 0,
-            forgets: false,
+            restores_state: false,
             announces: Announces::Nothing,
             request_ms: REQUEST_MS,
             ejected: BTreeSet::new(),
@@ -94,9 +94,9 @@
             last: None,
             index: 0,
             term: 1,
-            late: None,
+            previous: None,
             loads: Vec::new(),
-            in_walk: BTreeSet::new(),
+            ordered: BTreeSet::new(),
         };
         for (pool, count) in pools {
             for number in 0..*count {
@@ -111,13 +111,13 @@
                     busy_until_ms: 0,
                 };
                 let name = format!("{pool}-{number:03}");
-                world.instances.insert(name.into(), instance);
+                simulation.instances.insert(name.into(), instance);
             }
         }
-        let now_ms = world.now_ms;
-        world.apply(Command::OpenTerm { now_ms });
-        world.put_folder(folder);
-        world
+        let now_ms = simulation.now_ms;
+        simulation.apply(Command::OpenTerm { now_ms });
+        simulation.put_folder(folder);
+        simulation
     }
 
     pub fn apply(&mut self, command: Command) {
@@ -170,7 +170,7 @@
             (&**name, endpoint)
         });
         let drains = self.state.drains();
-        let orders = self.state.walk_orders();
+        let orders = self.state.upgrade_orders();
         decide(&Fleet {
             now_ms: self.now_ms.max(self.state.now_ms()),
             config_version: self.state.changes().folder().version(),
@@ -182,12 +182,12 @@
         })
     }
 
-    /// Passes a second, or the time that is set.
+    /// Advances the time by `step_ms`, one second by default, and runs one decision.
     pub fn tick(&mut self) {
         self.now_ms += self.step_ms;
-        self.fault();
-        self.serve();
-        if self.forgets {
+        self.inject_faults();
+        self.send_requests();
+        if self.restores_state {
             let bytes = self.state.encode();
             self.state = State::restore(&bytes).expect("a state restores from its own bytes");
         }
@@ -196,8 +196,8 @@
             self.propose(command);
         }
         self.last = Some(decision);
-        self.carry_out();
-        self.check_walks();
+        self.execute_orders();
+        self.check_progress();
     }
 
     pub fn run(&mut self, seconds: u64) {
@@ -206,17 +206,17 @@
         }
     }
 
-    fn happens(&mut self, thousandths: u32) -> bool {
+    fn occurs(&mut self, thousandths: u32) -> bool {
         self.rng.random_range(0..1000) < thousandths
     }
 
-    fn fault(&mut self) {
+    fn inject_faults(&mut self) {
         let now_ms = self.now_ms;
-        if self.happens(self.faults.new_leader) {
+        if self.occurs(self.faults.new_leader) {
             self.term += 1;
             self.apply(Command::OpenTerm { now_ms });
         }
-        if self.happens(self.faults.gone) {
+        if self.occurs(self.faults.gone) {
             let at = self.rng.random_range(0..self.instances.len());
             let gone_ms = self.rng.random_range(1_000..60_000);
             let instance = self.instances.values_mut().nth(at);
@@ -227,8 +227,8 @@
         }
     }
 
-    /// Lets every endpoint that is in service take requests.
-    fn serve(&mut self) {
+    /// Gives requests to every endpoint in service.
+    fn send_requests(&mut self) {
         let drains = self.state.drains();
         let drained = Fleet::drained_names(&drains);
         for (name, instance) in &mut self.instances {
@@ -240,58 +240,62 @@
 
     fn propose(&mut self, command: UpgradeCommand) {
         self.check_floor(&command);
-        let is_lost = self.happens(self.faults.lost);
-        if self.happens(self.faults.repeated)
-            && let Some(late) = self.late.clone()
+        let is_lost = self.occurs(self.faults.lost);
+        if self.occurs(self.faults.repeated)
+            && let Some(previous) = self.previous.clone()
         {
-            self.take(late);
+            self.commit(previous);
         }
         if !is_lost {
-            self.take(command.clone());
+            self.commit(command.clone());
         }
-        if self.happens(self.faults.repeated) {
-            self.take(command.clone());
+        if self.occurs(self.faults.repeated) {
+            self.commit(command.clone());
         }
-        self.late = Some(command);
+        self.previous = Some(command);
     }
 
-    fn take(&mut self, command: UpgradeCommand) {
+    fn commit(&mut self, command: UpgradeCommand) {
         let before = self.state.upgrades().clone();
         self.apply(Command::Upgrade(command));
-        for (name, walk) in before.walks() {
-            if !self.state.upgrades().walks().contains_key(name) {
-                self.in_walk.retain(|(instance, ..)| instance != name);
-                let (instance, walk_to) = (&self.instances[name], &walk.upgrade.version);
-                let known = [&walk.from_version, walk_to];
-                // An adapter comes beside the model, whose version stays as it is.
+        for (name, progress) in before.in_progress() {
+            if !self.state.upgrades().in_progress().contains_key(name) {
+                self.ordered.retain(|(instance, ..)| instance != name);
+                let (instance, target) = (&self.instances[name], &progress.upgrade.version);
+                let known = [&progress.from_version, target];
+                // An adapter is loaded beside the model, whose version does not change.
                 let is_known = known.contains(&&instance.serving);
                 assert!(
-                    is_known || walk.upgrade.adapter.is_some(),
-                    "{name} serves neither"
+                    is_known || progress.upgrade.adapter.is_some(),
+                    "{name} serves neither the old nor the new version"
                 );
             }
         }
-        self.note_orders();
+        self.record_orders();
     }
 
-    fn note_orders(&mut self) {
+    fn record_orders(&mut self) {
         for order in self.state.orders().list("", 100) {
             if self.placed.insert(order.order_id, order.clone()).is_some() {
                 continue;
             }
             let key = (order.instance.clone(), order.kind, order.version.clone());
-            assert!(self.in_walk.insert(key), "{order:?} was given twice");
+            assert!(self.ordered.insert(key), "{order:?} was placed twice");
             if matches!(order.kind, OrderKind::LoadModel | OrderKind::LoadAdapter) {
-                let walk = &self.state.upgrades().walks()[&order.instance];
+                let progress = &self.state.upgrades().in_progress()[&order.instance];
                 let stopped = self.state.upgrades().stopped();
-                assert!(!stopped.contains_key(&walk.plan), "a stopped plan began");
-                self.loads.push((self.now_ms, walk.upgrade.weight_bytes));
+                assert!(
+                    !stopped.contains_key(&progress.plan),
+                    "a stopped plan began an upgrade"
+                );
+                self.loads
+                    .push((self.now_ms, progress.upgrade.weight_bytes));
                 self.check_store();
             }
         }
     }
 
-    /// What goes out of service by a decision leaves the floor; endpoints that are gone count as absent.
+    /// Checks that a decision keeps each pool at its floor; endpoints that are gone count as out of service.
     fn check_floor(&self, command: &UpgradeCommand) {
         let taken = command.steps.iter().filter_map(|step| match step {
             UpgradeStep::Drain { instance, by, .. } if by.starts_with("upgrade/") => Some(instance),
@@ -303,7 +307,7 @@
             let names: Vec<_> = of_pool.map(|(name, _)| name).collect();
             let left = names.iter().filter(|name| self.is_in_service(name));
             let left = left.filter(|name| !taken.contains(*name)).count() as u64;
-            let needed = needed(settings.floor, names.len() as u64);
+            let needed = required_endpoints(settings.floor, names.len() as u64);
             let takes_any = names.iter().any(|name| taken.contains(*name));
             assert!(!takes_any || left >= needed, "{pool}: {left} of {needed}");
         }
@@ -315,29 +319,31 @@
         self.is_live(name) && !is_drained
     }
 
-    fn check_walks(&self) {
+    fn check_progress(&self) {
         let upgrades = self.state.upgrades();
         let drains = self.state.drains();
         let drained = Fleet::drained_names(&drains);
-        for (name, walk) in upgrades.walks() {
-            let is_out = !walk.step.is_absent() || drained.contains(&**name);
-            assert!(is_out, "{name} takes work while {}", walk.step);
+        for (name, progress) in upgrades.in_progress() {
+            let is_out = !progress.step.is_out_of_service() || drained.contains(&**name);
+            assert!(is_out, "{name} takes work while {}", progress.step);
         }
         for (name, plan) in self.effective.upgrades.iter() {
-            let walks = upgrades.walks().values();
-            let walks = walks.filter(|walk| *walk.plan == *name).count();
+            let in_progress = upgrades.in_progress().values();
+            let in_progress = in_progress
+                .filter(|progress| *progress.plan == *name)
+                .count();
             assert!(
-                walks as u64 <= u64::from(plan.max_parallel),
-                "{name}: {walks}"
+                in_progress as u64 <= u64::from(plan.max_parallel),
+                "{name}: {in_progress}"
             );
         }
         for (name, instance) in &self.instances {
             let is_served = instance.loaded.contains(&instance.serving);
-            assert!(is_served, "{name} is without its version");
+            assert!(is_served, "{name} serves a version that is not loaded");
         }
     }
 
-    /// Between any two loads, the store isn't asked beyond its rate and one burst; a larger load comes alone.
+    /// Checks that the loads in any period stay within the store's rate and one burst; a larger load must be alone.
     fn check_store(&self) {
         let rate = self.effective.limits.weight_store_bytes_per_second;
         let Some((until_ms, last)) = self.loads.last().copied().filter(|_| rate > 0) else {
@@ -346,14 +352,14 @@
         let mut bytes = 0;
         for (at_ms, more) in self.loads.iter().rev() {
             bytes += more;
-            let budget = rate * (until_ms - at_ms + hinge_upgrade::BURST_MS) / 1000;
+            let budget = rate * (until_ms - at_ms + hinge_upgrade::STORE_BURST_MS) / 1000;
             let single = last.max(*more);
             assert!(bytes <= budget.max(single) + single, "{bytes} of {budget}");
         }
     }
 
-    /// Lets endpoints do what they are ordered, one order each at a time.
-    fn carry_out(&mut self) {
+    /// Carries out the endpoints' orders, one at a time for each endpoint.
+    fn execute_orders(&mut self) {
         let mut seen = BTreeSet::new();
         let open: Vec<_> = self.state.orders().open().cloned().collect();
         for order in open {
@@ -367,9 +373,10 @@
             if !seen.insert(order.instance.clone()) || !is_due || !self.is_live(&order.instance) {
                 continue;
             }
-            let done = !self.happens(self.faults.failed_orders) && self.fails != Some(order.kind);
+            let done =
+                !self.occurs(self.faults.failed_orders) && self.failing_kind != Some(order.kind);
             if done {
-                self.obey(&order);
+                self.execute(&order);
             }
             self.apply(Command::SettleOrder(OrderResult {
                 order_id: order.order_id,
@@ -380,7 +387,7 @@
         }
     }
 
-    fn obey(&mut self, order: &OrderRecord) {
+    fn execute(&mut self, order: &OrderRecord) {
         let now_ms = self.now_ms;
         let instance = self.instances.get_mut(&order.instance);
         let instance = instance.expect("the instance exists");
@@ -389,7 +396,10 @@
             OrderKind::LoadModel => _ = instance.loaded.insert(version),
             OrderKind::UnloadModel => _ = instance.loaded.remove(&version),
             OrderKind::SetVersion => {
-                assert!(now_ms >= instance.busy_until_ms, "a request was cut");
+                assert!(
+                    now_ms >= instance.busy_until_ms,
+                    "a running request was interrupted"
+                );
                 instance.serving = version.clone();
                 instance.announced = version;
             }
@@ -397,7 +407,7 @@
         }
     }
 
-    /// Returns orders as instance, kind and version, in the order of their numbers.
+    /// Returns the placed orders as instance, kind and version, in the order of their numbers.
     pub fn orders(&self) -> Vec<(Box<str>, OrderKind, Box<str>)> {
         let orders = self.placed.values();
         orders
@@ -415,9 +425,9 @@
         instances.filter(|at| *at.serving == *version).count()
     }
 
-    pub fn walking(&self, step: WalkStep) -> usize {
-        let walks = self.state.upgrades().walks().values();
-        walks.filter(|walk| walk.step == step).count()
+    pub fn at_step(&self, step: EndpointStep) -> usize {
+        let in_progress = self.state.upgrades().in_progress().values();
+        in_progress.filter(|progress| progress.step == step).count()
     }
 
     pub fn has_open_orders(&self) -> bool {
