--- a/crates/ctl/src/args.rs
+++ b/crates/ctl/src/args.rs
@@ -1,8 +1,8 @@
-//! Defines the command line.
+//! Command line options and their help texts.
 
 #![expect(
     clippy::doc_markdown,
-    reason = "the parser prints these docs as help, where marks would stay"
+    reason = "the parser prints these docs as help, where backticks would show"
 )]
 
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use hinge_routing::{RequestKey, RequestKeyError};
 use hinge_schema::messages::OrderKind;
 
-/// Flags that may stand anywhere on the command line, with whether they take a value.
+/// Flags that are accepted anywhere on the command line, with whether they take a value.
 const GLOBAL_FLAGS: [(&str, bool); 4] = [
     ("--control", true),
     ("--operator-key", true),
@@ -19,21 +19,21 @@
     ("--json", false),
 ];
 
-/// Operates a fleet of sequoiahinge.
+/// Operates a sequoiahinge fleet.
 #[derive(Debug, Options)]
 pub(crate) struct Arguments {
-    /// print this help; after a command, print the help of the command
+    /// print this help, or after a command the help of that command
     pub(crate) help: bool,
-    /// addresses of control instances, tried in turn (or SEQUOIACTL_CONTROL)
+    /// addresses of control instances, tried in turn (default: $SEQUOIACTL_CONTROL)
     #[options(no_short, meta = "ADDRESS[,ADDRESS]")]
     pub(crate) control: Option<String>,
-    /// file with the operator's secret, mode 0600 or 0400 (or SEQUOIACTL_KEY_FILE)
+    /// file with the operator's secret, mode 0600 or 0400 (default: $SEQUOIACTL_KEY_FILE)
     #[options(no_short, meta = "FILE")]
     pub(crate) operator_key: Option<String>,
-    /// answer with JSON; errors are JSON too
+    /// print answers and errors as JSON
     #[options(no_short)]
     pub(crate) json: bool,
-    /// longest time for the command, as 30s or 2m (15s; commands that wait: 1m)
+    /// time limit of the command, such as 30s or 2m (default: 15s, or 1m where it waits for the fleet)
     #[options(
         no_short,
         meta = "TIME",
@@ -44,7 +44,7 @@
     pub(crate) command: Option<Command>,
 }
 
-/// Holds the flags of every command.
+/// The flags that every command takes.
 #[derive(Debug)]
 pub(crate) struct Globals {
     pub(crate) control: Option<String>,
@@ -64,43 +64,43 @@
 
 #[derive(Debug, Options)]
 pub(crate) enum Command {
-    /// check a folder without a fleet: file:line: key: message
+    /// check a folder offline; problems are printed as file:line: key: message
     Check(FolderOptions),
-    /// show what a folder would change: files, and values with their origin
+    /// show which files and values a folder would change, and where each value is set
     Diff(FolderOptions),
     /// make a folder the configuration in force
     Apply(ApplyOptions),
-    /// write the folder in force into an empty folder
+    /// write the configuration in force into an empty folder
     Pull(FolderOptions),
-    /// make an older folder the newest version
+    /// make the folder of an older version the newest version
     Rollback(RollbackOptions),
-    /// show control, the processes, who lacks the newest version, and drains
+    /// show control instances, processes, those that lack the newest version, and drains
     Status(StatusOptions),
-    /// wait until every live process holds a version
+    /// wait until every live process has a version
     Wait(WaitOptions),
     /// list accepted changes, newest first
     History(HistoryOptions),
-    /// let an instance take no new work and finish what runs
+    /// stop sending new work to an instance, and let running work finish
     Drain(DrainOptions),
-    /// let a drained instance take work again
+    /// send work to a drained instance again
     Undrain(UndrainOptions),
-    /// let a control instance that is gone for good count no more
+    /// remove a control instance that is gone for good from the quorum
     RemoveControl(RemoveControlOptions),
-    /// list the requests that endpoints ended under, or release one: suspects --release REQUEST
+    /// list requests that endpoints terminated on, or release one: suspects --release REQUEST
     Suspects(SuspectsOptions),
     /// list orders to endpoints, or place one: orders place INSTANCE KIND SUBJECT
     Orders(OrdersOptions),
-    /// show how far upgrades and planned stops have come: upgrade status [NAME]
+    /// show the progress of upgrades and planned stops: upgrade status [NAME]
     Upgrade(UpgradeOptions),
-    /// report burn, gap or utilisation out of metrics
+    /// report error budget burn, service gaps or utilisation from metrics
     Report(ReportOptions),
-    /// tell what became of a request, and why, out of logs: explain ID LOG...
+    /// explain from logs how a request ended, and why: explain ID LOG...
     Explain(ExplainOptions),
-    /// add up what each team had of the engines, and how busy they were, out of logs: shares LOG...
+    /// sum up from logs the service of each team and the load of the engines: shares LOG...
     Shares(SharesOptions),
 }
 
-/// Takes a folder of *.toml files.
+/// Works on FOLDER, a folder of the operators' *.toml files.
 #[derive(Debug, Options)]
 pub(crate) struct FolderOptions {
     /// print this help
@@ -110,12 +110,13 @@
     pub(crate) folder: String,
 }
 
-/// Tells the story of the request ID over all processes, in order, and names what the logs lack. Exits with 1 when no line names it.
+/// Prints the log lines of the request ID from all processes in order of time, and lists gaps in the logs. Exits
+/// with 1 when no line names the request.
 #[derive(Debug, Options)]
 pub(crate) struct ExplainOptions {
     /// print this help
     pub(crate) help: bool,
-    /// number of the request, as the caller's answer and the logs have it
+    /// id of the request, as in the response to the caller and in the logs
     #[options(free, required)]
     pub(crate) id: String,
     /// logs of the processes, a file each; - reads standard input
@@ -123,16 +124,16 @@
     pub(crate) logs: Vec<String>,
 }
 
-/// Adds up the decisions of the admissions by team, the gap in service between backlogged teams, and the use of the engines. Exits with 1
-/// when the logs hold no decision.
+/// Sums up the admission decisions of each team, the gap in service between backlogged teams, and the load of the
+/// engines. Exits with 1 when the logs contain no decision.
 #[derive(Debug, Options)]
 pub(crate) struct SharesOptions {
     /// print this help
     pub(crate) help: bool,
-    /// show also what became of this team's requests, second by second
+    /// also show the outcomes of this team's requests, second by second
     #[options(no_short, meta = "TEAM")]
     pub(crate) team: Option<String>,
-    /// with --team: show that for each gateway, and how it took connections
+    /// with --team: also show them for each gateway, with its connections and the time when it did not listen
     #[options(no_short)]
     pub(crate) gateways: bool,
     /// logs of the processes, a file each; - reads standard input
@@ -140,7 +141,7 @@
     pub(crate) logs: Vec<String>,
 }
 
-/// Makes FOLDER the configuration in force. Exits with 3 when another change won.
+/// Makes FOLDER the configuration in force. Exits with 3 when another change was accepted first.
 #[derive(Debug, Options)]
 pub(crate) struct ApplyOptions {
     /// print this help
@@ -148,56 +149,57 @@
     /// folder with the operators' *.toml files
     #[options(free, required)]
     pub(crate) folder: String,
-    /// why; kept in the history
+    /// reason, kept in the history
     #[options(no_short, meta = "TEXT")]
     pub(crate) note: Option<String>,
     /// version that the folder was edited from (default: FOLDER/.sequoiactl-version)
     #[options(no_short, meta = "N")]
     pub(crate) base: Option<u64>,
-    /// number of a change whose answer was lost; it is never accepted twice
+    /// id of a change whose answer was lost; a change is never accepted twice
     #[options(no_short, meta = "ID")]
     pub(crate) change_id: Option<String>,
-    /// remove files that are in force and not in FOLDER
+    /// remove files that are in force but not in FOLDER
     #[options(no_short)]
     pub(crate) prune: bool,
-    /// wait until every live process holds the new version
+    /// wait until every live process has the new version
     #[options(no_short)]
     pub(crate) wait: bool,
 }
 
-/// Makes the folder of an older VERSION the newest version. Control keeps no texts of older folders, so give your own copy.
+/// Makes the folder of an older VERSION the newest version. Control does not keep the contents of older folders, so
+/// give your own copy.
 #[derive(Debug, Options)]
 pub(crate) struct RollbackOptions {
     /// print this help
     pub(crate) help: bool,
-    /// version whose folder comes back
+    /// version to restore
     #[options(free, required)]
     pub(crate) version: u64,
     /// copy of the folder as it was at VERSION, for example from your version control
     #[options(no_short, meta = "FOLDER")]
     pub(crate) folder: Option<String>,
-    /// why; kept in the history
+    /// reason, kept in the history
     #[options(no_short, meta = "TEXT")]
     pub(crate) note: Option<String>,
-    /// number of a change whose answer was lost
+    /// id of a change whose answer was lost
     #[options(no_short, meta = "ID")]
     pub(crate) change_id: Option<String>,
-    /// wait until every live process holds the new version
+    /// wait until every live process has the new version
     #[options(no_short)]
     pub(crate) wait: bool,
 }
 
-/// Shows the fleet as the leader of control sees it.
+/// Shows the state of the fleet, as known to the control leader.
 #[derive(Debug, Options)]
 pub(crate) struct StatusOptions {
     /// print this help
     pub(crate) help: bool,
-    /// list every process, also in a large fleet
+    /// list every process, even in a large fleet
     #[options(no_short)]
     pub(crate) all: bool,
 }
 
-/// Waits until every live process holds a version. Exits with 5 when some still lack it.
+/// Waits until every live process has a version. Exits with 5 when the time limit passes first.
 #[derive(Debug, Options)]
 pub(crate) struct WaitOptions {
     /// print this help
@@ -212,7 +214,7 @@
 pub(crate) struct HistoryOptions {
     /// print this help
     pub(crate) help: bool,
-    /// most changes
+    /// largest number of changes to list
     #[options(no_short, meta = "N", default = "20")]
     pub(crate) limit: u32,
     /// only changes below this version
@@ -220,7 +222,7 @@
     pub(crate) before: u64,
 }
 
-/// Lets INSTANCE take no new work; what runs may end until the deadline.
+/// Stops sending new work to INSTANCE; running work may finish until the deadline.
 #[derive(Debug, Options)]
 pub(crate) struct DrainOptions {
     /// print this help
@@ -228,19 +230,19 @@
     /// name of the instance
     #[options(free, required)]
     pub(crate) instance: String,
-    /// time in which running work ends, as 10m (default: 10m, which outlasts a long analysis)
+    /// time for running work to finish, such as 5m (default: 10m, which outlasts a long analysis)
     #[options(
         no_short,
         meta = "TIME",
         parse(try_from_str = "humantime::parse_duration")
     )]
     pub(crate) deadline: Option<Duration>,
-    /// why; shown by status
+    /// reason, shown by status
     #[options(no_short, meta = "TEXT")]
     pub(crate) note: Option<String>,
 }
 
-/// Lets INSTANCE take work again.
+/// Sends work to INSTANCE again.
 #[derive(Debug, Options)]
 pub(crate) struct UndrainOptions {
     /// print this help
@@ -248,12 +250,12 @@
     /// name of the instance
     #[options(free, required)]
     pub(crate) instance: String,
-    /// why
+    /// reason for the command
     #[options(no_short, meta = "TEXT")]
     pub(crate) note: Option<String>,
 }
 
-/// Lets INSTANCE count no more for a quorum. Its disk must be gone for good, or be emptied before it starts again.
+/// Removes INSTANCE from the quorum. Its disk must be gone for good, or be emptied before it starts again.
 #[derive(Debug, Options)]
 pub(crate) struct RemoveControlOptions {
     /// print this help
@@ -263,12 +265,12 @@
     pub(crate) instance: String,
 }
 
-/// Lists the requests that endpoints ended under and that did not complete since, those that gateways turn away first.
+/// Lists the requests that endpoints terminated on and that have not completed since. Requests that gateways reject come first.
 #[derive(Debug, Options)]
 pub(crate) struct SuspectsOptions {
     /// print this help
     pub(crate) help: bool,
-    /// send this request to endpoints again, such as after a repair of the endpoints
+    /// let this request reach endpoints again, for example after the endpoints were fixed
     #[options(no_short, meta = "REQUEST", parse(try_from_str = "request_key"))]
     pub(crate) release: Option<String>,
 }
@@ -281,7 +283,7 @@
     /// only orders to this instance
     #[options(no_short, meta = "NAME")]
     pub(crate) instance: Option<String>,
-    /// most orders
+    /// largest number of orders to list
     #[options(no_short, meta = "N", default = "20")]
     pub(crate) limit: u32,
     #[options(command)]
@@ -294,7 +296,8 @@
     Place(PlaceOptions),
 }
 
-/// Orders the endpoint of INSTANCE. KIND is one of load_model, unload_model, load_adapter, unload_adapter, set_version, set_role.
+/// Places an order to the endpoint of INSTANCE. KIND is one of load_model, unload_model, load_adapter, unload_adapter,
+/// set_version, set_role.
 #[derive(Debug, Options)]
 pub(crate) struct PlaceOptions {
     /// print this help
@@ -302,7 +305,7 @@
     /// sidecar of the endpoint
     #[options(free, required)]
     pub(crate) instance: String,
-    /// what to do
+    /// kind of order
     #[options(free, required, parse(try_from_str = "parse_kind"))]
     pub(crate) kind: Option<OrderKind>,
     /// model, adapter or role
@@ -311,7 +314,7 @@
     /// version of the model or adapter
     #[options(no_short, meta = "VERSION")]
     pub(crate) version: Option<String>,
-    /// number of an order whose answer was lost; it is never placed twice
+    /// id of an order whose answer was lost; an order is never placed twice
     #[options(no_short, meta = "ID")]
     pub(crate) change_id: Option<String>,
 }
@@ -333,11 +336,11 @@
 
 #[derive(Debug, Options)]
 pub(crate) enum UpgradeCommand {
-    /// show the state of each, how many are done, and what it waits for
+    /// show the state and progress of each, and what it waits for
     Status(UpgradeStatusOptions),
 }
 
-/// Shows for each upgrade and planned stop its state, how many are done, and what it waits for.
+/// Shows for each upgrade and planned stop its state, its progress, and what it waits for.
 #[derive(Debug, Options)]
 pub(crate) struct UpgradeStatusOptions {
     /// print this help
@@ -347,7 +350,7 @@
     pub(crate) name: Option<String>,
 }
 
-/// Reports out of the metrics pages of the instances.
+/// Reports from the metrics pages of the instances.
 #[derive(Debug, Options)]
 pub(crate) struct ReportOptions {
     /// print this help
@@ -358,76 +361,76 @@
 
 #[derive(Debug, Options)]
 pub(crate) enum ReportCommand {
-    /// error budgets, burn rates, and who burns them why
+    /// error budgets, burn rates, and the teams and causes that burn them
     Burn(BurnOptions),
-    /// service by team and the gap between teams
+    /// service of each team, and the gap between teams
     Gap(MetricsOptions),
-    /// slots in use, and capacity that idled while work waited
+    /// slots in use, and slots that were idle while work waited
     Utilisation(MetricsOptions),
 }
 
-/// Reports the burn of the error budgets. Objectives come from --folder, or else from the folder in force.
+/// Reports the burn of the error budgets. Objectives come from --folder, or by default from the configuration in force.
 #[derive(Debug, Options)]
 pub(crate) struct BurnOptions {
     /// print this help
     pub(crate) help: bool,
-    /// recorded samples; with --watch they are added here
+    /// file of recorded samples; --watch appends to it
     #[options(no_short, meta = "FILE")]
     pub(crate) samples: Option<String>,
-    /// instances to scrape, as entry-a=10.0.0.1:9090,entry-b=10.0.0.2:9090
+    /// instances to scrape, such as entry-a=10.0.0.1:9090,entry-b=10.0.0.2:9090
     #[options(no_short, meta = "NAME=ADDRESS[,...]")]
     pub(crate) scrape: Option<String>,
     /// folder with the objectives
     #[options(no_short, meta = "FOLDER")]
     pub(crate) folder: Option<String>,
-    /// collect samples for this time before the report
+    /// collect samples for this long before reporting
     #[options(
         no_short,
         meta = "TIME",
         parse(try_from_str = "humantime::parse_duration")
     )]
     pub(crate) watch: Option<Duration>,
-    /// time between two scrapes (default: 15s)
+    /// interval between scrapes (default: 15s)
     #[options(
         no_short,
         meta = "TIME",
         parse(try_from_str = "humantime::parse_duration")
     )]
     pub(crate) every: Option<Duration>,
-    /// draw the burn rates into this file
+    /// write a chart of the burn rates to this file
     #[options(no_short, meta = "FILE")]
     pub(crate) svg: Option<String>,
 }
 
-/// Reports out of samples. Shares and pools come from --folder, or else from the folder in force.
+/// Reports from samples of metrics pages. Shares and pools come from --folder, or by default from the configuration in force.
 #[derive(Debug, Options)]
 pub(crate) struct MetricsOptions {
     /// print this help
     pub(crate) help: bool,
-    /// recorded samples; with --watch they are added here
+    /// file of recorded samples; --watch appends to it
     #[options(no_short, meta = "FILE")]
     pub(crate) samples: Option<String>,
-    /// instances to scrape, as sidecar-a=10.0.0.1:9090
+    /// instances to scrape, such as sidecar-a=10.0.0.1:9090
     #[options(no_short, meta = "NAME=ADDRESS[,...]")]
     pub(crate) scrape: Option<String>,
     /// folder with the teams' shares
     #[options(no_short, meta = "FOLDER")]
     pub(crate) folder: Option<String>,
-    /// collect samples for this time before the report
+    /// collect samples for this long before reporting
     #[options(
         no_short,
         meta = "TIME",
         parse(try_from_str = "humantime::parse_duration")
     )]
     pub(crate) watch: Option<Duration>,
-    /// time between two scrapes (default: 15s)
+    /// interval between scrapes (default: 15s)
     #[options(
         no_short,
         meta = "TIME",
         parse(try_from_str = "humantime::parse_duration")
     )]
     pub(crate) every: Option<Duration>,
-    /// only the last part of the recording
+    /// report only on this last part of the recording
     #[options(
         no_short,
         meta = "TIME",
@@ -436,14 +439,14 @@
     pub(crate) window: Option<Duration>,
 }
 
-/// Checks that a text is the key of a request, as logs and `suspects` write it.
+/// Parses the key of a request, as written in logs and by `suspects`.
 fn request_key(text: &str) -> Result<String, RequestKeyError> {
     let key: RequestKey = text.parse()?;
     Ok(key.to_string())
 }
 
-/// Moves the flags of every command to the front, where the parser takes them; so they may stand after the command too.
-pub(crate) fn hoist(args: &[String]) -> Vec<String> {
+/// Moves global flags to the front, the only place where the parser accepts them, so that they may also follow the command.
+pub(crate) fn hoist_global_flags(args: &[String]) -> Vec<String> {
     let (mut front, mut rest) = (Vec::new(), Vec::new());
     let mut args = args.iter().cloned();
     while let Some(arg) = args.next() {
@@ -468,7 +471,7 @@
     front
 }
 
-/// Returns the help of the innermost command that was given.
+/// Returns the help text of the innermost subcommand on the command line.
 pub(crate) fn help(arguments: &Arguments) -> String {
     let mut command: &dyn Options = arguments;
     let mut line = String::from("sequoiactl");
--- a/crates/ctl/src/commands/apply.rs
+++ b/crates/ctl/src/commands/apply.rs
@@ -1,8 +1,8 @@
 //! Makes a folder the configuration in force.
 //!
-//! A change carries a number, drawn here, and the version that it is based on. Control accepts one change for each base, and
-//! answers a number that it knows with its first answer. So this client sends the same message again after a lost answer, and
-//! a later run with `--change-id` looks first whether that number is in the history.
+//! A change carries a random id and the version that it is based on. Control accepts one change for each base version, and
+//! answers an id that it knows with its first answer. So this client sends the same message again after a lost answer, and a
+//! later run with `--change-id` first looks for that id in the history.
 
 use std::fmt::{self, Display};
 use std::path::Path;
@@ -12,19 +12,19 @@
 use serde::Serialize;
 
 use crate::args::ApplyOptions;
-use crate::conflict::Sides;
+use crate::conflict::ConflictReport;
+use crate::control_client::{ChangeDecision, ControlClient, FolderInForce};
+use crate::control_config::ControlConfig;
 use crate::exit::Exit;
 use crate::failure::Failure;
-use crate::fleet::{Decision, Fleet, InForce};
-use crate::link::Link;
 use crate::output::Output;
-use crate::{commands, local, show};
+use crate::{commands, format, local_folder};
 
-/// Changes that one question for the history lists; control lists no more.
-const HISTORY_PAGE: u32 = 1000;
+/// Entries in one page of the history; control returns no more.
+const HISTORY_PAGE_LEN: u32 = 1000;
 
 #[derive(Serialize)]
-struct Applied {
+struct ApplyAnswer {
     outcome: &'static str,
     version: u64,
     change_id: Option<Box<str>>,
@@ -36,88 +36,94 @@
 /// Runs `apply`.
 pub(crate) async fn run(
     options: &ApplyOptions,
-    link: &Link,
+    control: &ControlConfig,
     output: &mut Output<'_, '_>,
 ) -> Result<Exit, Failure> {
     let path = Path::new(&options.folder);
-    let local = local::read(path)?;
-    let fleet = link.open()?;
-    let in_force = fleet.folder().await?;
+    let local = local_folder::read(path)?;
+    let client = control.client()?;
+    let in_force = client.folder().await?;
     let change = Change {
         files: &local.files,
-        base: options.base.or(local::base_version(path)?),
+        base: options.base.or(local_folder::base_version(path)?),
         note: options.note.as_deref().unwrap_or_default(),
         earlier_id: options.change_id.as_deref(),
         may_remove: options.prune,
     };
-    let settled = change.settle(&fleet, in_force, output).await?;
-    if let (Exit::Ok, Some(version)) = (settled.exit, settled.version) {
-        if let Err(message) = local::record_version(path, version) {
+    let result = change.submit(&client, in_force, output).await?;
+    if let (Exit::Ok, Some(version)) = (result.exit, result.version) {
+        if let Err(message) = local_folder::record_version(path, version) {
             output.note(&format!(
                 "{message}; give --base {version} with the next apply"
             ));
         }
         if options.wait {
-            return commands::wait::until(&fleet, version, link.wait_timeout(), output).await;
+            return commands::wait::wait_for_version(
+                &client,
+                version,
+                control.wait_timeout(),
+                output,
+            )
+            .await;
         }
     }
-    Ok(settled.exit)
+    Ok(result.exit)
 }
 
-/// Holds how a change ended, and the version that it made.
-pub(crate) struct Settled {
+/// The exit code of a change, and the version that it made.
+pub(crate) struct ChangeResult {
     pub(crate) exit: Exit,
     pub(crate) version: Option<u64>,
 }
 
-/// Describes the change that an operator wants.
+/// A change that an operator wants to make.
 pub(crate) struct Change<'c> {
     /// The whole folder after the change.
     pub(crate) files: &'c [ConfigFile],
     /// Version that the folder was edited from, if it is known.
     pub(crate) base: Option<u64>,
     pub(crate) note: &'c str,
-    /// Number of an earlier attempt, if there was one.
+    /// Id of an earlier attempt, if there was one.
     pub(crate) earlier_id: Option<&'c str>,
     pub(crate) may_remove: bool,
 }
 
 impl Change<'_> {
-    /// Sends the change until control decides, and shows the decision.
+    /// Sends the change until control decides, and prints the decision.
     ///
     /// # Errors
     ///
     /// Returns a failure when nothing was sent, when the change is not valid, or when control gave no answer in time.
-    pub(crate) async fn settle(
+    pub(crate) async fn submit(
         &self,
-        fleet: &Fleet,
-        in_force: InForce,
+        client: &ControlClient,
+        in_force: FolderInForce,
         output: &mut Output<'_, '_>,
-    ) -> Result<Settled, Failure> {
-        if let Some(settled) = self.settled_before(fleet, output).await? {
-            return Ok(settled);
+    ) -> Result<ChangeResult, Failure> {
+        if let Some(result) = self.find_earlier_attempt(client, output).await? {
+            return Ok(result);
         }
         let (put, removed) = folder::delta(&in_force.files, self.files);
         if put.is_empty() && removed.is_empty() {
-            return unchanged(in_force.version, output);
+            return show_unchanged(in_force.version, output);
         }
         let base_version = self.base_version(&in_force)?;
-        // A change on an old base is refused in any case; control then shows the winner, which says more than our own check.
+        // A change on an old base is refused anyway, and control's answer with the accepted change says more than this check.
         if base_version == in_force.version {
             self.check_removed(&removed)?;
         }
         let change = Apply {
-            change_id: self.earlier_id.map_or_else(draw_id, Box::from),
+            change_id: self.earlier_id.map_or_else(generate_change_id, Box::from),
             base_version,
             note: self.note.into(),
-            // Control takes the name that goes with the key.
+            // Control fills in the operator whose key signed the call.
             operator: Box::default(),
             put,
             removed,
         };
         let id = &change.change_id;
         output.note(&format!("change {id}, based on version {base_version}"));
-        let decision = fleet.apply(&change).await.map_err(|no_answer| {
+        let decision = client.apply(&change).await.map_err(|no_answer| {
             let advice = if no_answer.may_have_acted {
                 format!(
                     "the change may have been accepted: run the same command with --change-id {id}"
@@ -127,31 +133,31 @@
             };
             no_answer.into_failure(&advice)
         })?;
-        self.decided(fleet, decision, &change, &in_force, output)
+        self.show_decision(client, decision, &change, &in_force, output)
             .await
     }
 
-    async fn decided(
+    async fn show_decision(
         &self,
-        fleet: &Fleet,
-        decision: Decision,
+        client: &ControlClient,
+        decision: ChangeDecision,
         change: &Apply,
-        in_force: &InForce,
+        in_force: &FolderInForce,
         output: &mut Output<'_, '_>,
-    ) -> Result<Settled, Failure> {
+    ) -> Result<ChangeResult, Failure> {
         match decision {
-            Decision::Accepted(accepted) => accept(&accepted, change, output),
-            Decision::Conflict(conflict) => {
-                output.show(&Sides::new(conflict, change, in_force))?;
-                Ok(Settled {
+            ChangeDecision::Accepted(accepted) => show_accepted(&accepted, change, output),
+            ChangeDecision::Conflict(conflict) => {
+                output.show(&ConflictReport::new(conflict, change, in_force))?;
+                Ok(ChangeResult {
                     exit: Exit::Conflict,
                     version: None,
                 })
             }
-            Decision::Invalid(Invalid { problems }) => {
-                // An earlier attempt may have been accepted since we looked, with another difference to the folder in force.
-                if let Some(settled) = self.settled_before(fleet, output).await? {
-                    return Ok(settled);
+            ChangeDecision::Invalid(Invalid { problems }) => {
+                // An earlier attempt may have been accepted since the first look, with another difference to the folder in force.
+                if let Some(result) = self.find_earlier_attempt(client, output).await? {
+                    return Ok(result);
                 }
                 let message = "control refused the change; nothing was changed";
                 Err(Failure::problems(message, problems))
@@ -159,25 +165,25 @@
         }
     }
 
-    /// Looks for an earlier attempt in the history.
-    async fn settled_before(
+    /// Looks for an earlier attempt in the history, and prints it if it was accepted.
+    async fn find_earlier_attempt(
         &self,
-        fleet: &Fleet,
+        client: &ControlClient,
         output: &mut Output<'_, '_>,
-    ) -> Result<Option<Settled>, Failure> {
+    ) -> Result<Option<ChangeResult>, Failure> {
         let Some(change_id) = self.earlier_id else {
             return Ok(None);
         };
         let mut before_version = 0;
         loop {
-            let ask = AskHistory {
+            let query = AskHistory {
                 before_version,
-                limit: HISTORY_PAGE,
+                limit: HISTORY_PAGE_LEN,
             };
-            let entries = fleet.history(&ask).await?.entries;
+            let entries = client.history(&query).await?.entries;
             let found = entries.iter().find(|entry| *entry.change_id == *change_id);
             if let Some(entry) = found {
-                output.show(&Applied {
+                output.show(&ApplyAnswer {
                     outcome: "accepted",
                     version: entry.version,
                     change_id: Some(change_id.into()),
@@ -185,7 +191,7 @@
                     put: entry.put.clone(),
                     removed: entry.removed.clone(),
                 })?;
-                return Ok(Some(Settled {
+                return Ok(Some(ChangeResult {
                     exit: Exit::Ok,
                     version: Some(entry.version),
                 }));
@@ -198,8 +204,8 @@
         }
     }
 
-    // Without the version that a folder was edited from, an apply would undo what others changed since.
-    fn base_version(&self, in_force: &InForce) -> Result<u64, Failure> {
+    // Without the version that the folder was edited from, an apply would silently undo later changes of others.
+    fn base_version(&self, in_force: &FolderInForce) -> Result<u64, Failure> {
         let newest = in_force.version;
         match self.base {
             Some(base) if base > newest => Err(Failure::invalid(format!(
@@ -217,15 +223,15 @@
         if removed.is_empty() || self.may_remove {
             return Ok(());
         }
-        let names = show::names(removed);
+        let names = format::join_names(removed);
         Err(Failure::invalid(format!(
             "these files are in force and not in the folder: {names}; give --prune to remove them, or put them back"
         )))
     }
 }
 
-fn unchanged(version: u64, output: &mut Output<'_, '_>) -> Result<Settled, Failure> {
-    output.show(&Applied {
+fn show_unchanged(version: u64, output: &mut Output<'_, '_>) -> Result<ChangeResult, Failure> {
+    output.show(&ApplyAnswer {
         outcome: "unchanged",
         version,
         change_id: None,
@@ -233,19 +239,19 @@
         put: Vec::new(),
         removed: Vec::new(),
     })?;
-    Ok(Settled {
+    Ok(ChangeResult {
         exit: Exit::Ok,
         version: Some(version),
     })
 }
 
-fn accept(
+fn show_accepted(
     accepted: &Accepted,
     change: &Apply,
     output: &mut Output<'_, '_>,
-) -> Result<Settled, Failure> {
+) -> Result<ChangeResult, Failure> {
     let put = change.put.iter().map(|file| file.name.clone());
-    output.show(&Applied {
+    output.show(&ApplyAnswer {
         outcome: "accepted",
         version: accepted.version,
         change_id: Some(change.change_id.clone()),
@@ -253,18 +259,18 @@
         put: put.collect(),
         removed: change.removed.clone(),
     })?;
-    Ok(Settled {
+    Ok(ChangeResult {
         exit: Exit::Ok,
         version: Some(accepted.version),
     })
 }
 
-/// Draws the number of a change; 128 random bits do not meet twice.
-pub(crate) fn draw_id() -> Box<str> {
+/// Generates the id of a change; 128 random bits make a collision practically impossible.
+pub(crate) fn generate_change_id() -> Box<str> {
     format!("{:032x}", rand::random::<u128>()).into()
 }
 
-impl Display for Applied {
+impl Display for ApplyAnswer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let version = self.version;
         if self.outcome == "unchanged" {
--- a/crates/ctl/src/commands/check.rs
+++ b/crates/ctl/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! Checks a folder without a fleet.
+//! Checks a folder offline.
 
 use std::fmt::{self, Display};
 use std::path::Path;
@@ -8,11 +8,11 @@
 use crate::args::FolderOptions;
 use crate::exit::Exit;
 use crate::failure::Failure;
-use crate::local;
+use crate::local_folder;
 use crate::output::Output;
 
 #[derive(Serialize)]
-struct Checked {
+struct CheckAnswer {
     valid: bool,
     files: usize,
     teams: usize,
@@ -24,21 +24,21 @@
 
 /// Runs `check`.
 pub(crate) fn run(options: &FolderOptions, output: &mut Output<'_, '_>) -> Result<Exit, Failure> {
-    let local = local::read(Path::new(&options.folder))?;
-    let whole = &local.effective;
-    output.show(&Checked {
+    let local = local_folder::read(Path::new(&options.folder))?;
+    let effective = &local.effective;
+    output.show(&CheckAnswer {
         valid: true,
         files: local.files.len(),
-        teams: whole.teams.len(),
-        pools: whole.pools.len(),
-        objectives: whole.objectives.len(),
-        stops: whole.stops.len(),
-        upgrades: whole.upgrades.len(),
+        teams: effective.teams.len(),
+        pools: effective.pools.len(),
+        objectives: effective.objectives.len(),
+        stops: effective.stops.len(),
+        upgrades: effective.upgrades.len(),
     })?;
     Ok(Exit::Ok)
 }
 
-impl Display for Checked {
+impl Display for CheckAnswer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
--- a/crates/ctl/src/commands/diff.rs
+++ b/crates/ctl/src/commands/diff.rs
@@ -1,4 +1,4 @@
-//! Compares a folder with the one in force.
+//! Compares a folder with the configuration in force.
 
 use std::fmt::{self, Display};
 use std::path::Path;
@@ -7,16 +7,16 @@
 use serde::Serialize;
 
 use crate::args::FolderOptions;
+use crate::control_client::FolderInForce;
+use crate::control_config::ControlConfig;
 use crate::difference::Difference;
 use crate::exit::Exit;
 use crate::failure::Failure;
-use crate::fleet::InForce;
-use crate::link::Link;
-use crate::local;
+use crate::local_folder;
 use crate::output::Output;
 
 #[derive(Serialize)]
-struct Compared {
+struct DiffAnswer {
     version: u64,
     based_on: Option<u64>,
     #[serde(flatten)]
@@ -26,16 +26,16 @@
 /// Runs `diff`.
 pub(crate) async fn run(
     options: &FolderOptions,
-    link: &Link,
+    control: &ControlConfig,
     output: &mut Output<'_, '_>,
 ) -> Result<Exit, Failure> {
     let path = Path::new(&options.folder);
-    let local = local::read(path)?;
-    let in_force = link.open()?.folder().await?;
+    let local = local_folder::read(path)?;
+    let in_force = control.client()?.folder().await?;
     let effective = effective(&in_force)?;
-    output.show(&Compared {
+    output.show(&DiffAnswer {
         version: in_force.version,
-        based_on: local::base_version(path)?,
+        based_on: local_folder::base_version(path)?,
         difference: Difference::between(
             (&in_force.files, &effective),
             (&local.files, &local.effective),
@@ -48,18 +48,18 @@
 ///
 /// # Errors
 ///
-/// Returns a failure when this client finds a problem that control did not, as an older one may.
-pub(crate) fn effective(in_force: &InForce) -> Result<Effective, Failure> {
+/// Returns a failure when this client finds a problem that control did not, which an older client may.
+pub(crate) fn effective(in_force: &FolderInForce) -> Result<Effective, Failure> {
     Effective::merge(&in_force.files).map_err(|problems| {
         let version = in_force.version;
         let message = format!(
-            "this client doesn't take version {version}, which is in force; it may be older than control"
+            "this client rejects version {version}, which is in force; it may be older than control"
         );
         Failure::problems(message, problems)
     })
 }
 
-impl Display for Compared {
+impl Display for DiffAnswer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let version = self.version;
         if let Some(based_on) = self.based_on.filter(|based_on| *based_on != version) {
--- a/crates/ctl/src/commands/explain.rs
+++ b/crates/ctl/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! Tells the story of one request out of the logs of the processes.
+//! Prints the timeline of one request from the logs of the processes.
 
 use std::fmt::{self, Display};
 
@@ -7,33 +7,33 @@
 use crate::args::ExplainOptions;
 use crate::exit::Exit;
 use crate::failure::Failure;
-use crate::logs::read_all;
+use crate::logs::read_logs;
 use crate::output::Output;
-use crate::story::{Story, tell};
+use crate::timeline::{Timeline, build_timeline};
 
 /// Runs `explain`.
 pub(crate) fn run(options: &ExplainOptions, output: &mut Output<'_, '_>) -> Result<Exit, Failure> {
-    let story = tell(&options.id, &read_all(&options.logs)?);
-    let exit = if story.lines.is_empty() {
+    let timeline = build_timeline(&options.id, &read_logs(&options.logs)?);
+    let exit = if timeline.lines.is_empty() {
         Exit::Failed
     } else {
         Exit::Ok
     };
-    output.show(&Told { story })?;
+    output.show(&ExplainAnswer { timeline })?;
     Ok(exit)
 }
 
 #[derive(Serialize)]
-struct Told {
+struct ExplainAnswer {
     #[serde(flatten)]
-    story: Story,
+    timeline: Timeline,
 }
 
-impl Display for Told {
+impl Display for ExplainAnswer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let story = &self.story;
-        writeln!(f, "{}: {}", story.id, story.outcome)?;
-        for (title, lines) in [("lines", &story.lines), ("around it", &story.around)] {
+        let timeline = &self.timeline;
+        writeln!(f, "{}: {}", timeline.id, timeline.outcome)?;
+        for (title, lines) in [("lines", &timeline.lines), ("around it", &timeline.context)] {
             if lines.is_empty() {
                 continue;
             }
@@ -42,10 +42,10 @@
                 writeln!(f, "  {} {} {}", line.time, line.process, line.text)?;
             }
         }
-        if !story.gaps.is_empty() {
+        if !timeline.gaps.is_empty() {
             writeln!(f, "\ngaps:")?;
         }
-        for gap in &story.gaps {
+        for gap in &timeline.gaps {
             writeln!(f, "  {gap}")?;
         }
         Ok(())
--- a/crates/ctl/src/commands/history.rs
+++ b/crates/ctl/src/commands/history.rs
@@ -6,14 +6,14 @@
 use serde::Serialize;
 
 use crate::args::HistoryOptions;
+use crate::control_config::ControlConfig;
 use crate::exit::Exit;
 use crate::failure::Failure;
-use crate::link::Link;
+use crate::format;
 use crate::output::Output;
-use crate::show;
 
 #[derive(Serialize)]
-struct Listed {
+struct HistoryAnswer {
     #[serde(flatten)]
     history: History,
 }
@@ -21,27 +21,27 @@
 /// Runs `history`.
 pub(crate) async fn run(
     options: &HistoryOptions,
-    link: &Link,
+    control: &ControlConfig,
     output: &mut Output<'_, '_>,
 ) -> Result<Exit, Failure> {
-    let ask = AskHistory {
+    let query = AskHistory {
         before_version: options.before,
         limit: options.limit,
     };
-    let history = link.open()?.history(&ask).await?;
-    output.show(&Listed { history })?;
+    let history = control.client()?.history(&query).await?;
+    output.show(&HistoryAnswer { history })?;
     Ok(Exit::Ok)
 }
 
-impl Display for Listed {
+impl Display for HistoryAnswer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let entries = &self.history.entries;
         if entries.is_empty() {
-            return f.write_str("no change is accepted yet");
+            return f.write_str("no change has been accepted yet");
         }
         let rows: Vec<_> = entries.iter().map(row).collect();
         let head = ["VERSION", "ACCEPTED", "OPERATOR", "CHANGE", "FILES", "NOTE"];
-        f.write_str(&show::table(&head, &rows))
+        f.write_str(&format::table(&head, &rows))
     }
 }
 
@@ -51,10 +51,10 @@
     let files: Vec<_> = put.chain(removed).collect();
     vec![
         entry.version.to_string(),
-        show::time(entry.accepted_at_ms),
+        format::time(entry.accepted_at_ms),
         entry.operator.to_string(),
         entry.change_id.to_string(),
-        show::names(&files),
+        format::join_names(&files),
         entry.note.to_string(),
     ]
 }
--- a/crates/ctl/src/commands/mod.rs
+++ b/crates/ctl/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! Holds the commands, one in a module.
+//! The commands, one per module.
 
 pub(crate) mod apply;
 pub(crate) mod check;
--- a/crates/ctl/src/commands/orders.rs
+++ b/crates/ctl/src/commands/orders.rs
@@ -1,4 +1,4 @@
-//! Lists orders to endpoints, and places one.
+//! Lists orders to endpoints, or places one.
 
 use std::fmt::{self, Display};
 
@@ -6,15 +6,15 @@
 use serde::Serialize;
 
 use crate::args::{OrdersCommand, OrdersOptions, PlaceOptions};
-use crate::commands::apply::draw_id;
+use crate::commands::apply::generate_change_id;
+use crate::control_config::ControlConfig;
 use crate::exit::Exit;
 use crate::failure::Failure;
-use crate::link::Link;
+use crate::format;
 use crate::output::Output;
-use crate::show;
 
 #[derive(Serialize)]
-struct Listed {
+struct OrdersAnswer {
     #[serde(flatten)]
     orders: Orders,
 }
@@ -22,48 +22,52 @@
 /// Runs `orders`.
 pub(crate) async fn run(
     options: OrdersOptions,
-    link: &Link,
+    control: &ControlConfig,
     output: &mut Output<'_, '_>,
 ) -> Result<Exit, Failure> {
     let orders = match options.command {
-        Some(OrdersCommand::Place(place)) => place_order(&place, link, output).await?,
+        Some(OrdersCommand::Place(options)) => place_order(&options, control, output).await?,
         None => {
-            let ask = AskOrders {
+            let query = AskOrders {
                 instance: options.instance.unwrap_or_default().into(),
                 limit: options.limit,
             };
-            link.open()?.orders(&ask).await?
+            control.client()?.orders(&query).await?
         }
     };
-    output.show(&Listed { orders })?;
+    output.show(&OrdersAnswer { orders })?;
     Ok(Exit::Ok)
 }
 
 async fn place_order(
     options: &PlaceOptions,
-    link: &Link,
+    control: &ControlConfig,
     output: &mut Output<'_, '_>,
 ) -> Result<Orders, Failure> {
     let Some(kind) = options.kind else {
-        return Err(Failure::invalid("what to do? give INSTANCE KIND SUBJECT"));
+        return Err(Failure::invalid("which order? give INSTANCE KIND SUBJECT"));
     };
     let order = PlaceOrder {
-        change_id: options.change_id.as_deref().map_or_else(draw_id, Box::from),
+        change_id: options
+            .change_id
+            .as_deref()
+            .map_or_else(generate_change_id, Box::from),
         instance: options.instance.as_str().into(),
         kind,
         subject: options.subject.as_str().into(),
         version: options.version.as_deref().unwrap_or_default().into(),
     };
     let id = &order.change_id;
-    let fleet = link.open()?;
+    let client = control.client()?;
     output.note(&format!("change {id}"));
-    fleet.place(&order).await.map_err(|no_answer| {
-        let advice = format!("the order may be placed: run the same command with --change-id {id}");
+    client.place_order(&order).await.map_err(|no_answer| {
+        let advice =
+            format!("the order may have been placed: run the same command with --change-id {id}");
         no_answer.into_failure(&advice)
     })
 }
 
-impl Display for Listed {
+impl Display for OrdersAnswer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let orders = &self.orders.orders;
         if orders.is_empty() {
@@ -74,7 +78,7 @@
             "ORDER", "INSTANCE", "KIND", "SUBJECT", "VERSION", "STATE", "FENCE", "PLACED",
             "OPERATOR", "DETAIL",
         ];
-        f.write_str(&show::table(&head, &rows))
+        f.write_str(&format::table(&head, &rows))
     }
 }
 
@@ -87,7 +91,7 @@
         order.version.to_string(),
         order.state.to_string(),
         order.fence.to_string(),
-        show::time(order.placed_at_ms),
+        format::time(order.placed_at_ms),
         order.operator.to_string(),
         order.detail.to_string(),
     ]
--- a/crates/ctl/src/commands/remove_control.rs
+++ b/crates/ctl/src/commands/remove_control.rs
@@ -1,4 +1,4 @@
-//! Lets a control instance that is gone for good count no more.
+//! Removes a control instance that is gone for good from the quorum.
 
 use std::fmt::{self, Display};
 
@@ -6,13 +6,13 @@
 use serde::Serialize;
 
 use crate::args::RemoveControlOptions;
+use crate::control_config::ControlConfig;
 use crate::exit::Exit;
 use crate::failure::Failure;
-use crate::link::Link;
 use crate::output::Output;
 
 #[derive(Serialize)]
-struct Shown {
+struct RemoveControlAnswer {
     instance: Box<str>,
     #[serde(flatten)]
     removed: RemovedControl,
@@ -21,13 +21,13 @@
 /// Runs `remove-control`.
 pub(crate) async fn run(
     options: &RemoveControlOptions,
-    link: &Link,
+    control: &ControlConfig,
     output: &mut Output<'_, '_>,
 ) -> Result<Exit, Failure> {
     let remove = RemoveControl {
         instance: options.instance.as_str().into(),
     };
-    let removed = link.open()?.remove_control(&remove).await;
+    let removed = control.client()?.remove_control(&remove).await;
     let removed = removed.map_err(|no_answer| {
         no_answer.into_failure("look at `sequoiactl status`, and run the same command again")
     })?;
@@ -36,18 +36,18 @@
     } else {
         Exit::Failed
     };
-    output.show(&Shown {
+    output.show(&RemoveControlAnswer {
         instance: remove.instance,
         removed,
     })?;
     Ok(exit)
 }
 
-impl Display for Shown {
+impl Display for RemoveControlAnswer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let instance = &self.instance;
         if self.removed.removed {
-            return write!(f, "{instance} counts no more");
+            return write!(f, "{instance} no longer counts for the quorum");
         }
         write!(f, "{instance} still counts: {}", self.removed.detail)
     }
--- a/crates/ctl/src/commands/report.rs
+++ b/crates/ctl/src/commands/report.rs
@@ -1,4 +1,4 @@
-//! Reports burn, gap and utilisation, out of recorded or freshly collected samples.
+//! Reports burn, gap and utilisation from recorded or newly collected samples.
 
 use std::fs::{self, OpenOptions};
 use std::io::Write;
@@ -11,21 +11,21 @@
 use tokio::time::{MissedTickBehavior, interval};
 
 use crate::args::{BurnOptions, MetricsOptions, ReportCommand, ReportOptions};
+use crate::control_config::ControlConfig;
 use crate::exit::Exit;
 use crate::failure::Failure;
-use crate::link::Link;
 use crate::output::Output;
-use crate::scrape::{Scraper, Target, targets};
-use crate::{local, show};
+use crate::scrape::{ScrapeTarget, Scraper, parse_targets};
+use crate::{format, local_folder};
 
-/// Time between two rounds of pages: twenty of them fit the shortest window of a default objective.
-const EVERY: Duration = Duration::from_secs(15);
+/// Default time between two scrapes; twenty of them fit into the shortest window of a default objective.
+const DEFAULT_SCRAPE_INTERVAL: Duration = Duration::from_secs(15);
 
-/// Shortest time between two rounds: times in samples have whole milliseconds.
-const SHORTEST_EVERY: Duration = Duration::from_millis(1);
+/// Shortest time between two scrapes, as the timestamps of samples are in whole milliseconds.
+const MIN_SCRAPE_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Says where samples and the configuration come from.
-struct Source<'o> {
+/// Where the samples and the configuration of a report come from.
+struct ReportSource<'o> {
     samples: Option<&'o str>,
     scrape: Option<&'o str>,
     folder: Option<&'o str>,
@@ -36,13 +36,13 @@
 /// Runs `report`.
 pub(crate) async fn run(
     options: ReportOptions,
-    link: &Link,
+    control: &ControlConfig,
     output: &mut Output<'_, '_>,
 ) -> Result<Exit, Failure> {
     match options.command {
-        Some(ReportCommand::Burn(options)) => burn(&options, link, output).await,
-        Some(ReportCommand::Gap(options)) => gap(&options, link, output).await,
-        Some(ReportCommand::Utilisation(options)) => utilisation(&options, link, output).await,
+        Some(ReportCommand::Burn(options)) => burn(&options, control, output).await,
+        Some(ReportCommand::Gap(options)) => gap(&options, control, output).await,
+        Some(ReportCommand::Utilisation(options)) => utilisation(&options, control, output).await,
         None => Err(Failure::invalid(
             "which report? allowed are `report burn`, `report gap` and `report utilisation`",
         )),
@@ -51,46 +51,45 @@
 
 async fn burn(
     options: &BurnOptions,
-    link: &Link,
+    control: &ControlConfig,
     output: &mut Output<'_, '_>,
 ) -> Result<Exit, Failure> {
-    let source = Source {
+    let source = ReportSource {
         samples: options.samples.as_deref(),
         scrape: options.scrape.as_deref(),
         folder: options.folder.as_deref(),
         watch: options.watch,
         every: options.every,
     };
-    let effective = source.effective(link).await?;
-    let recording = source.recording(link, output).await?;
+    let effective = source.effective(control).await?;
+    let recording = source.recording(control, output).await?;
     let report = hinge_burn::burn(&effective, &recording);
     output.show(&report)?;
     if let Some(path) = &options.svg {
-        let picture =
-            hinge_burn::svg(&report).map_err(|error| Failure::failed(error.to_string()))?;
-        fs::write(path, picture).map_err(|error| unusable(path, &error))?;
+        let image = hinge_burn::svg(&report).map_err(|error| Failure::failed(error.to_string()))?;
+        fs::write(path, image).map_err(|error| file_failure(path, &error))?;
     }
     Ok(Exit::Ok)
 }
 
 async fn gap(
     options: &MetricsOptions,
-    link: &Link,
+    control: &ControlConfig,
     output: &mut Output<'_, '_>,
 ) -> Result<Exit, Failure> {
-    let source = Source::of(options);
-    let effective = source.effective(link).await?;
-    let recording = source.recording(link, output).await?;
+    let source = ReportSource::of(options);
+    let effective = source.effective(control).await?;
+    let recording = source.recording(control, output).await?;
     output.show(&hinge_burn::gap(&effective, &recording, window_ms(options)))?;
     Ok(Exit::Ok)
 }
 
 async fn utilisation(
     options: &MetricsOptions,
-    link: &Link,
+    control: &ControlConfig,
     output: &mut Output<'_, '_>,
 ) -> Result<Exit, Failure> {
-    let recording = Source::of(options).recording(link, output).await?;
+    let recording = ReportSource::of(options).recording(control, output).await?;
     output.show(&hinge_burn::utilisation(&recording, window_ms(options)))?;
     Ok(Exit::Ok)
 }
@@ -100,11 +99,11 @@
     Some(u64::try_from(window.as_millis()).unwrap_or(u64::MAX))
 }
 
-fn unusable(path: &str, error: &std::io::Error) -> Failure {
+fn file_failure(path: &str, error: &std::io::Error) -> Failure {
     Failure::failed(format!("{path} can't be used: {error}"))
 }
 
-impl<'o> Source<'o> {
+impl<'o> ReportSource<'o> {
     fn of(options: &'o MetricsOptions) -> Self {
         Self {
             samples: options.samples.as_deref(),
@@ -115,28 +114,29 @@
         }
     }
 
-    /// Returns the configuration: of the folder that was given, or else the one in force.
-    async fn effective(&self, link: &Link) -> Result<Effective, Failure> {
+    /// Returns the configuration of the given folder, or else the one in force.
+    async fn effective(&self, control: &ControlConfig) -> Result<Effective, Failure> {
         if let Some(folder) = self.folder {
-            return Ok(local::read(Path::new(folder))?.effective);
+            return Ok(local_folder::read(Path::new(folder))?.effective);
         }
-        if !link.is_known() {
+        if !control.is_given() {
             return Err(Failure::invalid(
                 "which configuration? give --folder FOLDER, or --control ADDRESS for the one in force",
             ));
         }
-        super::diff::effective(&link.open()?.folder().await?)
+        super::diff::effective(&control.client()?.folder().await?)
     }
 
-    /// Returns recorded samples, with those that were asked to be collected now.
+    /// Returns the recorded samples, after collecting new ones if asked to.
     async fn recording(
         &self,
-        link: &Link,
+        control: &ControlConfig,
         output: &mut Output<'_, '_>,
     ) -> Result<Recording, Failure> {
         let collected = match (self.scrape, self.watch) {
             (Some(scrape), Some(watch)) => {
-                self.collect(&targets(scrape)?, watch, link, output).await?
+                self.collect(&parse_targets(scrape)?, watch, control, output)
+                    .await?
             }
             (Some(_), None) => {
                 return Err(Failure::invalid(
@@ -156,40 +156,40 @@
             (None, None) => String::new(),
         };
         let text = match self.samples {
-            Some(path) => fs::read_to_string(path).map_err(|error| unusable(path, &error))?,
+            Some(path) => fs::read_to_string(path).map_err(|error| file_failure(path, &error))?,
             None => collected,
         };
         Recording::parse(&text).map_err(|error| Failure::failed(error.to_string()))
     }
 
-    /// Collects pages; each round is in the file before the next one begins.
+    /// Collects metrics pages; each round is written to the file before the next one begins.
     async fn collect(
         &self,
-        targets: &[Target],
+        targets: &[ScrapeTarget],
         watch: Duration,
-        link: &Link,
+        control: &ControlConfig,
         output: &mut Output<'_, '_>,
     ) -> Result<String, Failure> {
-        let every = self.every.unwrap_or(EVERY);
-        if every < SHORTEST_EVERY {
+        let every = self.every.unwrap_or(DEFAULT_SCRAPE_INTERVAL);
+        if every < MIN_SCRAPE_INTERVAL {
             return Err(Failure::invalid(
                 "--every is too short; allowed is 1ms or more",
             ));
         }
         let scraper = Scraper::new();
         let mut ticks = interval(every);
-        // A round that took too long moves the later ones; two rounds at once would measure nothing.
+        // A late round delays the following ones; two rounds right after each other would measure nothing.
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut lines = String::new();
-        for _ in 0..rounds(watch, every) {
+        for _ in 0..round_count(watch, every) {
             ticks.tick().await;
-            let at_ms = show::now_ms();
-            let mut records = scraper.round(targets, at_ms).await;
-            records.extend(slots(link, at_ms, output).await);
+            let at_ms = format::now_ms();
+            let mut records = scraper.scrape_all(targets, at_ms).await;
+            records.extend(fetch_slots(control, at_ms, output).await);
             note_missing(&records, output);
             let round: String = records.iter().map(Record::line).collect();
             match self.samples {
-                Some(path) => append(path, &round).map_err(|error| unusable(path, &error))?,
+                Some(path) => append(path, &round).map_err(|error| file_failure(path, &error))?,
                 None => lines.push_str(&round),
             }
         }
@@ -197,8 +197,8 @@
     }
 }
 
-/// Returns how many rounds of pages fill a time; fewer than two would give no difference.
-fn rounds(watch: Duration, every: Duration) -> u128 {
+/// Returns the number of scrape rounds in a time; at least two, as one gives no difference.
+fn round_count(watch: Duration, every: Duration) -> u128 {
     (watch.as_nanos() / every.as_nanos() + 1).max(2)
 }
 
@@ -207,23 +207,29 @@
     file.write_all(lines.as_bytes())
 }
 
-/// Returns the slots of the endpoints, if control is known and answers.
-async fn slots(link: &Link, at_ms: u64, output: &mut Output<'_, '_>) -> Option<Record> {
-    if !link.is_known() {
+/// Returns the slots of the endpoints, if control addresses are given and control answers.
+async fn fetch_slots(
+    control: &ControlConfig,
+    at_ms: u64,
+    output: &mut Output<'_, '_>,
+) -> Option<Record> {
+    if !control.is_given() {
         return None;
     }
-    let ask = AskStatus {
+    let query = AskStatus {
         wait_version: 0,
         wait_ms: 0,
     };
-    let status = match link.open() {
-        Ok(fleet) => fleet.status(&ask).await,
+    let status = match control.client() {
+        Ok(client) => client.status(&query).await,
         Err(failure) => Err(failure),
     };
     let members = match status {
         Ok(status) => status.members,
         Err(failure) => {
-            output.note(&format!("the slots are not recorded now\n{failure}"));
+            output.note(&format!(
+                "the endpoints' slots are missing from this round\n{failure}"
+            ));
             return None;
         }
     };
--- a/crates/ctl/src/commands/rollback.rs
+++ b/crates/ctl/src/commands/rollback.rs
@@ -1,8 +1,8 @@
-//! Makes an older folder the newest version; versions never step back.
+//! Makes the folder of an older version the newest version; version numbers only increase.
 //!
-//! Control keeps the folder in force and the names of changed files, but no texts of older folders. So the operator brings the
-//! older folder, and this command checks it against what control knows: a file that no change since that version touched
-//! must be as it is in force.
+//! Control keeps the folder in force and the names of changed files, but not the contents of older folders. So the operator gives
+//! a copy of the older folder, and this command checks it against the history: a file that no change since that version
+//! touched must be the same as in the folder in force.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -12,20 +12,20 @@
 
 use crate::args::RollbackOptions;
 use crate::commands::apply::Change;
+use crate::control_client::{ControlClient, FolderInForce};
+use crate::control_config::ControlConfig;
 use crate::exit::Exit;
 use crate::failure::Failure;
-use crate::fleet::{Fleet, InForce};
-use crate::link::Link;
 use crate::output::Output;
-use crate::{commands, local, show};
+use crate::{commands, format, local_folder};
 
-/// Changes that one question for the history lists.
-const HISTORY_PAGE: u32 = 1000;
+/// Entries in one page of the history.
+const HISTORY_PAGE_LEN: u32 = 1000;
 
 /// Runs `rollback`.
 pub(crate) async fn run(
     options: &RollbackOptions,
-    link: &Link,
+    control: &ControlConfig,
     output: &mut Output<'_, '_>,
 ) -> Result<Exit, Failure> {
     let version = options.version;
@@ -34,16 +34,16 @@
             "control keeps no texts of older folders; give --folder FOLDER with your copy of version {version}, for example from your version control"
         )));
     };
-    let local = local::read(Path::new(folder))?;
-    let fleet = link.open()?;
-    let in_force = fleet.folder().await?;
+    let local = local_folder::read(Path::new(folder))?;
+    let client = control.client()?;
+    let in_force = client.folder().await?;
     if version >= in_force.version {
         return Err(Failure::invalid(format!(
             "version {version} is not older than version {}, which is in force",
             in_force.version
         )));
     }
-    let touched = touched_since(&fleet, version).await?;
+    let touched = touched_since(&client, version).await?;
     check_copy(version, &local.files, &in_force, &touched)?;
     let note = options.note.clone();
     let note = note.unwrap_or_else(|| format!("rollback to version {version}"));
@@ -52,28 +52,31 @@
         base: Some(in_force.version),
         note: &note,
         earlier_id: options.change_id.as_deref(),
-        // The older folder is the whole truth: files that came later go.
+        // Files that were added after the older version are removed.
         may_remove: true,
     };
-    let settled = change.settle(&fleet, in_force, output).await?;
-    match settled.version {
+    let result = change.submit(&client, in_force, output).await?;
+    match result.version {
         Some(version) if options.wait => {
-            commands::wait::until(&fleet, version, link.wait_timeout(), output).await
+            commands::wait::wait_for_version(&client, version, control.wait_timeout(), output).await
         }
-        _ => Ok(settled.exit),
+        _ => Ok(result.exit),
     }
 }
 
-/// Returns the names of all files that changes after a version touched.
-async fn touched_since(fleet: &Fleet, version: u64) -> Result<BTreeSet<Box<str>>, Failure> {
+/// Returns the names of all files that were changed after a version.
+async fn touched_since(
+    client: &ControlClient,
+    version: u64,
+) -> Result<BTreeSet<Box<str>>, Failure> {
     let mut touched = BTreeSet::new();
     let mut before_version = 0;
     loop {
-        let ask = AskHistory {
+        let query = AskHistory {
             before_version,
-            limit: HISTORY_PAGE,
+            limit: HISTORY_PAGE_LEN,
         };
-        let entries = fleet.history(&ask).await?.entries;
+        let entries = client.history(&query).await?.entries;
         let oldest = entries.last().map(|entry| entry.version);
         for entry in entries.into_iter().filter(|entry| entry.version > version) {
             touched.extend(entry.put);
@@ -96,16 +99,16 @@
 fn check_copy(
     version: u64,
     copy: &[ConfigFile],
-    in_force: &InForce,
+    in_force: &FolderInForce,
     touched: &BTreeSet<Box<str>>,
 ) -> Result<(), Failure> {
     let (put, removed) = hinge_config::folder::delta(&in_force.files, copy);
     let differing = put.into_iter().map(|file| file.name).chain(removed);
-    let strange: Vec<_> = differing.filter(|name| !touched.contains(name)).collect();
-    if strange.is_empty() {
+    let unexpected: Vec<_> = differing.filter(|name| !touched.contains(name)).collect();
+    if unexpected.is_empty() {
         return Ok(());
     }
-    let names = show::names(&strange);
+    let names = format::join_names(&unexpected);
     Err(Failure::invalid(format!(
         "the folder is not version {version}: no change since then touched {names}, but the folder differs there from what is in force"
     )))
--- a/crates/ctl/src/commands/shares.rs
+++ b/crates/ctl/src/commands/shares.rs
@@ -1,4 +1,4 @@
-//! Shows, out of logs, what the engines gave to each team, and how busy they were.
+//! Shows from logs the service that each team received, and the load of the engines.
 
 use std::fmt::{self, Display};
 
@@ -7,14 +7,14 @@
 use crate::args::SharesOptions;
 use crate::exit::Exit;
 use crate::failure::Failure;
-use crate::logs::read_all;
+use crate::logs::read_logs;
 use crate::output::Output;
-use crate::shares::{Shares, add_up};
-use crate::stages::{Door, Short, StageTable, Stages};
+use crate::shares::{Shares, sum_up};
+use crate::stages::{ConnectionCount, ShortTeam, StageTable, StageTokens};
 
 /// Runs `shares`.
 pub(crate) fn run(options: &SharesOptions, output: &mut Output<'_, '_>) -> Result<Exit, Failure> {
-    let (shares, table) = add_up(&read_all(&options.logs)?);
+    let (shares, table) = sum_up(&read_logs(&options.logs)?);
     let exit = if shares.teams.is_empty() {
         Exit::Failed
     } else {
@@ -23,13 +23,13 @@
     let short = table.short_teams();
     let team = options.team.as_deref().unwrap_or_default();
     let stages = table.of_team(team);
-    let stages = stages.map(|(second, stages)| Second { second, stages });
-    output.show(&Shown {
+    let stages = stages.map(|(second, stages)| SecondOfTeam { second, stages });
+    output.show(&SharesAnswer {
         shares,
         short,
         stages: stages.collect(),
         gateways: if options.gateways {
-            at_gateways(&table, team)
+            by_gateway(&table, team)
         } else {
             Vec::new()
         },
@@ -37,46 +37,49 @@
     Ok(exit)
 }
 
-fn at_gateways(table: &StageTable, team: &str) -> Vec<AtGateway> {
-    let places = table.at_gateways(team);
-    let places = places.map(|(second, gateway, stages, door)| AtGateway {
-        second,
-        gateway: gateway.into(),
-        stages,
-        door,
-    });
-    places.collect()
+fn by_gateway(table: &StageTable, team: &str) -> Vec<SecondAtGateway> {
+    let seconds = table.by_gateway(team);
+    let seconds = seconds.map(
+        |(second, gateway, stages, connection_count)| SecondAtGateway {
+            second,
+            gateway: gateway.into(),
+            stages,
+            connection_count,
+        },
+    );
+    seconds.collect()
 }
 
-/// Holds what became of a team's requests in one second from the first line on.
+/// Stages of a team's requests in one second, counted from the first line.
 #[derive(Serialize)]
-struct Second {
+struct SecondOfTeam {
     second: u64,
     #[serde(flatten)]
-    stages: Stages,
+    stages: StageTokens,
 }
 
-/// Holds what became of them at one gateway.
+/// Stages of a team's requests in one second at one gateway.
 #[derive(Serialize)]
-struct AtGateway {
+struct SecondAtGateway {
     second: u64,
     gateway: Box<str>,
     #[serde(flatten)]
-    stages: Stages,
-    /// None where the gateway turned nothing away.
-    door: Option<Door>,
+    stages: StageTokens,
+    /// None where the gateway rejected nothing.
+    #[serde(rename = "door")]
+    connection_count: Option<ConnectionCount>,
 }
 
 #[derive(Serialize)]
-struct Shown {
+struct SharesAnswer {
     #[serde(flatten)]
     shares: Shares,
-    short: Vec<Short>,
-    stages: Vec<Second>,
-    gateways: Vec<AtGateway>,
+    short: Vec<ShortTeam>,
+    stages: Vec<SecondOfTeam>,
+    gateways: Vec<SecondAtGateway>,
 }
 
-impl Display for Shown {
+impl Display for SharesAnswer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let shares = &self.shares;
         if let Some((median, widest)) = shares.median_and_widest() {
@@ -106,15 +109,15 @@
                 short.from_s, short.team, short.stages, short.best, short.best_begun_tokens
             )?;
         }
-        for Second { second, stages } in &self.stages {
+        for SecondOfTeam { second, stages } in &self.stages {
             writeln!(f, "{second} s: {stages}")?;
         }
         for at in &self.gateways {
             write!(f, "{} s, {}: {}", at.second, at.gateway, at.stages)?;
-            if let Some(Door {
+            if let Some(ConnectionCount {
                 connections,
                 shut_ms,
-            }) = at.door
+            }) = at.connection_count
             {
                 write!(f, "; connections {connections}, shut {shut_ms} ms")?;
             }
@@ -124,7 +127,7 @@
     }
 }
 
-impl Display for Stages {
+impl Display for StageTokens {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
--- a/crates/ctl/src/commands/status.rs
+++ b/crates/ctl/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! Shows the fleet as the leader of control sees it.
+//! Shows the state of the fleet, as known to the control leader.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Display};
@@ -7,20 +7,20 @@
 use serde::Serialize;
 
 use crate::args::StatusOptions;
+use crate::control_config::ControlConfig;
 use crate::exit::Exit;
 use crate::failure::Failure;
-use crate::link::Link;
+use crate::format;
 use crate::output::Output;
-use crate::show;
 
 /// Most processes that are listed one by one without `--all`; more are counted by role, pool and data centre.
 const MAX_LISTED: usize = 40;
 
-/// What control answers for an instance that it has not heard within an election timeout.
-const UNHEARD: u64 = u64::MAX;
+/// Contact time that control reports for an instance that it has not heard from within an election timeout.
+const NEVER_HEARD: u64 = u64::MAX;
 
 #[derive(Serialize)]
-struct Shown {
+struct StatusAnswer {
     #[serde(flatten)]
     status: Status,
     #[serde(skip)]
@@ -30,20 +30,20 @@
 /// Runs `status`.
 pub(crate) async fn run(
     options: &StatusOptions,
-    link: &Link,
+    control: &ControlConfig,
     output: &mut Output<'_, '_>,
 ) -> Result<Exit, Failure> {
-    let ask = AskStatus {
+    let query = AskStatus {
         wait_version: 0,
         wait_ms: 0,
     };
-    let status = link.open()?.status(&ask).await?;
+    let status = control.client()?.status(&query).await?;
     let lists_all = options.all || status.members.len() <= MAX_LISTED;
-    output.show(&Shown { status, lists_all })?;
+    output.show(&StatusAnswer { status, lists_all })?;
     Ok(Exit::Ok)
 }
 
-impl Display for Shown {
+impl Display for StatusAnswer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let status = &self.status;
         writeln!(
@@ -57,7 +57,7 @@
             .map(|instance| control_row(instance, status.commit_index))
             .collect();
         let head = ["CONTROL", "ROLE", "BEHIND", "HEARD"];
-        write!(f, "\n{}", show::table(&head, &control))?;
+        write!(f, "\n{}", format::table(&head, &control))?;
         if self.lists_all {
             write!(f, "\n{}", members_table(&status.members))?;
         } else {
@@ -76,9 +76,9 @@
     };
     let behind = commit_index.saturating_sub(instance.matched_index);
     let heard = match instance.last_contact_ms {
-        UNHEARD => "not heard".to_owned(),
+        NEVER_HEARD => "not heard".to_owned(),
         0 => "now".to_owned(),
-        ago_ms => format!("{} ago", show::span(ago_ms)),
+        ago_ms => format!("{} ago", format::span(ago_ms)),
     };
     vec![
         or_dash(&instance.instance),
@@ -100,7 +100,7 @@
         "STATE",
     ];
     let rows: Vec<_> = members.iter().map(member_row).collect();
-    show::table(&head, &rows)
+    format::table(&head, &rows)
 }
 
 fn member_row(member: &Member) -> Vec<String> {
@@ -162,7 +162,7 @@
         "LEAVING",
         "SLOTS",
     ];
-    show::table(&head, &rows)
+    format::table(&head, &rows)
 }
 
 fn write_lacking(f: &mut fmt::Formatter<'_>, status: &Status) -> fmt::Result {
@@ -170,7 +170,7 @@
     if status.lacking.is_empty() {
         return writeln!(f, "\nversion {version} is in force everywhere");
     }
-    let (count, names) = (status.lacking.len(), show::names(&status.lacking));
+    let (count, names) = (status.lacking.len(), format::join_names(&status.lacking));
     writeln!(f, "\n{count} processes lack version {version}: {names}")
 }
 
--- a/crates/ctl/src/commands/suspects.rs
+++ b/crates/ctl/src/commands/suspects.rs
@@ -1,4 +1,4 @@
-//! Lists the requests that endpoints ended under, and releases one.
+//! Lists the requests that endpoints terminated on, and releases one.
 
 use std::fmt::{self, Display};
 
@@ -6,14 +6,14 @@
 use serde::Serialize;
 
 use crate::args::SuspectsOptions;
+use crate::control_config::ControlConfig;
 use crate::exit::Exit;
 use crate::failure::Failure;
-use crate::link::Link;
+use crate::format;
 use crate::output::Output;
-use crate::show;
 
 #[derive(Serialize)]
-struct Listed {
+struct SuspectsAnswer {
     #[serde(flatten)]
     records: SuspectRecords,
 }
@@ -21,28 +21,32 @@
 /// Runs `suspects`.
 pub(crate) async fn run(
     options: &SuspectsOptions,
-    link: &Link,
+    control: &ControlConfig,
     output: &mut Output<'_, '_>,
 ) -> Result<Exit, Failure> {
-    let ask = AskSuspects {
+    let query = AskSuspects {
         release: options.release.as_deref().map(Box::from),
     };
-    let records = link.open()?.suspects(&ask).await.map_err(|no_answer| {
-        no_answer.into_failure("a release may be asked twice: run the same command again")
-    })?;
-    output.show(&Listed { records })?;
+    let records = control
+        .client()?
+        .suspects(&query)
+        .await
+        .map_err(|no_answer| {
+            no_answer.into_failure("a release may safely be repeated: run the same command again")
+        })?;
+    output.show(&SuspectsAnswer { records })?;
     Ok(Exit::Ok)
 }
 
-impl Display for Listed {
+impl Display for SuspectsAnswer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let suspects = &self.records.suspects;
         if suspects.is_empty() {
             return f
-                .write_str("no endpoint has ended under a request that did not complete since");
+                .write_str("no endpoint has terminated on a request that has not completed since");
         }
         let rows: Vec<_> = suspects.iter().map(row).collect();
-        f.write_str(&show::table(&["REQUEST", "ENDS", "STATE"], &rows))
+        f.write_str(&format::table(&["REQUEST", "ENDS", "STATE"], &rows))
     }
 }
 
--- a/crates/ctl/src/commands/upgrade.rs
+++ b/crates/ctl/src/commands/upgrade.rs
@@ -1,4 +1,4 @@
-//! Shows how far upgrades and planned stops have come, as the leader of control answers.
+//! Shows the progress of upgrades and planned stops, as known to the control leader.
 
 use std::fmt::{self, Display};
 
@@ -6,14 +6,14 @@
 use serde::Serialize;
 
 use crate::args::{UpgradeCommand, UpgradeOptions};
+use crate::control_config::ControlConfig;
 use crate::exit::Exit;
 use crate::failure::Failure;
-use crate::link::Link;
+use crate::format;
 use crate::output::Output;
-use crate::show;
 
 #[derive(Serialize)]
-struct Shown {
+struct UpgradesAnswer {
     #[serde(flatten)]
     upgrades: Upgrades,
 }
@@ -21,7 +21,7 @@
 /// Runs `upgrade status`.
 pub(crate) async fn run(
     options: &UpgradeOptions,
-    link: &Link,
+    control: &ControlConfig,
     output: &mut Output<'_, '_>,
 ) -> Result<Exit, Failure> {
     let Some(UpgradeCommand::Status(options)) = &options.command else {
@@ -30,18 +30,18 @@
         ));
     };
     let name = options.name.as_deref().unwrap_or_default();
-    let ask = AskUpgrades { name: name.into() };
-    let upgrades = link.open()?.upgrades(&ask).await?;
+    let query = AskUpgrades { name: name.into() };
+    let upgrades = control.client()?.upgrades(&query).await?;
     if !name.is_empty() && upgrades.plans.is_empty() && upgrades.stops.is_empty() {
         return Err(Failure::invalid(format!(
             "no upgrade or planned stop is named {name}; `sequoiactl upgrade status` lists them"
         )));
     }
-    output.show(&Shown { upgrades })?;
+    output.show(&UpgradesAnswer { upgrades })?;
     Ok(Exit::Ok)
 }
 
-impl Display for Shown {
+impl Display for UpgradesAnswer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Upgrades { plans, stops } = &self.upgrades;
         if plans.is_empty() && stops.is_empty() {
@@ -50,12 +50,12 @@
         if !plans.is_empty() {
             let head = ["UPGRADE", "POOL", "VERSION", "STATE", "DONE", "WAITS FOR"];
             let rows: Vec<_> = plans.iter().map(plan_row).collect();
-            writeln!(f, "{}", show::table(&head, &rows))?;
+            writeln!(f, "{}", format::table(&head, &rows))?;
         }
         if !stops.is_empty() {
             let head = ["STOP", "STATE", "DONE", "DRAINING", "WAITS FOR"];
             let rows: Vec<_> = stops.iter().map(stop_row).collect();
-            writeln!(f, "{}", show::table(&head, &rows))?;
+            writeln!(f, "{}", format::table(&head, &rows))?;
         }
         for stop in stops {
             write_warnings(f, stop)?;
@@ -65,9 +65,9 @@
 }
 
 fn plan_row(plan: &UpgradeStatus) -> Vec<String> {
-    let mut waits = plan.detail.to_string();
+    let mut waits_for = plan.detail.to_string();
     if plan.until_ms > 0 {
-        waits = format!("{waits}, until {}", show::time(plan.until_ms));
+        waits_for = format!("{waits_for}, until {}", format::time(plan.until_ms));
     }
     vec![
         plan.plan.to_string(),
@@ -75,7 +75,7 @@
         plan.version.to_string(),
         plan.state.to_string(),
         format!("{} of {}", plan.done, plan.total),
-        or_dash(waits),
+        or_dash(waits_for),
     ]
 }
 
@@ -91,11 +91,11 @@
 
 fn write_warnings(f: &mut fmt::Formatter<'_>, stop: &StopStatus) -> fmt::Result {
     if !stop.late.is_empty() {
-        let late = show::names(&stop.late);
+        let late = format::join_names(&stop.late);
         writeln!(f, "{}: past the deadline: {late}", stop.stop)?;
     }
     if !stop.below_floor.is_empty() {
-        let pools = show::names(&stop.below_floor);
+        let pools = format::join_names(&stop.below_floor);
         writeln!(f, "{}: below the floor: {pools}", stop.stop)?;
     }
     Ok(())
--- a/crates/ctl/src/commands/wait.rs
+++ b/crates/ctl/src/commands/wait.rs
@@ -1,4 +1,4 @@
-//! Waits until every live process holds a version.
+//! Waits until every live process has a version.
 
 use std::fmt::{self, Display};
 use std::time::Duration;
@@ -8,31 +8,31 @@
 use tokio::time::{Instant, sleep};
 
 use crate::args::WaitOptions;
+use crate::control_client::ControlClient;
+use crate::control_config::ControlConfig;
 use crate::exit::Exit;
 use crate::failure::Failure;
-use crate::fleet::Fleet;
-use crate::link::Link;
+use crate::format;
 use crate::output::Output;
-use crate::show;
 
-/// Longest wait at control for one answer: progress is shown once a second.
-const STEP: Duration = Duration::from_secs(1);
+/// Longest time for which control holds back one answer, so that progress is shown once a second.
+const STATUS_WAIT: Duration = Duration::from_secs(1);
 
-/// Pause between two questions, also to a control that does not wait itself.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Pause between two status calls, which also limits the rate when control answers at once.
+const POLL_PAUSE: Duration = Duration::from_millis(50);
 
 #[derive(Serialize)]
-struct Waited {
+struct WaitAnswer {
     version: u64,
     in_force: bool,
     processes: usize,
-    lacking: Vec<Lacking>,
+    lacking: Vec<LaggingProcess>,
     elapsed_ms: u64,
 }
 
-/// Names a live process that holds an older version.
+/// A live process that has an older version.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
-struct Lacking {
+struct LaggingProcess {
     instance: Box<str>,
     config_version: u64,
 }
@@ -40,57 +40,59 @@
 /// Runs `wait`.
 pub(crate) async fn run(
     options: &WaitOptions,
-    link: &Link,
+    control: &ControlConfig,
     output: &mut Output<'_, '_>,
 ) -> Result<Exit, Failure> {
-    let fleet = link.open()?;
+    let client = control.client()?;
     let version = match options.version {
         Some(version) => version,
         None => {
-            fleet
-                .status(&question(0, Duration::ZERO))
+            client
+                .status(&status_query(0, Duration::ZERO))
                 .await?
                 .config_version
         }
     };
-    until(&fleet, version, link.wait_timeout(), output).await
+    wait_for_version(&client, version, control.wait_timeout(), output).await
 }
 
-/// Waits for a version, shows who lacks it, and then the result.
-pub(crate) async fn until(
-    fleet: &Fleet,
+/// Waits for a version, reports which processes lack it, and prints the result.
+pub(crate) async fn wait_for_version(
+    client: &ControlClient,
     version: u64,
     timeout: Duration,
     output: &mut Output<'_, '_>,
 ) -> Result<Exit, Failure> {
-    let began = Instant::now();
-    let mut shown = Vec::new();
+    let started = Instant::now();
+    let mut last_shown = Vec::new();
     loop {
-        let left = timeout.saturating_sub(began.elapsed());
-        let status = fleet.status(&question(version, left.min(STEP))).await?;
+        let remaining = timeout.saturating_sub(started.elapsed());
+        let status = client
+            .status(&status_query(version, remaining.min(STATUS_WAIT)))
+            .await?;
         check_accepted(version, &status)?;
         let lacking = lacking(version, &status);
-        let is_over = left.is_zero();
-        if lacking.is_empty() || is_over {
-            let waited = Waited {
+        let is_timed_out = remaining.is_zero();
+        if lacking.is_empty() || is_timed_out {
+            let answer = WaitAnswer {
                 version,
                 in_force: lacking.is_empty(),
                 processes: status.members.len(),
                 lacking,
-                elapsed_ms: u64::try_from(began.elapsed().as_millis()).unwrap_or(u64::MAX),
+                elapsed_ms: u64::try_from(started.elapsed().as_millis()).unwrap_or(u64::MAX),
             };
-            output.show(&waited)?;
-            return waited.end();
+            output.show(&answer)?;
+            return answer.exit();
         }
-        if lacking != shown {
+        if lacking != last_shown {
             output.note(&progress(version, &lacking, status.members.len()));
-            shown = lacking;
+            last_shown = lacking;
         }
-        sleep(PAUSE.min(left)).await;
+        sleep(POLL_PAUSE.min(remaining)).await;
     }
 }
 
-fn question(version: u64, wait: Duration) -> AskStatus {
+fn status_query(version: u64, wait: Duration) -> AskStatus {
     AskStatus {
         wait_version: version,
         wait_ms: u64::try_from(wait.as_millis()).unwrap_or(u64::MAX),
@@ -103,35 +105,35 @@
         return Ok(());
     }
     Err(Failure::invalid(format!(
-        "version {version} is not accepted; the newest is {newest}"
+        "there is no version {version} yet; the newest is {newest}"
     )))
 }
 
-fn lacking(version: u64, status: &Status) -> Vec<Lacking> {
+fn lacking(version: u64, status: &Status) -> Vec<LaggingProcess> {
     let behind = status
         .members
         .iter()
         .filter(|member| member.config_version < version);
     behind
-        .map(|member| Lacking {
+        .map(|member| LaggingProcess {
             instance: member.instance.clone(),
             config_version: member.config_version,
         })
         .collect()
 }
 
-fn progress(version: u64, lacking: &[Lacking], processes: usize) -> String {
+fn progress(version: u64, lacking: &[LaggingProcess], processes: usize) -> String {
     let count = lacking.len();
     let names: Vec<_> = lacking
         .iter()
         .map(|lacking| format!("{} ({})", lacking.instance, lacking.config_version))
         .collect();
-    let names = show::names(&names);
+    let names = format::join_names(&names);
     format!("version {version}: {count} of {processes} processes lack it: {names}")
 }
 
-impl Waited {
-    fn end(&self) -> Result<Exit, Failure> {
+impl WaitAnswer {
+    fn exit(&self) -> Result<Exit, Failure> {
         if self.in_force {
             return Ok(Exit::Ok);
         }
@@ -142,7 +144,7 @@
     }
 }
 
-impl Display for Waited {
+impl Display for WaitAnswer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if !self.in_force {
             return f.write_str(&progress(self.version, &self.lacking, self.processes));
@@ -159,7 +161,7 @@
             "version {} is in force at {} processes after {}",
             self.version,
             self.processes,
-            show::span(self.elapsed_ms)
+            format::span(self.elapsed_ms)
         )
     }
 }
--- a/crates/ctl/src/conflict.rs
+++ b/crates/ctl/src/conflict.rs
@@ -1,4 +1,4 @@
-//! Shows both sides of a conflict.
+//! Report of both changes of a conflict.
 
 use std::fmt::{self, Display};
 
@@ -6,18 +6,18 @@
 use hinge_schema::messages::{Apply, Conflict};
 use serde::Serialize;
 
+use crate::control_client::FolderInForce;
 use crate::difference::{FileDifference, files};
-use crate::fleet::InForce;
 
-/// Holds the change that won and the one that lost.
+/// The change that was accepted first, and the one that was rejected.
 #[derive(Debug, Serialize)]
-pub(crate) struct Sides {
+pub(crate) struct ConflictReport {
     outcome: &'static str,
     base_version: u64,
     current_version: u64,
     theirs: Side,
     ours: Side,
-    /// Files that both sides touch, from their text to ours.
+    /// Files that both changes touch, compared from their text to ours.
     both: Vec<FileDifference>,
 }
 
@@ -27,18 +27,18 @@
     operator: Box<str>,
     put: Vec<ConfigFile>,
     removed: Vec<Box<str>>,
-    /// What the side changes, if the files before it are known.
+    /// What the change does, if the files before it are known.
     diff: Vec<FileDifference>,
 }
 
 impl Side {
-    /// Compares the side with the files that it was made from.
+    /// Compares the change with the files that it was made from.
     fn compare(&mut self, before: &[ConfigFile]) {
         let after = hinge_config::folder::apply(before, &self.put, &self.removed);
         self.diff = files(before, &after);
     }
 
-    /// Returns a file of this side; a removed one has no text.
+    /// Returns a file of this change; a removed file is returned with an empty text.
     fn find(&self, name: &str) -> Option<ConfigFile> {
         let put = self.put.iter().find(|file| *file.name == *name).cloned();
         let is_removed = self.removed.iter().any(|removed| **removed == *name);
@@ -55,9 +55,9 @@
     }
 }
 
-impl Sides {
-    /// Puts the winner of control's answer beside the change that was sent, which was made from the files in `in_force`.
-    pub(crate) fn new(conflict: Conflict, change: &Apply, in_force: &InForce) -> Self {
+impl ConflictReport {
+    /// Compares the accepted change in control's answer with the rejected one, which was made from the files in `in_force`.
+    pub(crate) fn new(conflict: Conflict, change: &Apply, in_force: &FolderInForce) -> Self {
         let mut theirs = Side {
             change_id: conflict.winner_change_id,
             operator: conflict.winner_operator,
@@ -73,7 +73,7 @@
             diff: Vec::new(),
         };
         ours.compare(&in_force.files);
-        // The winner was made from the base; we have that only if we read it before the winner came.
+        // The accepted change was made from the base version; its files are known only if they were fetched before the change.
         if in_force.version == conflict.base_version {
             theirs.compare(&in_force.files);
         }
@@ -93,7 +93,7 @@
     }
 }
 
-impl Display for Sides {
+impl Display for ConflictReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self {
             base_version,
--- a/crates/ctl/src/fleet.rs
+++ b/crates/ctl/src/control_client.rs
@@ -1,7 +1,7 @@
-//! Asks control, one instance after the other, until one gives a current answer.
+//! Client that tries the control instances in turn until one gives a current answer.
 //!
-//! Every call may be sent again as it is: questions change nothing, and changes carry a number that control answers once. So
-//! a lost answer is no reason to give up; the same message goes to the next instance.
+//! Every call is idempotent: queries change nothing, and changes carry an id that control acts on only once. So after a lost
+//! answer the same message is sent to the next instance.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -21,20 +21,20 @@
 
 use crate::failure::Failure;
 
-/// Longest wait for one instance: longer than control's own wait for a majority, so that its answer still comes.
-const CALL_WAIT: Duration = Duration::from_secs(6);
+/// Time limit of a call to one instance; longer than control's own wait for a majority, so that its answer still arrives.
+const CALL_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Wait before the instances are asked again when none of them names a time.
-const ROUND_WAIT: Duration = Duration::from_millis(200);
+/// Delay before the instances are tried again, unless one of them gave a retry time.
+const RETRY_WAIT: Duration = Duration::from_millis(200);
 
-/// Longest wait before the instances are asked again; an election is over by then.
-const MAX_ROUND_WAIT: Duration = Duration::from_secs(1);
+/// Longest delay before the instances are tried again; an election is over by then.
+const MAX_RETRY_WAIT: Duration = Duration::from_secs(1);
 
-/// Yields the current answer of a reply, if it holds one.
+/// A reply from control: a current answer, or the reason why the instance has none.
 trait Reply: DeserializeOwned {
     type Answer;
 
-    fn current(self) -> Result<Self::Answer, Unavailable>;
+    fn into_answer(self) -> Result<Self::Answer, Unavailable>;
 }
 
 macro_rules! reply {
@@ -42,7 +42,7 @@
         impl Reply for $reply {
             type Answer = $answer;
 
-            fn current(self) -> Result<Self::Answer, Unavailable> {
+            fn into_answer(self) -> Result<Self::Answer, Unavailable> {
                 match self {
                     Self::$variant(answer) => Ok(answer),
                     Self::Unavailable(unavailable) => Err(unavailable),
@@ -61,38 +61,38 @@
 reply!(RemoveControlReply, Removed, RemovedControl);
 reply!(SuspectsReply, Suspects, SuspectRecords);
 
-/// Holds what control decided about a change.
+/// Control's decision on a change.
 #[derive(Debug)]
-pub(crate) enum Decision {
+pub(crate) enum ChangeDecision {
     Accepted(Accepted),
     Conflict(Conflict),
     Invalid(Invalid),
 }
 
 impl Reply for ApplyReply {
-    type Answer = Decision;
+    type Answer = ChangeDecision;
 
-    fn current(self) -> Result<Decision, Unavailable> {
+    fn into_answer(self) -> Result<ChangeDecision, Unavailable> {
         match self {
-            Self::Accepted(accepted) => Ok(Decision::Accepted(accepted)),
-            Self::Conflict(conflict) => Ok(Decision::Conflict(conflict)),
-            Self::Invalid(invalid) => Ok(Decision::Invalid(invalid)),
+            Self::Accepted(accepted) => Ok(ChangeDecision::Accepted(accepted)),
+            Self::Conflict(conflict) => Ok(ChangeDecision::Conflict(conflict)),
+            Self::Invalid(invalid) => Ok(ChangeDecision::Invalid(invalid)),
             Self::Unavailable(unavailable) => Err(unavailable),
         }
     }
 }
 
-/// Says that no instance gave a current answer in time.
+/// The error when no instance gave a current answer in time.
 #[derive(Debug)]
 pub(crate) struct NoAnswer {
     /// Whether an instance may have acted on the message.
     pub(crate) may_have_acted: bool,
-    /// What each instance said last, by address.
+    /// The last error from each instance, by address.
     reasons: BTreeMap<Box<str>, Box<str>>,
 }
 
 impl NoAnswer {
-    /// Words the failure; `advice` says what to do now.
+    /// Converts to a failure; `advice` tells the operator what to do next.
     pub(crate) fn into_failure(self, advice: &str) -> Failure {
         let reasons = self.reasons.iter();
         let reasons: Vec<_> = reasons
@@ -105,22 +105,22 @@
     }
 }
 
-/// Holds the folder in force.
+/// The configuration folder in force.
 #[derive(Debug)]
-pub(crate) struct InForce {
+pub(crate) struct FolderInForce {
     pub(crate) version: u64,
     pub(crate) files: Vec<ConfigFile>,
 }
 
-/// Holds the way to control.
+/// Client for the control instances.
 #[derive(Debug)]
-pub(crate) struct Fleet {
+pub(crate) struct ControlClient {
     addresses: Vec<Box<str>>,
     client: Client,
     timeout: Duration,
 }
 
-impl Fleet {
+impl ControlClient {
     pub(crate) fn new(addresses: Vec<Box<str>>, key: ClusterKey, timeout: Duration) -> Self {
         Self {
             addresses,
@@ -129,29 +129,29 @@
         }
     }
 
-    pub(crate) async fn status(&self, ask: &AskStatus) -> Result<Status, Failure> {
-        self.ask::<_, StatusReply>("status", ask).await
+    pub(crate) async fn status(&self, query: &AskStatus) -> Result<Status, Failure> {
+        self.query::<_, StatusReply>("status", query).await
     }
 
-    pub(crate) async fn history(&self, ask: &AskHistory) -> Result<History, Failure> {
-        self.ask::<_, HistoryReply>("history", ask).await
+    pub(crate) async fn history(&self, query: &AskHistory) -> Result<History, Failure> {
+        self.query::<_, HistoryReply>("history", query).await
     }
 
-    pub(crate) async fn orders(&self, ask: &AskOrders) -> Result<Orders, Failure> {
-        self.ask::<_, OrdersReply>("orders", ask).await
+    pub(crate) async fn orders(&self, query: &AskOrders) -> Result<Orders, Failure> {
+        self.query::<_, OrdersReply>("orders", query).await
     }
 
-    pub(crate) async fn upgrades(&self, ask: &AskUpgrades) -> Result<Upgrades, Failure> {
-        self.ask::<_, UpgradesReply>("upgrades", ask).await
+    pub(crate) async fn upgrades(&self, query: &AskUpgrades) -> Result<Upgrades, Failure> {
+        self.query::<_, UpgradesReply>("upgrades", query).await
     }
 
     /// Returns the whole folder in force.
-    pub(crate) async fn folder(&self) -> Result<InForce, Failure> {
-        let ask = AskFolder { config_version: 0 };
-        let folder = self.ask::<_, FolderReply>("folder", &ask).await?;
+    pub(crate) async fn folder(&self) -> Result<FolderInForce, Failure> {
+        let query = AskFolder { config_version: 0 };
+        let folder = self.query::<_, FolderReply>("folder", &query).await?;
         let version = folder.config_version;
         let Some(delta) = folder.delta else {
-            return Ok(InForce {
+            return Ok(FolderInForce {
                 version,
                 files: Vec::new(),
             });
@@ -163,10 +163,10 @@
                 "control's folder does not match its own digest; nothing was changed, ask again",
             ));
         }
-        Ok(InForce { version, files })
+        Ok(FolderInForce { version, files })
     }
 
-    pub(crate) async fn apply(&self, change: &Apply) -> Result<Decision, NoAnswer> {
+    pub(crate) async fn apply(&self, change: &Apply) -> Result<ChangeDecision, NoAnswer> {
         self.call::<_, ApplyReply>("apply", change).await
     }
 
@@ -174,7 +174,7 @@
         self.call::<_, DrainReply>("drain", drain).await
     }
 
-    pub(crate) async fn place(&self, order: &PlaceOrder) -> Result<Orders, NoAnswer> {
+    pub(crate) async fn place_order(&self, order: &PlaceOrder) -> Result<Orders, NoAnswer> {
         self.call::<_, OrdersReply>("order", order).await
     }
 
@@ -186,12 +186,16 @@
             .await
     }
 
-    pub(crate) async fn suspects(&self, ask: &AskSuspects) -> Result<SuspectRecords, NoAnswer> {
-        self.call::<_, SuspectsReply>("suspects", ask).await
+    pub(crate) async fn suspects(&self, query: &AskSuspects) -> Result<SuspectRecords, NoAnswer> {
+        self.call::<_, SuspectsReply>("suspects", query).await
     }
 
-    async fn ask<Q: Serialize, A: Reply>(&self, call: &str, ask: &Q) -> Result<A::Answer, Failure> {
-        self.call::<_, A>(call, ask).await.map_err(|no_answer| {
+    async fn query<Q: Serialize, A: Reply>(
+        &self,
+        call: &str,
+        query: &Q,
+    ) -> Result<A::Answer, Failure> {
+        self.call::<_, A>(call, query).await.map_err(|no_answer| {
             no_answer.into_failure("check --control, then ask again, or give a longer --timeout")
         })
     }
@@ -218,8 +222,8 @@
                         describe_unavailable(&unavailable)
                     }
                     Err(error) => {
-                        may_have_acted |= !is_refused(&error);
-                        // The end of our own time says less than what the instance said before.
+                        may_have_acted |= !was_not_executed(&error);
+                        // An earlier error from this instance says more than our own timeout.
                         if matches!(error, CallError::TimedOut) && reasons.contains_key(address) {
                             continue;
                         }
@@ -228,8 +232,9 @@
                 };
                 reasons.insert(address.clone(), reason);
             }
-            let wait = wait.unwrap_or(ROUND_WAIT).min(MAX_ROUND_WAIT);
-            if Instant::now() + wait >= deadline || reasons.values().all(|why| is_final(why)) {
+            let wait = wait.unwrap_or(RETRY_WAIT).min(MAX_RETRY_WAIT);
+            if Instant::now() + wait >= deadline || reasons.values().all(|reason| is_final(reason))
+            {
                 return Err(NoAnswer {
                     may_have_acted,
                     reasons,
@@ -247,9 +252,11 @@
         deadline: Instant,
     ) -> Result<Result<A::Answer, Unavailable>, CallError> {
         let path = format!("/v1/operator/{call}");
-        let answer = self.client.call::<Q, A>(address, &path, message, CALL_WAIT);
+        let answer = self
+            .client
+            .call::<Q, A>(address, &path, message, CALL_TIMEOUT);
         match timeout_at(deadline, answer).await {
-            Ok(reply) => reply.map(Reply::current),
+            Ok(reply) => reply.map(Reply::into_answer),
             Err(_elapsed) => Err(CallError::TimedOut),
         }
     }
@@ -259,7 +266,7 @@
 const NOT_SERVED: &str =
     "it does not serve this call; it may be older than this client, or no control instance";
 
-/// Returns whether asking again can't help.
+/// Returns whether a retry is pointless.
 fn is_final(reason: &str) -> bool {
     reason == KEY_REFUSED || reason == NOT_SERVED
 }
@@ -277,14 +284,14 @@
     match error {
         CallError::Status(status) if status.as_u16() == 401 => KEY_REFUSED.into(),
         CallError::Status(status) if status.as_u16() == 404 => NOT_SERVED.into(),
-        CallError::NotSent(cause) => format!("no connection: {}", deepest(&**cause)).into(),
-        CallError::Lost(cause) => format!("the connection broke: {}", deepest(&**cause)).into(),
+        CallError::NotSent(cause) => format!("no connection: {}", root_cause(&**cause)).into(),
+        CallError::Lost(cause) => format!("the connection broke: {}", root_cause(&**cause)).into(),
         _ => error.to_string().into(),
     }
 }
 
-/// Returns the first cause of an error, such as a refused connection.
-fn deepest<'e>(mut error: &'e (dyn Error + 'static)) -> &'e (dyn Error + 'static) {
+/// Returns the root cause of an error, such as a refused connection.
+fn root_cause<'e>(mut error: &'e (dyn Error + 'static)) -> &'e (dyn Error + 'static) {
     while let Some(cause) = error.source() {
         error = cause;
     }
@@ -292,10 +299,10 @@
 }
 
 /// Returns whether the instance certainly did not act on the message.
-fn is_refused(error: &CallError) -> bool {
-    let refusals = [400, 401, 404, 413];
+fn was_not_executed(error: &CallError) -> bool {
+    let refusal_statuses = [400, 401, 404, 413];
     match error {
-        CallError::Status(status) => refusals.contains(&status.as_u16()),
+        CallError::Status(status) => refusal_statuses.contains(&status.as_u16()),
         _ => error.is_not_sent(),
     }
 }
--- a/crates/ctl/src/link.rs
+++ b/crates/ctl/src/control_config.rs
@@ -1,4 +1,4 @@
-//! Finds out how to reach control: from the command line, or else from the environment.
+//! Addresses and key for control, from the command line or else from the environment.
 
 use std::path::Path;
 use std::time::Duration;
@@ -8,56 +8,56 @@
 
 use crate::Environment;
 use crate::args::Globals;
+use crate::control_client::ControlClient;
 use crate::failure::Failure;
-use crate::fleet::Fleet;
 
-/// Time for a command's answer; an election takes one second or two, and 15 s outlast several.
+/// Default time limit of a command; an election takes one or two seconds, so 15 s cover several.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Time to wait for a version; changes are in force within 7 s, and a minute outlasts the restart of an instance.
+/// Default wait for a version; changes are in force within 7 s, and a minute also covers the restart of an instance.
 const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Holds where control is, and the operator's key; neither is checked before a command needs it.
+/// The control addresses and the operator's key file. Neither is checked until a command needs it.
 #[derive(Debug)]
-pub(crate) struct Link {
+pub(crate) struct ControlConfig {
     control: Option<String>,
     key_file: Option<String>,
     timeout: Option<Duration>,
 }
 
-impl Link {
-    pub(crate) fn of(globals: &Globals, environment: &Environment) -> Self {
-        let given = |flag: &Option<String>, fallback: &Option<String>| {
+impl ControlConfig {
+    pub(crate) fn resolve(globals: &Globals, environment: &Environment) -> Self {
+        let flag_or_env = |flag: &Option<String>, fallback: &Option<String>| {
             flag.clone().or_else(|| fallback.clone())
         };
         Self {
-            control: given(&globals.control, &environment.control),
-            key_file: given(&globals.operator_key, &environment.key_file),
+            control: flag_or_env(&globals.control, &environment.control),
+            key_file: flag_or_env(&globals.operator_key, &environment.key_file),
             timeout: globals.timeout,
         }
     }
 
-    /// Returns whether control was named.
-    pub(crate) fn is_known(&self) -> bool {
+    /// Returns whether control addresses were given.
+    pub(crate) fn is_given(&self) -> bool {
         self.control.is_some()
     }
 
-    /// Returns the time for one answer.
+    /// Returns the time limit of a call to control.
     pub(crate) fn answer_timeout(&self) -> Duration {
         self.timeout.unwrap_or(ANSWER_TIMEOUT)
     }
 
-    /// Returns the time to wait for the fleet.
+    /// Returns how long to wait for the fleet to reach a state.
     pub(crate) fn wait_timeout(&self) -> Duration {
         self.timeout.unwrap_or(WAIT_TIMEOUT)
     }
 
-    /// Reads the key and returns the way to control; no connection is made yet.
+    /// Reads the key and returns a client for control; no connection is opened yet.
     ///
     /// # Errors
     ///
     /// Returns a failure that says which flag is missing, or what is wrong with the key file.
-    pub(crate) fn open(&self) -> Result<Fleet, Failure> {
+    pub(crate) fn client(&self) -> Result<ControlClient, Failure> {
         let Some(control) = &self.control else {
             return Err(Failure::invalid(
                 "where is control? give --control ADDRESS[,ADDRESS], or set SEQUOIACTL_CONTROL",
@@ -69,17 +69,21 @@
             .filter(|address| !address.is_empty())
             .map(Box::from)
             .collect();
-        if let Some(wrong) = addresses.iter().find(|address| !has_port(address)) {
+        if let Some(invalid) = addresses.iter().find(|address| !has_port(address)) {
             return Err(Failure::invalid(format!(
-                "--control {wrong} is no address; allowed is HOST:PORT, as in 10.0.0.1:7000"
+                "--control {invalid} is not an address; allowed is HOST:PORT, as in 10.0.0.1:7000"
             )));
         }
         if addresses.is_empty() {
             return Err(Failure::invalid(
-                "--control names no address; allowed is HOST:PORT[,HOST:PORT]",
+                "--control contains no address; allowed is HOST:PORT[,HOST:PORT]",
             ));
         }
-        Ok(Fleet::new(addresses, self.key()?, self.answer_timeout()))
+        Ok(ControlClient::new(
+            addresses,
+            self.key()?,
+            self.answer_timeout(),
+        ))
     }
 
     fn key(&self) -> Result<ClusterKey, Failure> {
--- a/crates/ctl/src/difference.rs
+++ b/crates/ctl/src/difference.rs
@@ -1,4 +1,4 @@
-//! Compares two states of the operators' folder: files, and effective values with their origin.
+//! Differences between two states of the operators' folder: files, and effective values with their origin.
 
 use std::fmt::{self, Display};
 
@@ -8,12 +8,12 @@
 use serde_json::Value;
 use similar::TextDiff;
 
-use crate::values::{Values, text, values};
+use crate::values::{Values, format_value, values};
 
-/// Lines that a text diff shows around a change.
+/// Unchanged lines that a text diff shows around a change.
 const CONTEXT_LINES: usize = 2;
 
-/// Says what became of a file.
+/// How a file differs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum FileChange {
@@ -22,7 +22,7 @@
     Removed,
 }
 
-/// Describes one file that differs.
+/// A file that differs.
 #[derive(Debug, Serialize)]
 pub(crate) struct FileDifference {
     pub(crate) name: Box<str>,
@@ -30,22 +30,22 @@
     diff: String,
 }
 
-/// Holds a value with the place that sets it; a default has no place.
+/// A value with the file and line that set it; a default has no origin.
 #[derive(Debug, PartialEq, Serialize)]
-struct Placed {
+struct ValueWithOrigin {
     value: Value,
     origin: Option<String>,
 }
 
-/// Describes one effective value that differs.
+/// An effective value that differs.
 #[derive(Debug, Serialize)]
 pub(crate) struct ValueDifference {
     path: String,
-    old: Option<Placed>,
-    new: Option<Placed>,
+    old: Option<ValueWithOrigin>,
+    new: Option<ValueWithOrigin>,
 }
 
-/// Holds all differences.
+/// All differences between two states of a folder.
 #[derive(Debug, Serialize)]
 pub(crate) struct Difference {
     pub(crate) files: Vec<FileDifference>,
@@ -53,7 +53,7 @@
 }
 
 impl Difference {
-    /// Compares two states whose configurations are known.
+    /// Compares two states, each given as its files and its effective configuration.
     pub(crate) fn between(
         old: (&[ConfigFile], &Effective),
         new: (&[ConfigFile], &Effective),
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Returns whether the files are the same.
+    /// Returns whether no file differs.
     pub(crate) fn is_empty(&self) -> bool {
         self.files.is_empty()
     }
@@ -116,16 +116,20 @@
     changed
         .map(|path| ValueDifference {
             path: path.clone(),
-            old: placed(old, &old_values, path),
-            new: placed(new, &new_values, path),
+            old: value_with_origin(old, &old_values, path),
+            new: value_with_origin(new, &new_values, path),
         })
         .collect()
 }
 
-fn placed(effective: &Effective, values: &Values, path: &str) -> Option<Placed> {
+fn value_with_origin(
+    effective: &Effective,
+    values: &Values,
+    path: &str,
+) -> Option<ValueWithOrigin> {
     let value = values.get(path)?.clone();
     let origin = effective.origin(path);
-    Some(Placed {
+    Some(ValueWithOrigin {
         value,
         origin: origin.map(|origin| format!("{}:{}", origin.file, origin.line)),
     })
@@ -163,11 +167,11 @@
 
 impl Display for ValueDifference {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let show = |placed: &Option<Placed>| match placed {
+        let show = |value_with_origin: &Option<ValueWithOrigin>| match value_with_origin {
             None => "nothing".to_owned(),
-            Some(Placed { value, origin }) => {
+            Some(ValueWithOrigin { value, origin }) => {
                 let origin = origin.as_deref().unwrap_or("default");
-                format!("{} ({origin})", text(&self.path, value))
+                format!("{} ({origin})", format_value(&self.path, value))
             }
         };
         write!(
--- a/crates/ctl/src/exit.rs
+++ b/crates/ctl/src/exit.rs
@@ -1,22 +1,22 @@
-//! Numbers the ways in which a command ends.
+//! Exit codes.
 
 use std::process::ExitCode;
 
-/// Says how a command ended; the numbers are stable, so that scripts may read them.
+/// The exit code of a command. The numbers are stable, so that scripts may rely on them.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[repr(u8)]
 pub enum Exit {
-    /// The command did what it was asked.
+    /// The command succeeded.
     Ok = 0,
-    /// A file, a network address or the fleet's answer was not usable.
+    /// A file, a network address or the fleet's answer could not be used.
     Failed = 1,
     /// The command line or the folder is not valid; nothing was changed.
     Invalid = 2,
-    /// Another operator's change won.
+    /// Another operator's change was accepted first.
     Conflict = 3,
     /// No control instance gave a current answer in time.
     Unavailable = 4,
-    /// The fleet was not where the command waited for it in time.
+    /// The fleet did not reach the awaited state in time.
     TimedOut = 5,
 }
 
--- a/crates/ctl/src/failure.rs
+++ b/crates/ctl/src/failure.rs
@@ -1,4 +1,4 @@
-//! Says why a command did not do what it was asked.
+//! The reason why a command failed.
 
 use std::error::Error;
 use std::fmt::{self, Display};
@@ -8,7 +8,7 @@
 
 use crate::exit::Exit;
 
-/// Holds the exit code, a message for the operator, and the problems of the files if there are any.
+/// A failure of a command: the exit code, a message for the operator, and the problems in the files, if any.
 #[derive(Debug)]
 pub(crate) struct Failure {
     exit: Exit,
@@ -17,27 +17,27 @@
 }
 
 impl Failure {
-    /// Words a failure of a file, an address or an answer.
+    /// Creates a failure caused by a file, an address or an answer.
     pub(crate) fn failed(message: impl Into<Box<str>>) -> Self {
         Self::new(Exit::Failed, message)
     }
 
-    /// Words a mistake in the command line or in the folder.
+    /// Creates a failure caused by an invalid command line or folder.
     pub(crate) fn invalid(message: impl Into<Box<str>>) -> Self {
         Self::new(Exit::Invalid, message)
     }
 
-    /// Words that control gave no current answer.
+    /// Creates a failure because control gave no current answer.
     pub(crate) fn unavailable(message: impl Into<Box<str>>) -> Self {
         Self::new(Exit::Unavailable, message)
     }
 
-    /// Words that the fleet was not there in time.
+    /// Creates a failure because the fleet did not reach the awaited state in time.
     pub(crate) fn timed_out(message: impl Into<Box<str>>) -> Self {
         Self::new(Exit::TimedOut, message)
     }
 
-    /// Words the problems of the files.
+    /// Creates a failure with the problems found in the files.
     pub(crate) fn problems(message: impl Into<Box<str>>, problems: Vec<ConfigProblem>) -> Self {
         Self {
             problems,
@@ -58,7 +58,7 @@
         self.exit
     }
 
-    /// Returns the JSON form.
+    /// Returns the failure as JSON.
     pub(crate) fn json(&self) -> serde_json::Value {
         serde_json::json!({
             "error": {
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,23 +1,23 @@
-//! Checks, compares and applies the operators' folder, and shows what a fleet does.
+//! Command line client that checks, compares and applies the operators' configuration folder, and shows the state of a fleet.
 //!
-//! The program is a thin `main` around [`run`], so that tests call every command with their own streams and control.
+//! The binary is a thin `main` around [`run`], so that tests can run every command with their own streams and control instances.
 
 mod args;
 mod commands;
 mod conflict;
+mod control_client;
+mod control_config;
 mod difference;
 mod exit;
 mod failure;
-mod fleet;
-mod link;
-mod local;
+mod format;
+mod local_folder;
 mod logs;
 mod output;
 mod scrape;
 mod shares;
-mod show;
 mod stages;
-mod story;
+mod timeline;
 mod values;
 
 use gumdrop::{Options, ParsingStyle};
@@ -28,12 +28,12 @@
 use output::Output;
 pub use output::Streams;
 
-/// Holds what is read of the process's environment.
+/// Settings from environment variables.
 #[derive(Clone, Debug, Default)]
 pub struct Environment {
-    /// Value of `SEQUOIACTL_CONTROL`, used when `--control` is left out.
+    /// Value of `SEQUOIACTL_CONTROL`, used without `--control`.
     pub control: Option<String>,
-    /// Value of `SEQUOIACTL_KEY_FILE`, used when `--operator-key` is left out.
+    /// Value of `SEQUOIACTL_KEY_FILE`, used without `--operator-key`.
     pub key_file: Option<String>,
 }
 
@@ -49,10 +49,10 @@
     }
 }
 
-/// Runs one command line, without the program's name, and returns how it ended.
+/// Runs one command line, given without the program's name, and returns its exit code.
 pub async fn run(args: &[String], environment: &Environment, streams: &mut Streams<'_>) -> Exit {
-    let args = args::hoist(args);
-    // A mistake in the command line is answered in the form that was asked for, so this flag is looked up before the rest.
+    let args = args::hoist_global_flags(args);
+    // Looked up before parsing, so that parse errors are also printed as JSON.
     let is_json = args.iter().any(|arg| arg == "--json");
     let mut output = Output::new(streams, is_json);
     let parsed = match Arguments::parse_args(&args, ParsingStyle::AllOptions) {
@@ -68,7 +68,7 @@
         output.print(&args::help(&parsed));
         return Exit::Ok;
     }
-    match start(parsed, environment, &mut output).await {
+    match run_command(parsed, environment, &mut output).await {
         Ok(exit) => exit,
         Err(failure) => {
             output.fail(&failure);
@@ -77,34 +77,34 @@
     }
 }
 
-async fn start(
+async fn run_command(
     parsed: Arguments,
     environment: &Environment,
     output: &mut Output<'_, '_>,
 ) -> Result<Exit, Failure> {
-    let link = link::Link::of(&parsed.globals(), environment);
+    let control = control_config::ControlConfig::resolve(&parsed.globals(), environment);
     let Some(command) = parsed.command else {
         let message = "which command? `sequoiactl --help` lists them";
         return Err(Failure::invalid(message));
     };
     match command {
         Command::Check(options) => commands::check::run(&options, output),
-        Command::Diff(options) => commands::diff::run(&options, &link, output).await,
-        Command::Apply(options) => commands::apply::run(&options, &link, output).await,
-        Command::Pull(options) => commands::pull::run(&options, &link, output).await,
-        Command::Rollback(options) => commands::rollback::run(&options, &link, output).await,
-        Command::Status(options) => commands::status::run(&options, &link, output).await,
-        Command::Wait(options) => commands::wait::run(&options, &link, output).await,
-        Command::History(options) => commands::history::run(&options, &link, output).await,
-        Command::Drain(options) => commands::drain::drain(&options, &link, output).await,
-        Command::Undrain(options) => commands::drain::undrain(&options, &link, output).await,
+        Command::Diff(options) => commands::diff::run(&options, &control, output).await,
+        Command::Apply(options) => commands::apply::run(&options, &control, output).await,
+        Command::Pull(options) => commands::pull::run(&options, &control, output).await,
+        Command::Rollback(options) => commands::rollback::run(&options, &control, output).await,
+        Command::Status(options) => commands::status::run(&options, &control, output).await,
+        Command::Wait(options) => commands::wait::run(&options, &control, output).await,
+        Command::History(options) => commands::history::run(&options, &control, output).await,
+        Command::Drain(options) => commands::drain::drain(&options, &control, output).await,
+        Command::Undrain(options) => commands::drain::undrain(&options, &control, output).await,
         Command::RemoveControl(options) => {
-            commands::remove_control::run(&options, &link, output).await
+            commands::remove_control::run(&options, &control, output).await
         }
-        Command::Suspects(options) => commands::suspects::run(&options, &link, output).await,
-        Command::Orders(options) => commands::orders::run(options, &link, output).await,
-        Command::Upgrade(options) => commands::upgrade::run(&options, &link, output).await,
-        Command::Report(options) => commands::report::run(options, &link, output).await,
+        Command::Suspects(options) => commands::suspects::run(&options, &control, output).await,
+        Command::Orders(options) => commands::orders::run(options, &control, output).await,
+        Command::Upgrade(options) => commands::upgrade::run(&options, &control, output).await,
+        Command::Report(options) => commands::report::run(options, &control, output).await,
         Command::Explain(options) => commands::explain::run(&options, output),
         Command::Shares(options) => commands::shares::run(&options, output),
     }
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs the operators' client.
+//! Entry point of `sequoiactl`.
 
 use std::process::ExitCode;
 
@@ -15,7 +15,9 @@
     let exit = match runtime {
         Ok(runtime) => runtime.block_on(run(&args, &environment, &mut streams)),
         Err(error) => {
-            streams.note(&format!("sequoiactl: the system gives no runtime: {error}"));
+            streams.note(&format!(
+                "sequoiactl: can't start the async runtime: {error}"
+            ));
             Exit::Failed
         }
     };
--- a/crates/ctl/src/output.rs
+++ b/crates/ctl/src/output.rs
@@ -1,4 +1,4 @@
-//! Writes answers to one stream and notes to another.
+//! Output of answers to one stream, and of progress and errors to another.
 
 use std::fmt::Display;
 use std::io::Write;
@@ -7,7 +7,7 @@
 
 use crate::failure::Failure;
 
-/// Holds the two streams of a command.
+/// The two output streams of a command.
 pub struct Streams<'w> {
     out: &'w mut dyn Write,
     notes: &'w mut dyn Write,
@@ -20,24 +20,24 @@
 }
 
 impl<'w> Streams<'w> {
-    /// Returns streams for answers and for notes, such as standard output and standard error.
+    /// Creates streams for answers and for notes, such as standard output and standard error.
     #[must_use]
     pub fn new(out: &'w mut dyn Write, notes: &'w mut dyn Write) -> Self {
         Self { out, notes }
     }
 
-    /// Writes an answer; a reader that is gone, such as `head`, ends the program's use and is no error.
+    /// Writes an answer. A write error is ignored: the reader has gone away, such as `head`, and needs no more output.
     pub fn print(&mut self, text: &str) {
         let _reader_gone = writeln!(self.out, "{text}").and_then(|()| self.out.flush());
     }
 
-    /// Writes a note.
+    /// Writes a note. A write error is ignored, as in [`Self::print`].
     pub fn note(&mut self, text: &str) {
         let _reader_gone = writeln!(self.notes, "{text}").and_then(|()| self.notes.flush());
     }
 }
 
-/// Writes answers as text or as JSON.
+/// Writer of answers, as text or as JSON.
 pub(crate) struct Output<'s, 'w> {
     streams: &'s mut Streams<'w>,
     is_json: bool,
@@ -55,22 +55,22 @@
             return Ok(());
         }
         let text = serde_json::to_string_pretty(answer)
-            .map_err(|error| Failure::failed(format!("the answer has no JSON form: {error}")))?;
+            .map_err(|error| Failure::failed(format!("can't write the answer as JSON: {error}")))?;
         self.streams.print(&text);
         Ok(())
     }
 
-    /// Writes text as it is.
+    /// Writes text unchanged.
     pub(crate) fn print(&mut self, text: &str) {
         self.streams.print(text);
     }
 
-    /// Writes progress, which is no part of the answer.
+    /// Writes a progress note, which is not part of the answer.
     pub(crate) fn note(&mut self, text: &str) {
         self.streams.note(text);
     }
 
-    /// Writes a failure: as a note, and with `--json` as the answer too.
+    /// Writes a failure as a note, and with `--json` as the answer too.
     pub(crate) fn fail(&mut self, failure: &Failure) {
         self.streams.note(&failure.to_string());
         if self.is_json {
--- a/crates/ctl/src/scrape.rs
+++ b/crates/ctl/src/scrape.rs
@@ -1,4 +1,4 @@
-//! Collects the metrics pages of instances.
+//! Scraping of the metrics pages of instances.
 
 use std::error::Error;
 use std::time::Duration;
@@ -14,28 +14,28 @@
 
 use crate::failure::Failure;
 
-/// Longest wait for a page; an instance that takes longer is as good as silent.
+/// Time limit for a page; an instance that takes longer is recorded as missing.
 const PAGE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Longest page, in bytes; one with the most team labels is below 1 MB.
+/// Largest page accepted, in bytes; a page with the most team labels is below 1 MB.
 const MAX_PAGE_BYTES: usize = 16 << 20;
 
-/// Start of the names that reports are made from; the rest of a page would only make the file longer.
-const PREFIX: &str = "hinge_";
+/// Prefix of the metrics that reports use; other metrics are dropped to keep the samples file short.
+const METRIC_PREFIX: &str = "hinge_";
 
-/// Names an instance and the address of its metrics page.
+/// An instance and the address of its metrics page.
 #[derive(Clone, Debug)]
-pub(crate) struct Target {
+pub(crate) struct ScrapeTarget {
     instance: Box<str>,
     address: Box<str>,
 }
 
-/// Reads `NAME=ADDRESS[,NAME=ADDRESS]`.
+/// Parses `NAME=ADDRESS[,NAME=ADDRESS]`.
 ///
 /// # Errors
 ///
-/// Returns a failure that names the part that can't be read.
-pub(crate) fn targets(text: &str) -> Result<Vec<Target>, Failure> {
+/// Returns a failure that names the part that can't be parsed.
+pub(crate) fn parse_targets(text: &str) -> Result<Vec<ScrapeTarget>, Failure> {
     let parts = text.split(',').map(str::trim);
     let parts = parts.filter(|part| !part.is_empty());
     parts
@@ -45,7 +45,7 @@
                     "--scrape {part} has no name; allowed is NAME=HOST:PORT, as in entry-a=10.0.0.1:9090"
                 ))
             })?;
-            Ok(Target {
+            Ok(ScrapeTarget {
                 instance: instance.into(),
                 address: address.into(),
             })
@@ -53,7 +53,7 @@
         .collect()
 }
 
-/// Holds connections to the pages.
+/// HTTP client for metrics pages.
 #[derive(Clone, Debug)]
 pub(crate) struct Scraper {
     client: Client<HttpConnector, Empty<Bytes>>,
@@ -66,27 +66,27 @@
         }
     }
 
-    /// Asks every target at once; an instance without a page becomes a record too.
-    pub(crate) async fn round(&self, targets: &[Target], at_ms: u64) -> Vec<Record> {
+    /// Scrapes all targets concurrently; an instance without a page is recorded as missing.
+    pub(crate) async fn scrape_all(&self, targets: &[ScrapeTarget], at_ms: u64) -> Vec<Record> {
         let mut tasks = JoinSet::new();
         for target in targets {
             let (scraper, target) = (self.clone(), target.clone());
-            tasks.spawn(async move { scraper.record(target, at_ms).await });
+            tasks.spawn(async move { scraper.scrape(target, at_ms).await });
         }
         let mut records = tasks.join_all().await;
-        records.sort_by_key(|record| instance(record).to_owned());
+        records.sort_by_key(|scrape| instance(scrape).to_owned());
         records
     }
 
-    async fn record(&self, target: Target, at_ms: u64) -> Record {
-        let page = match timeout(PAGE_TIMEOUT, self.page(&target.address)).await {
-            Ok(page) => page,
+    async fn scrape(&self, target: ScrapeTarget, at_ms: u64) -> Record {
+        let fetch_page = match timeout(PAGE_TIMEOUT, self.fetch_page(&target.address)).await {
+            Ok(fetch_page) => fetch_page,
             Err(_elapsed) => Err("no answer in time".into()),
         };
-        let samples = page.and_then(|page| parse(&page).map_err(Into::into));
+        let samples = fetch_page.and_then(|fetch_page| parse(&fetch_page).map_err(Into::into));
         match samples {
             Ok(mut samples) => {
-                samples.retain(|sample| sample.series.name.starts_with(PREFIX));
+                samples.retain(|sample| sample.series.name.starts_with(METRIC_PREFIX));
                 Record::Scrape(Scrape {
                     at_ms,
                     instance: target.instance,
@@ -101,7 +101,7 @@
         }
     }
 
-    async fn page(&self, address: &str) -> Result<String, Box<dyn Error + Send + Sync>> {
+    async fn fetch_page(&self, address: &str) -> Result<String, Box<dyn Error + Send + Sync>> {
         let uri = format!("http://{address}/metrics").parse()?;
         let response = self.client.get(uri).await?;
         if !response.status().is_success() {
@@ -113,9 +113,9 @@
     }
 }
 
-/// Returns the instance that a record speaks of.
-fn instance(record: &Record) -> &str {
-    match record {
+/// Returns the instance that a record is about.
+fn instance(scrape: &Record) -> &str {
+    match scrape {
         Record::Scrape(scrape) => &scrape.instance,
         Record::Missing(missing) => &missing.instance,
         Record::Slots(_) => "",
--- a/crates/ctl/src/shares.rs
+++ b/crates/ctl/src/shares.rs
@@ -1,4 +1,4 @@
-//! Adds up, out of logs, what the engines gave to each team, and how busy they were.
+//! Sums up from logs the service that each team received, and the load of the engines.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,15 +7,15 @@
 use serde::Serialize;
 
 use crate::logs::{ENGINE, GRANTED, LOAD, REFUSED, REQUEST_ENDED, read_lines};
-use crate::stages::{DoorEvent, Event, StageTable, events_of_request};
+use crate::stages::{ConnectionEvent, StageEvent, StageTable, request_events};
 
-/// Time over which the service of teams is compared; shares are owed over some four seconds.
+/// Length of the windows in which the service of teams is compared; shares hold over about four seconds.
 const WINDOW: Duration = Duration::from_secs(4);
 
-/// Weight of a generated token against a read one, as the admissions count service.
+/// Weight of a generated token relative to a prompt token, as in the service counts of admissions.
 const ANSWER_WEIGHT: u64 = 2;
 
-/// Holds what one team had, in tokens of service.
+/// Requests granted and refused to one team, with their tokens of service.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(crate) struct TeamShare {
     pub(crate) granted: u64,
@@ -24,60 +24,61 @@
     pub(crate) refused_tokens: u64,
 }
 
-/// Holds how busy one engine was.
+/// Load of one engine.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(crate) struct EngineUse {
-    /// Looks at the engine, one a second.
-    pub(crate) looks: u64,
-    /// Looks in which it ran a request.
+    /// Samples of the engine, one a second.
+    #[serde(rename = "looks")]
+    pub(crate) samples: u64,
+    /// Samples in which it ran a request.
     pub(crate) busy: u64,
-    /// Looks in which prompts waited to be read.
+    /// Samples in which it had prompt tokens left to read.
     pub(crate) reading: u64,
 }
 
-/// Holds the widest gap in service between two backlogged teams of one window.
+/// The widest gap in service between two backlogged teams in one window.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Gap {
-    /// Seconds from the first decision to the window's start.
+    /// Start of the window, in seconds from the first decision.
     pub(crate) from_s: u64,
     pub(crate) tokens: u64,
     pub(crate) most: Box<str>,
     pub(crate) least: Box<str>,
 }
 
-/// Holds what the logs tell.
+/// Service and load found in the logs.
 #[derive(Debug, Default, Serialize)]
 pub(crate) struct Shares {
     pub(crate) teams: BTreeMap<Box<str>, TeamShare>,
     pub(crate) engines: BTreeMap<Box<str>, EngineUse>,
-    /// One for each window with two backlogged teams or more, in order.
+    /// One gap for each window with at least two backlogged teams, in order.
     pub(crate) gaps: Vec<Gap>,
 }
 
 #[derive(Default)]
 struct Window {
     granted_tokens: BTreeMap<Box<str>, u64>,
-    /// Teams of which an ask was refused.
+    /// Teams with a refused request.
     backlogged: BTreeSet<Box<str>>,
 }
 
-/// Adds up logs, each with the name of its process: what the engines gave, and what became of each team's requests.
-pub(crate) fn add_up(logs: &[(Box<str>, String)]) -> (Shares, StageTable) {
+/// Sums up logs, each given with the name of its process, into the service of teams and the stages of their requests.
+pub(crate) fn sum_up(logs: &[(Box<str>, String)]) -> (Shares, StageTable) {
     let mut shares = Shares::default();
     let mut decisions = Vec::new();
     let mut events = Vec::new();
-    let mut doors = Vec::new();
+    let mut connection_events = Vec::new();
     for logged in read_lines(logs) {
         let line = &logged.line;
         match &*line.sentence {
-            GRANTED | REFUSED => decisions.extend(Decision::read(line)),
-            ENGINE => note_engine(&mut shares, &logged.process, line),
-            REQUEST_ENDED => events.extend(events_of_request(line, &logged.process)),
-            LOAD => doors.extend(DoorEvent::read(line, &logged.process)),
+            GRANTED | REFUSED => decisions.extend(AdmissionDecision::read(line)),
+            ENGINE => count_engine_sample(&mut shares, &logged.process, line),
+            REQUEST_ENDED => events.extend(request_events(line, &logged.process)),
+            LOAD => connection_events.extend(ConnectionEvent::read(line, &logged.process)),
             _ => {}
         }
     }
-    events.extend(decisions.iter().filter_map(Event::of_decision));
+    events.extend(decisions.iter().filter_map(StageEvent::from_decision));
     decisions.sort_by_key(|decision| decision.at);
     shares.gaps = gaps(&decisions);
     for decision in decisions {
@@ -90,18 +91,18 @@
             share.refused_tokens += decision.tokens;
         }
     }
-    (shares, StageTable::of(&events, doors))
+    (shares, StageTable::of(&events, connection_events))
 }
 
-/// Holds what an admission decided on an ask.
-pub(crate) struct Decision {
+/// Decision of an admission on a request.
+pub(crate) struct AdmissionDecision {
     pub(crate) at: Duration,
     pub(crate) team: Box<str>,
     pub(crate) tokens: u64,
     pub(crate) is_granted: bool,
 }
 
-impl Decision {
+impl AdmissionDecision {
     fn read(line: &Line) -> Option<Self> {
         Some(Self {
             at: unix_time(line)?,
@@ -112,31 +113,31 @@
     }
 }
 
-/// Returns when a line was written, since 1970.
+/// Returns the timestamp of a line, as time since the Unix epoch.
 pub(crate) fn unix_time(line: &Line) -> Option<Duration> {
     let time = humantime::parse_rfc3339(&line.time).ok()?;
     time.duration_since(std::time::UNIX_EPOCH).ok()
 }
 
-/// Returns what a request counts for, in tokens of service.
+/// Returns the tokens of service that a request counts for.
 pub(crate) fn service_tokens(line: &Line) -> u64 {
     number(line, "prompt_tokens") + number(line, "answer_tokens") * ANSWER_WEIGHT
 }
 
-/// Returns the number under a key; 0 where there is none.
+/// Returns the number under a key, or 0 without one.
 pub(crate) fn number(line: &Line, key: &str) -> u64 {
     let value = line.get(key).and_then(|value| value.parse().ok());
     value.unwrap_or_default()
 }
 
-fn note_engine(shares: &mut Shares, process: &str, line: &Line) {
+fn count_engine_sample(shares: &mut Shares, process: &str, line: &Line) {
     let engine = shares.engines.entry(process.into()).or_default();
-    engine.looks += 1;
+    engine.samples += 1;
     engine.busy += u64::from(number(line, "active") > 0);
     engine.reading += u64::from(number(line, "unread_tokens") > 0);
 }
 
-fn gaps(decisions: &[Decision]) -> Vec<Gap> {
+fn gaps(decisions: &[AdmissionDecision]) -> Vec<Gap> {
     let Some(first) = decisions.first() else {
         return Vec::new();
     };
@@ -168,18 +169,18 @@
 }
 
 impl Shares {
-    /// Returns the median and the widest gap; none where no two teams were backlogged at once.
+    /// Returns the median and the widest gap; none when no two teams were backlogged in the same window.
     pub(crate) fn median_and_widest(&self) -> Option<(&Gap, &Gap)> {
         let mut gaps: Vec<&Gap> = self.gaps.iter().collect();
         gaps.sort_by_key(|gap| gap.tokens);
         Some((gaps.get(gaps.len() / 2)?, gaps.last()?))
     }
 
-    /// Returns the parts of the looks at all engines in which they ran a request, and had prompts to read, in thousandths.
+    /// Returns in thousandths the parts of all engine samples with a running request, and with prompt tokens left to read.
     pub(crate) fn busy_and_reading_permille(&self) -> Option<(u64, u64)> {
         let sum = |part: fn(&EngineUse) -> u64| self.engines.values().map(part).sum::<u64>();
-        let looks = sum(|engine| engine.looks);
-        let permille = |part: u64| (part * 1000).checked_div(looks);
+        let samples = sum(|engine| engine.samples);
+        let permille = |part: u64| (part * 1000).checked_div(samples);
         Some((
             permille(sum(|engine| engine.busy))?,
             permille(sum(|engine| engine.reading))?,
--- a/crates/ctl/src/stages.rs
+++ b/crates/ctl/src/stages.rs
@@ -1,7 +1,7 @@
-//! Counts, out of logs, at which stage each team's requests to the engines were lost, second by second.
+//! Counts from logs at which stage each team's requests to the engines were lost, second by second.
 //!
-//! An admission's word covers what was asked of it. What a gateway turned away before, and what was granted and never began, shows in the
-//! gateways' lines of the requests' ends only.
+//! Admissions only log the requests that reached them. Requests that a gateway rejected earlier, and requests that were granted
+//! but never began, appear only in the lines that gateways log at the end of requests.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,76 +9,77 @@
 use hinge_telemetry::parse::Line;
 use serde::Serialize;
 
-use crate::shares::{Decision, number, service_tokens, unix_time};
+use crate::shares::{AdmissionDecision, number, service_tokens, unix_time};
 
-/// Seconds over which the service of teams is compared.
+/// Length of the windows in which the service of teams is compared, in seconds.
 const WINDOW_S: u64 = 6;
 
-/// Part of what it could have had below which a team is short, as a divisor.
+/// A team is short when it got less than what it could have had, divided by this.
 const SHORT_DIVISOR: u64 = 2;
 
-/// Largest requests of a team that don't count when it is compared.
+/// Tolerance in the comparison, in requests of a team's largest size.
 const SLACK_REQUESTS: u64 = 3;
 
-/// Time over which a gateway counts connections; its line stands at the end of it.
-const COUNTED_OVER: Duration = Duration::from_secs(1);
+/// Time over which a gateway counts connections; it logs the count at the end.
+const COUNT_PERIOD: Duration = Duration::from_secs(1);
 
-/// Outcome of a request that a gateway had no room for.
+/// Outcome of a request that an overloaded gateway rejected.
 const OVERLOADED: &str = "overloaded";
 
-/// Holds what became of one team's requests in one second, in tokens of service.
+/// Tokens of service that one team's requests had at each stage in one second.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
 #[expect(clippy::struct_field_names, reason = "fields carry their unit")]
-pub(crate) struct Stages {
+pub(crate) struct StageTokens {
     /// Arrived at gateways.
     pub(crate) asked_tokens: u64,
-    /// Turned away by a gateway that had no room.
+    /// Rejected by an overloaded gateway.
     pub(crate) overloaded_tokens: u64,
-    /// Ended without a first piece for any other reason: refused by admissions, failed, or left by the caller.
+    /// Ended before the first part of an answer for any other reason: refused by admissions, failed, or cancelled by the caller.
     pub(crate) not_run_tokens: u64,
     /// Granted by admissions.
     pub(crate) granted_tokens: u64,
-    /// Begun, by the first piece of the answer.
+    /// Begun, counted at the first part of the answer.
     pub(crate) begun_tokens: u64,
 }
 
-/// Holds a team that had far less than its share while it waited.
+/// A team that got far less than its share while it had requests waiting.
 #[derive(Clone, Debug, Serialize)]
-pub(crate) struct Short {
-    /// Seconds from the first line to the window's start.
+pub(crate) struct ShortTeam {
+    /// Start of the window, in seconds from the first line.
     pub(crate) from_s: u64,
     pub(crate) team: Box<str>,
-    /// What became of its requests in the window.
-    pub(crate) stages: Stages,
+    /// Its tokens at each stage in the window.
+    pub(crate) stages: StageTokens,
+    /// The team with the most service in the window.
     pub(crate) best: Box<str>,
     pub(crate) best_begun_tokens: u64,
 }
 
-/// Holds how a gateway took connections in one second in which it turned something away.
+/// Connections that a gateway accepted in one second in which it rejected work.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
-pub(crate) struct Door {
+pub(crate) struct ConnectionCount {
     pub(crate) connections: u64,
-    /// Time for which it did not listen; attempts in it are in no line.
+    /// Time in which it did not listen; connection attempts in that time are not logged.
     pub(crate) shut_ms: u64,
 }
 
-/// Holds the stages of each team in each second from the first line on.
+/// Tokens at each stage by team and second, counted from the first line.
 #[derive(Debug, Default)]
 pub(crate) struct StageTable {
-    teams: BTreeMap<Box<str>, Team>,
-    doors: BTreeMap<(u64, Box<str>), Door>,
+    teams: BTreeMap<Box<str>, TeamStages>,
+    connection_counts: BTreeMap<(u64, Box<str>), ConnectionCount>,
 }
 
 #[derive(Debug, Default)]
-struct Team {
-    seconds: BTreeMap<u64, Stages>,
-    /// The same by second and gateway; grants are no gateway's.
-    gateways: BTreeMap<(u64, Box<str>), Stages>,
-    largest_tokens: u64,
+struct TeamStages {
+    seconds: BTreeMap<u64, StageTokens>,
+    /// The same by second and gateway, without grants, which admissions log.
+    gateways: BTreeMap<(u64, Box<str>), StageTokens>,
+    largest_request_tokens: u64,
 }
 
-impl Stages {
-    fn add(&mut self, event: &Event) {
+impl StageTokens {
+    fn add(&mut self, event: &StageEvent) {
         *match event.stage {
             Stage::Asked => &mut self.asked_tokens,
             Stage::Overloaded => &mut self.overloaded_tokens,
@@ -98,62 +99,69 @@
 }
 
 impl StageTable {
-    /// Sorts events, in any order, by team and second.
-    pub(crate) fn of(events: &[Event], doors: Vec<DoorEvent>) -> Self {
+    /// Creates a table by team and second from events in any order.
+    pub(crate) fn of(events: &[StageEvent], connection_counts: Vec<ConnectionEvent>) -> Self {
         let mut table = Self::default();
         let first = events.iter().map(|event| event.at).min();
         let first = first.unwrap_or_default();
         for event in events {
             table.add(event, first);
         }
-        for DoorEvent { at, gateway, door } in doors {
+        for ConnectionEvent { at, gateway, count } in connection_counts {
             let second = at.saturating_sub(first).as_secs();
-            table.doors.insert((second, gateway), door);
+            table.connection_counts.insert((second, gateway), count);
         }
         table
     }
 
-    fn add(&mut self, event: &Event, first: Duration) {
+    fn add(&mut self, event: &StageEvent, first: Duration) {
         let second = event.at.saturating_sub(first).as_secs();
         let team = self.teams.entry(event.team.clone()).or_default();
-        team.largest_tokens = team.largest_tokens.max(event.tokens);
+        team.largest_request_tokens = team.largest_request_tokens.max(event.tokens);
         team.seconds.entry(second).or_default().add(event);
         if let Some(gateway) = &event.gateway {
-            let place = (second, gateway.clone());
-            team.gateways.entry(place).or_default().add(event);
+            let key = (second, gateway.clone());
+            team.gateways.entry(key).or_default().add(event);
         }
     }
 
     /// Returns the seconds of one team, in order.
-    pub(crate) fn of_team(&self, team: &str) -> impl Iterator<Item = (u64, Stages)> {
+    pub(crate) fn of_team(&self, team: &str) -> impl Iterator<Item = (u64, StageTokens)> {
         let team = self.teams.get(team).into_iter();
         team.flat_map(|team| team.seconds.iter())
             .map(|(second, stages)| (*second, *stages))
     }
 
-    /// Returns the seconds of one team at each gateway, in order, with how the gateway took connections.
-    pub(crate) fn at_gateways(
+    /// Returns the seconds of one team at each gateway, in order, with the gateway's connections.
+    pub(crate) fn by_gateway(
         &self,
         team: &str,
-    ) -> impl Iterator<Item = (u64, &str, Stages, Option<Door>)> {
+    ) -> impl Iterator<Item = (u64, &str, StageTokens, Option<ConnectionCount>)> {
         let team = self.teams.get(team).into_iter();
-        let places = team.flat_map(|team| team.gateways.iter());
-        places.map(|(place, stages)| {
-            let (second, gateway) = place;
-            (*second, &**gateway, *stages, self.doors.get(place).copied())
+        let seconds = team.flat_map(|team| team.gateways.iter());
+        seconds.map(|(key, stages)| {
+            let (second, gateway) = key;
+            (
+                *second,
+                &**gateway,
+                *stages,
+                self.connection_counts.get(key).copied(),
+            )
         })
     }
 
-    /// Returns the teams that were turned away in each second of a window and had less than half of what they asked for or the best
-    /// served team had, whichever is less, second by second.
-    pub(crate) fn short_teams(&self) -> Vec<Short> {
+    /// Returns the teams that had requests rejected in each second of a window and got less than half of what they could have
+    /// had: in each second, the lesser of what they asked for and what the best served team got.
+    pub(crate) fn short_teams(&self) -> Vec<ShortTeam> {
         let seconds = self.teams.values().flat_map(|team| team.seconds.keys());
         let last = seconds.copied().max().unwrap_or_default();
         let starts = 0..=last.saturating_sub(WINDOW_S - 1);
-        starts.flat_map(|from_s| self.short_from(from_s)).collect()
+        starts
+            .flat_map(|from_s| self.short_teams_from(from_s))
+            .collect()
     }
 
-    fn short_from(&self, from_s: u64) -> Vec<Short> {
+    fn short_teams_from(&self, from_s: u64) -> Vec<ShortTeam> {
         let teams = self.teams.iter();
         let best = teams.max_by_key(|(_, team)| team.sum(from_s).begun_tokens);
         let Some((best_name, best)) = best else {
@@ -161,7 +169,7 @@
         };
         let teams = self.teams.iter();
         let short = teams.filter(|(_, team)| team.is_short(best, from_s));
-        let short = short.map(|(name, team)| Short {
+        let short = short.map(|(name, team)| ShortTeam {
             from_s,
             team: name.clone(),
             stages: team.sum(from_s),
@@ -172,24 +180,24 @@
     }
 }
 
-impl Team {
-    fn at(&self, second: u64) -> Stages {
+impl TeamStages {
+    fn at(&self, second: u64) -> StageTokens {
         self.seconds.get(&second).copied().unwrap_or_default()
     }
 
-    /// Returns whether it waited and had far less than it could have had beside the best served team.
+    /// Returns whether the team had requests waiting and got far less than it could have had next to the best served team.
     fn is_short(&self, best: &Self, from_s: u64) -> bool {
         let seconds = from_s..from_s + WINDOW_S;
         let could_have_had = seconds.map(|second| {
             let asked = self.at(second).asked_tokens;
             asked.min(best.at(second).begun_tokens)
         });
-        let owed = could_have_had.sum::<u64>() / SHORT_DIVISOR;
-        let had = self.sum(from_s).begun_tokens + SLACK_REQUESTS * self.largest_tokens;
-        self.waits_throughout(from_s) && had < owed
+        let minimum = could_have_had.sum::<u64>() / SHORT_DIVISOR;
+        let had = self.sum(from_s).begun_tokens + SLACK_REQUESTS * self.largest_request_tokens;
+        self.is_turned_away_throughout(from_s) && had < minimum
     }
 
-    fn waits_throughout(&self, from_s: u64) -> bool {
+    fn is_turned_away_throughout(&self, from_s: u64) -> bool {
         let mut seconds = from_s..from_s + WINDOW_S;
         seconds.all(|second| {
             let stages = self.at(second);
@@ -197,9 +205,9 @@
         })
     }
 
-    fn sum(&self, from_s: u64) -> Stages {
+    fn sum(&self, from_s: u64) -> StageTokens {
         let seconds = self.seconds.range(from_s..from_s + WINDOW_S);
-        seconds.fold(Stages::default(), |sum, (_, stages)| Stages {
+        seconds.fold(StageTokens::default(), |sum, (_, stages)| StageTokens {
             asked_tokens: sum.asked_tokens + stages.asked_tokens,
             overloaded_tokens: sum.overloaded_tokens + stages.overloaded_tokens,
             not_run_tokens: sum.not_run_tokens + stages.not_run_tokens,
@@ -209,29 +217,29 @@
     }
 }
 
-/// Tells that a request of a team has come to a stage.
-pub(crate) struct Event {
+/// A request of a team that reached a stage.
+pub(crate) struct StageEvent {
     at: Duration,
     team: Box<str>,
     tokens: u64,
     stage: Stage,
-    /// Gateway that wrote of it; none where an admission did.
+    /// Gateway that logged it; none for an event logged by an admission.
     gateway: Option<Box<str>>,
 }
 
-/// Tells how a gateway took connections in the second before a moment.
-pub(crate) struct DoorEvent {
+/// Connections of a gateway in the second around a point in time.
+pub(crate) struct ConnectionEvent {
     at: Duration,
     gateway: Box<str>,
-    door: Door,
+    count: ConnectionCount,
 }
 
-impl DoorEvent {
+impl ConnectionEvent {
     pub(crate) fn read(line: &Line, gateway: &str) -> Option<Self> {
         Some(Self {
-            at: unix_time(line)?.saturating_sub(COUNTED_OVER / 2),
+            at: unix_time(line)?.saturating_sub(COUNT_PERIOD / 2),
             gateway: gateway.into(),
-            door: Door {
+            count: ConnectionCount {
                 connections: number(line, "connections"),
                 shut_ms: number(line, "shut_ms"),
             },
@@ -239,9 +247,9 @@
     }
 }
 
-impl Event {
-    /// Returns that of a grant; none of a refusal, which the request's end tells.
-    pub(crate) fn of_decision(decision: &Decision) -> Option<Self> {
+impl StageEvent {
+    /// Returns the event of a grant; none for a refusal, which is counted at the end of the request.
+    pub(crate) fn from_decision(decision: &AdmissionDecision) -> Option<Self> {
         decision.is_granted.then(|| Self {
             at: decision.at,
             team: decision.team.clone(),
@@ -252,8 +260,8 @@
     }
 }
 
-/// Returns the stages of a request that has ended, by the line of its end; none of a plain one.
-pub(crate) fn events_of_request(line: &Line, gateway: &str) -> Vec<Event> {
+/// Returns the stages of a request from the line of its end; none for a request without tokens of service.
+pub(crate) fn request_events(line: &Line, gateway: &str) -> Vec<StageEvent> {
     let (Some(ended), Some(team)) = (unix_time(line), line.get("team")) else {
         return Vec::new();
     };
@@ -263,14 +271,14 @@
     }
     let arrived = ended.saturating_sub(Duration::from_millis(number(line, "ms")));
     let first_ms = number(line, "first_ms");
-    let fate = match line.get("outcome") {
+    let last_stage = match line.get("outcome") {
         _ if first_ms > 0 => (arrived + Duration::from_millis(first_ms), Stage::Begun),
         Some(OVERLOADED) => (ended, Stage::Overloaded),
         _ => (ended, Stage::NotRun),
     };
-    let stages = [(arrived, Stage::Asked), fate].into_iter();
+    let stages = [(arrived, Stage::Asked), last_stage].into_iter();
     stages
-        .map(|(at, stage)| Event {
+        .map(|(at, stage)| StageEvent {
             at,
             team: team.into(),
             tokens,
--- a/crates/ctl/src/values.rs
+++ b/crates/ctl/src/values.rs
@@ -1,4 +1,4 @@
-//! Lists the effective values of a configuration by their dotted paths.
+//! Effective values of a configuration, by their dotted paths.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use serde_json::Value;
 
-/// Keys whose values are parts per million, and percentages in the files.
+/// Keys whose values are stored as parts per million, but written as percentages in the files.
 const PERCENTAGES: [&str; 5] = [
     "floor",
     "max_ejected",
@@ -17,32 +17,32 @@
 ];
 
 /// Parts per million in one percent.
-const PPM_IN_PERCENT: u32 = 10_000;
+const PPM_PER_PERCENT: u32 = 10_000;
 
-/// Holds values by path.
+/// Values by dotted path.
 pub(crate) type Values = BTreeMap<String, Value>;
 
-/// Returns every effective value, defaults too.
+/// Returns every effective value, including defaults.
 pub(crate) fn values(effective: &Effective) -> Values {
     let mut values = Values::new();
-    named("teams", &effective.teams, &mut values);
-    named("pools", &effective.pools, &mut values);
-    named("stops", &effective.stops, &mut values);
-    named("upgrades", &effective.upgrades, &mut values);
-    named("objectives", &effective.objectives, &mut values);
-    flatten("classes", json(&effective.classes), &mut values);
-    flatten("limits", json(&effective.limits), &mut values);
+    flatten_named("teams", &effective.teams, &mut values);
+    flatten_named("pools", &effective.pools, &mut values);
+    flatten_named("stops", &effective.stops, &mut values);
+    flatten_named("upgrades", &effective.upgrades, &mut values);
+    flatten_named("objectives", &effective.objectives, &mut values);
+    flatten("classes", to_json(&effective.classes), &mut values);
+    flatten("limits", to_json(&effective.limits), &mut values);
     values
 }
 
-fn named<T: Serialize>(section: &str, items: &Sorted<T>, values: &mut Values) {
+fn flatten_named<T: Serialize>(section: &str, items: &Sorted<T>, values: &mut Values) {
     for (name, item) in items.iter() {
-        flatten(&format!("{section}.{name}"), json(item), values);
+        flatten(&format!("{section}.{name}"), to_json(item), values);
     }
 }
 
-fn json<T: Serialize>(item: &T) -> Value {
-    serde_json::to_value(item).expect("a generated setting always has a JSON form")
+fn to_json<T: Serialize>(item: &T) -> Value {
+    serde_json::to_value(item).expect("generated settings serialize to JSON")
 }
 
 fn flatten(path: &str, value: Value, values: &mut Values) {
@@ -58,12 +58,12 @@
     }
 }
 
-/// Returns a value as the files would show it.
-pub(crate) fn text(path: &str, value: &Value) -> String {
+/// Formats a value as it is written in the files.
+pub(crate) fn format_value(path: &str, value: &Value) -> String {
     let key = path.rsplit('.').next().unwrap_or_default();
     let ppm = value.as_u64().and_then(|ppm| u32::try_from(ppm).ok());
     match ppm.filter(|_| PERCENTAGES.contains(&key)) {
-        Some(ppm) => format!("{} %", f64::from(ppm) / f64::from(PPM_IN_PERCENT)),
+        Some(ppm) => format!("{} %", f64::from(ppm) / f64::from(PPM_PER_PERCENT)),
         None => value.to_string(),
     }
 }
--- a/crates/ctl/tests/control.rs
+++ b/crates/ctl/tests/control.rs
@@ -1,10 +1,10 @@
-//! Runs every command against a fake control on loopback.
+//! Runs every command that calls control against fake control instances on loopback.
 
-mod fake;
+mod fake_control;
 
 use std::sync::atomic::Ordering;
 
-use fake::{Desk, member, serve_pages, write_key};
+use fake_control::{Fixture, member, serve_pages, write_key};
 use hinge_cases::async_cases;
 use hinge_routing::RequestKey;
 use hinge_schema::messages::{
@@ -16,7 +16,7 @@
 const SURF: (&str, &str) = ("a.toml", "[teams.surf]\nshare = 3\n");
 const BOARD: (&str, &str) = ("b.toml", "[teams.board]\nshare = 1\n");
 
-fn rival(name: &str) -> ConfigFile {
+fn competing_file(name: &str) -> ConfigFile {
     ConfigFile {
         name: name.into(),
         text: "[teams.surf]\nshare = 9\n".into(),
@@ -24,205 +24,205 @@
 }
 
 async_cases! { real
-    an_applied_folder_is_in_force_and_remembers_its_version => {
-        let desk = Desk::open().await;
-        let folder = desk.write("folder", &[SURF]);
-        let (exit, out, notes) = desk.run(&["apply", &folder, "--note", "start"]).await;
+    an_applied_folder_is_in_force_and_records_its_version => {
+        let fixture = Fixture::start().await;
+        let folder = fixture.write("folder", &[SURF]);
+        let (exit, out, notes) = fixture.run(&["apply", &folder, "--note", "start"]).await;
         assert_eq!((exit, &*out), (Exit::Ok, "accepted as version 1\n  put a.toml\n"), "{notes}");
         assert!(notes.starts_with("change ") && notes.ends_with(", based on version 0\n"), "{notes}");
-        let (exit, out, _) = desk.run(&["apply", &folder]).await;
+        let (exit, out, _) = fixture.run(&["apply", &folder]).await;
         assert_eq!((exit, &*out), (Exit::Ok, "nothing to change: version 1 is the same\n"));
-        desk.write("folder", &[("a.toml", "[teams.surf]\nshare = 5\n")]);
-        let (exit, out, _) = desk.run(&["diff", &folder]).await;
+        fixture.write("folder", &[("a.toml", "[teams.surf]\nshare = 5\n")]);
+        let (exit, out, _) = fixture.run(&["diff", &folder]).await;
         assert_eq!(exit, Exit::Ok);
         assert!(out.contains("changed: a.toml") && out.contains("  -share = 3"), "{out}");
         assert!(out.contains("teams.surf.share: 3 (a.toml:2) -> 5 (a.toml:2)"), "{out}");
-        assert_eq!(desk.run(&["apply", &folder]).await.0, Exit::Ok);
-        let (_, out, _) = desk.run(&["history", "--json"]).await;
+        assert_eq!(fixture.run(&["apply", &folder]).await.0, Exit::Ok);
+        let (_, out, _) = fixture.run(&["history", "--json"]).await;
         let history: serde_json::Value = serde_json::from_str(&out).expect("the answer is JSON");
         assert_eq!(history["entries"][1]["note"], "start");
         assert_eq!(history["entries"][0]["version"], 2);
     }
-    a_lost_answer_is_asked_again_elsewhere_under_the_same_number => {
-        let desk = Desk::open().await;
-        desk.first.answers_to_lose.store(usize::MAX, Ordering::SeqCst);
-        let folder = desk.write("folder", &[SURF]);
-        let (exit, out, notes) = desk.run(&["apply", &folder]).await;
+    a_change_with_a_lost_answer_is_resent_to_the_next_instance_under_the_same_id => {
+        let fixture = Fixture::start().await;
+        fixture.first.answers_to_lose.store(usize::MAX, Ordering::SeqCst);
+        let folder = fixture.write("folder", &[SURF]);
+        let (exit, out, notes) = fixture.run(&["apply", &folder]).await;
         assert_eq!(exit, Exit::Ok, "{notes}");
         assert!(out.starts_with("accepted as version 1, earlier"), "{out}");
-        let arrived = desk.log.arrived.lock().expect("no test panics").clone();
-        assert_eq!((arrived.len(), &arrived[0]), (2, &arrived[1]));
-        assert!(notes.contains(&*arrived[0]), "the number is shown before it is sent: {notes}");
-        assert_eq!(desk.log.version(), 1);
+        let received_change_ids = fixture.shared.received_change_ids.lock().expect("no test panics with the lock held").clone();
+        assert_eq!((received_change_ids.len(), &received_change_ids[0]), (2, &received_change_ids[1]));
+        assert!(notes.contains(&*received_change_ids[0]), "the id is printed before the change is sent: {notes}");
+        assert_eq!(fixture.shared.version(), 1);
     }
-    the_instances_are_asked_again_after_every_answer_was_lost => {
-        let desk = Desk::open().await;
-        desk.first.answers_to_lose.store(1, Ordering::SeqCst);
-        desk.second.answers_to_lose.store(1, Ordering::SeqCst);
-        let (exit, out, notes) = desk.run(&["apply", &desk.write("folder", &[SURF])]).await;
+    all_instances_are_tried_again_after_every_answer_was_lost => {
+        let fixture = Fixture::start().await;
+        fixture.first.answers_to_lose.store(1, Ordering::SeqCst);
+        fixture.second.answers_to_lose.store(1, Ordering::SeqCst);
+        let (exit, out, notes) = fixture.run(&["apply", &fixture.write("folder", &[SURF])]).await;
         assert_eq!(exit, Exit::Ok, "{notes}");
         assert!(out.starts_with("accepted as version 1, earlier"), "{out}");
-        assert_eq!(desk.log.arrived.lock().expect("no test panics").len(), 3);
+        assert_eq!(fixture.shared.received_change_ids.lock().expect("no test panics with the lock held").len(), 3);
     }
-    a_change_without_an_answer_is_found_by_its_number_later => {
-        let desk = Desk::open().await;
-        desk.first.answers_to_lose.store(usize::MAX, Ordering::SeqCst);
-        desk.second.answers_to_lose.store(usize::MAX, Ordering::SeqCst);
-        let folder = desk.write("folder", &[SURF]);
-        let (exit, _, notes) = desk.run(&["apply", &folder, "--timeout", "1s", "--change-id", "c7"]).await;
+    a_change_without_an_answer_is_found_later_by_its_id => {
+        let fixture = Fixture::start().await;
+        fixture.first.answers_to_lose.store(usize::MAX, Ordering::SeqCst);
+        fixture.second.answers_to_lose.store(usize::MAX, Ordering::SeqCst);
+        let folder = fixture.write("folder", &[SURF]);
+        let (exit, _, notes) = fixture.run(&["apply", &folder, "--timeout", "1s", "--change-id", "c7"]).await;
         assert_eq!(exit, Exit::Unavailable);
         assert!(notes.contains("--change-id c7"), "{notes}");
-        let (exit, out, _) = desk.run(&["apply", &folder, "--change-id", "c7"]).await;
+        let (exit, out, _) = fixture.run(&["apply", &folder, "--change-id", "c7"]).await;
         assert_eq!(exit, Exit::Ok);
         assert!(out.starts_with("accepted as version 1, earlier"), "{out}");
-        assert_eq!(desk.log.version(), 1);
+        assert_eq!(fixture.shared.version(), 1);
     }
-    a_conflict_shows_both_sides => {
-        let desk = Desk::open().await;
-        let folder = desk.write("folder", &[SURF]);
-        assert_eq!(desk.run(&["apply", &folder]).await.0, Exit::Ok);
-        *desk.log.rival.lock().expect("no test panics") = Some(rival("a.toml"));
-        desk.write("folder", &[("a.toml", "[teams.surf]\nshare = 5\n"), BOARD]);
-        let (exit, out, _) = desk.run(&["apply", &folder]).await;
+    a_conflict_shows_both_changes => {
+        let fixture = Fixture::start().await;
+        let folder = fixture.write("folder", &[SURF]);
+        assert_eq!(fixture.run(&["apply", &folder]).await.0, Exit::Ok);
+        *fixture.shared.competing_file.lock().expect("no test panics with the lock held") = Some(competing_file("a.toml"));
+        fixture.write("folder", &[("a.toml", "[teams.surf]\nshare = 5\n"), BOARD]);
+        let (exit, out, _) = fixture.run(&["apply", &folder]).await;
         assert_eq!(exit, Exit::Conflict);
         assert!(out.contains("based on version 1, and version 2 is in force"), "{out}");
         assert!(out.contains("theirs: change rival of operator bruno"), "{out}");
         assert!(out.contains("  +share = 9") && out.contains("  +share = 5") && out.contains("added: b.toml"), "{out}");
-        assert_eq!(desk.log.version(), 2);
-        let (exit, out, _) = desk.run(&["--json", "apply", &folder]).await;
+        assert_eq!(fixture.shared.version(), 2);
+        let (exit, out, _) = fixture.run(&["--json", "apply", &folder]).await;
         let conflict: serde_json::Value = serde_json::from_str(&out).expect("the answer is JSON");
         assert_eq!((exit, &conflict["theirs"]["operator"]), (Exit::Conflict, &"bruno".into()));
         assert_eq!(conflict["ours"]["put"][0]["name"], "a.toml");
     }
-    a_folder_of_unknown_base_is_not_applied => {
-        let desk = Desk::open().await;
-        assert_eq!(desk.run(&["apply", &desk.write("one", &[SURF])]).await.0, Exit::Ok);
-        let other = desk.write("other", &[("a.toml", "[teams.surf]\nshare = 4\n")]);
-        let (exit, _, notes) = desk.run(&["apply", &other]).await;
+    a_folder_with_an_unknown_base_is_not_applied => {
+        let fixture = Fixture::start().await;
+        assert_eq!(fixture.run(&["apply", &fixture.write("one", &[SURF])]).await.0, Exit::Ok);
+        let other = fixture.write("other", &[("a.toml", "[teams.surf]\nshare = 4\n")]);
+        let (exit, _, notes) = fixture.run(&["apply", &other]).await;
         assert_eq!(exit, Exit::Invalid);
         assert!(notes.contains("give --base 1"), "{notes}");
-        assert_eq!(desk.run(&["apply", &other, "--base", "4"]).await.0, Exit::Invalid);
-        assert_eq!(desk.run(&["apply", &other, "--base", "0"]).await.0, Exit::Conflict);
-        assert_eq!(desk.run(&["apply", &other, "--base", "1"]).await.0, Exit::Ok);
+        assert_eq!(fixture.run(&["apply", &other, "--base", "4"]).await.0, Exit::Invalid);
+        assert_eq!(fixture.run(&["apply", &other, "--base", "0"]).await.0, Exit::Conflict);
+        assert_eq!(fixture.run(&["apply", &other, "--base", "1"]).await.0, Exit::Ok);
     }
     files_are_removed_only_when_asked => {
-        let desk = Desk::open().await;
-        let folder = desk.write("folder", &[SURF, BOARD]);
-        assert_eq!(desk.run(&["apply", &folder]).await.0, Exit::Ok);
-        std::fs::remove_file(format!("{folder}/b.toml")).expect("the folder is ours");
-        let (exit, _, notes) = desk.run(&["apply", &folder]).await;
-        assert_eq!((exit, desk.log.version()), (Exit::Invalid, 1));
+        let fixture = Fixture::start().await;
+        let folder = fixture.write("folder", &[SURF, BOARD]);
+        assert_eq!(fixture.run(&["apply", &folder]).await.0, Exit::Ok);
+        std::fs::remove_file(format!("{folder}/b.toml")).expect("the temporary folder is writable");
+        let (exit, _, notes) = fixture.run(&["apply", &folder]).await;
+        assert_eq!((exit, fixture.shared.version()), (Exit::Invalid, 1));
         assert!(notes.contains("b.toml; give --prune"), "{notes}");
-        let (exit, out, _) = desk.run(&["apply", &folder, "--prune"]).await;
+        let (exit, out, _) = fixture.run(&["apply", &folder, "--prune"]).await;
         assert_eq!((exit, &*out), (Exit::Ok, "accepted as version 2\n  removed b.toml\n"));
     }
-    a_wait_names_who_lacks_the_version_and_ends => {
-        let desk = Desk::open().await;
-        desk.log.members.lock().expect("no test panics").push(member("sidecar-a", 0));
-        let folder = desk.write("folder", &[SURF]);
-        let (exit, out, notes) = desk.run(&["apply", &folder, "--wait"]).await;
+    a_wait_names_the_processes_that_lack_the_version_and_times_out => {
+        let fixture = Fixture::start().await;
+        fixture.shared.members.lock().expect("no test panics with the lock held").push(member("sidecar-a", 0));
+        let folder = fixture.write("folder", &[SURF]);
+        let (exit, out, notes) = fixture.run(&["apply", &folder, "--wait"]).await;
         assert_eq!(exit, Exit::Ok, "{notes}");
         assert!(notes.contains("version 1: 1 of 1 processes lack it: sidecar-a (0)"), "{notes}");
         assert!(out.contains("version 1 is in force at 1 processes"), "{out}");
-        desk.log.members.lock().expect("no test panics").push(member("stuck", 0));
-        let (exit, out, notes) = desk.run(&["wait", "--version", "1", "--timeout", "1s"]).await;
+        fixture.shared.members.lock().expect("no test panics with the lock held").push(member("stuck", 0));
+        let (exit, out, notes) = fixture.run(&["wait", "--version", "1", "--timeout", "1s"]).await;
         assert_eq!(exit, Exit::TimedOut, "{notes}");
         assert!(out.contains("1 of 2 processes lack it: stuck (0)"), "{out}");
-        assert_eq!(desk.run(&["wait", "--version", "7"]).await.0, Exit::Invalid);
-        let (_, out, _) = desk.run(&["status"]).await;
+        assert_eq!(fixture.run(&["wait", "--version", "7"]).await.0, Exit::Invalid);
+        let (_, out, _) = fixture.run(&["status"]).await;
         assert!(out.contains("1 processes lack version 1: stuck"), "{out}");
     }
-    an_isolated_instance_is_passed_over_and_alone_is_no_answer => {
-        let desk = Desk::open().await;
-        desk.first.is_isolated.store(true, Ordering::SeqCst);
-        assert_eq!(desk.run(&["status"]).await.0, Exit::Ok);
-        desk.second.is_isolated.store(true, Ordering::SeqCst);
-        let (exit, out, notes) = desk.run(&["status", "--json", "--timeout", "1s"]).await;
+    an_isolated_instance_is_skipped_and_no_answer_comes_if_all_are_isolated => {
+        let fixture = Fixture::start().await;
+        fixture.first.is_isolated.store(true, Ordering::SeqCst);
+        assert_eq!(fixture.run(&["status"]).await.0, Exit::Ok);
+        fixture.second.is_isolated.store(true, Ordering::SeqCst);
+        let (exit, out, notes) = fixture.run(&["status", "--json", "--timeout", "1s"]).await;
         assert_eq!(exit, Exit::Unavailable);
         assert!(notes.contains("no quorum confirms this instance (instance control-b may lead)"), "{notes}");
-        let error: serde_json::Value = serde_json::from_str(&out).expect("errors are JSON too");
+        let error: serde_json::Value = serde_json::from_str(&out).expect("errors are printed as JSON");
         assert_eq!(error["error"]["exit"], 4);
     }
-    a_wrong_key_is_named => {
-        let mut desk = Desk::open().await;
-        let key = write_key(desk.folder.path(), "another secret of sixteen bytes");
-        desk.environment().key_file = Some(key);
-        let (exit, _, notes) = desk.run(&["status"]).await;
+    a_wrong_key_is_reported => {
+        let mut fixture = Fixture::start().await;
+        let key = write_key(fixture.folder.path(), "another secret of sixteen bytes");
+        fixture.environment().key_file = Some(key);
+        let (exit, _, notes) = fixture.run(&["status"]).await;
         assert_eq!(exit, Exit::Unavailable);
         assert!(notes.contains("check --operator-key"), "{notes}");
     }
-    a_rollback_is_a_new_version_and_checks_the_copy => {
-        let desk = Desk::open().await;
-        let old = desk.write("old", &[SURF, BOARD]);
-        assert_eq!(desk.run(&["apply", &old]).await.0, Exit::Ok);
-        let new = desk.write("new", &[("a.toml", "[teams.surf]\nshare = 8\n"), BOARD, ("c.toml", "[teams.c]\nshare = 1\n")]);
-        assert_eq!(desk.run(&["apply", &new, "--base", "1"]).await.0, Exit::Ok);
-        assert_eq!(desk.run(&["rollback", "1"]).await.0, Exit::Invalid);
-        let wrong = desk.write("wrong", &[SURF, ("b.toml", "[teams.board]\nshare = 2\n")]);
-        let (exit, _, notes) = desk.run(&["rollback", "1", "--folder", &wrong]).await;
+    a_rollback_makes_a_new_version_and_checks_the_copy => {
+        let fixture = Fixture::start().await;
+        let old = fixture.write("old", &[SURF, BOARD]);
+        assert_eq!(fixture.run(&["apply", &old]).await.0, Exit::Ok);
+        let new = fixture.write("new", &[("a.toml", "[teams.surf]\nshare = 8\n"), BOARD, ("c.toml", "[teams.c]\nshare = 1\n")]);
+        assert_eq!(fixture.run(&["apply", &new, "--base", "1"]).await.0, Exit::Ok);
+        assert_eq!(fixture.run(&["rollback", "1"]).await.0, Exit::Invalid);
+        let wrong = fixture.write("wrong", &[SURF, ("b.toml", "[teams.board]\nshare = 2\n")]);
+        let (exit, _, notes) = fixture.run(&["rollback", "1", "--folder", &wrong]).await;
         assert_eq!(exit, Exit::Invalid);
         assert!(notes.contains("touched b.toml"), "{notes}");
-        let (exit, out, notes) = desk.run(&["rollback", "1", "--folder", &old]).await;
+        let (exit, out, notes) = fixture.run(&["rollback", "1", "--folder", &old]).await;
         assert_eq!(exit, Exit::Ok, "{notes}");
         assert_eq!(out, "accepted as version 3\n  put a.toml\n  removed c.toml\n");
-        let pulled = desk.folder.path().join("pulled").display().to_string();
-        assert_eq!(desk.run(&["pull", &pulled]).await.0, Exit::Ok);
-        let (_, out, _) = desk.run(&["diff", &pulled]).await;
+        let pulled = fixture.folder.path().join("pulled").display().to_string();
+        assert_eq!(fixture.run(&["pull", &pulled]).await.0, Exit::Ok);
+        let (_, out, _) = fixture.run(&["diff", &pulled]).await;
         assert_eq!(out, "no difference from version 3\n");
-        assert_eq!(desk.run(&["pull", &pulled]).await.0, Exit::Invalid);
+        assert_eq!(fixture.run(&["pull", &pulled]).await.0, Exit::Invalid);
     }
-    drains_and_orders_are_placed_once => {
-        let desk = Desk::open().await;
-        let (exit, out, _) = desk.run(&["drain", "sidecar-a", "--deadline", "5m", "--note", "new disk"]).await;
+    drains_and_orders_are_accepted_once => {
+        let fixture = Fixture::start().await;
+        let (exit, out, _) = fixture.run(&["drain", "sidecar-a", "--deadline", "5m", "--note", "new disk"]).await;
         assert_eq!(exit, Exit::Ok);
         assert!(out.contains("sidecar-a  2023-11-14T22:13:20Z  5m        ana       new disk"), "{out}");
-        let (_, out, _) = desk.run(&["undrain", "sidecar-a"]).await;
+        let (_, out, _) = fixture.run(&["undrain", "sidecar-a"]).await;
         assert!(out.contains("no instance is drained"), "{out}");
-        desk.first.answers_to_lose.store(usize::MAX, Ordering::SeqCst);
-        let (exit, _, notes) = desk.run(&["orders", "place", "sidecar-a", "load_model", "surf", "--version", "3"]).await;
+        fixture.first.answers_to_lose.store(usize::MAX, Ordering::SeqCst);
+        let (exit, _, notes) = fixture.run(&["orders", "place", "sidecar-a", "load_model", "surf", "--version", "3"]).await;
         assert_eq!(exit, Exit::Ok, "{notes}");
-        let (_, out, _) = desk.run(&["orders", "--json"]).await;
+        let (_, out, _) = fixture.run(&["orders", "--json"]).await;
         let orders: serde_json::Value = serde_json::from_str(&out).expect("the answer is JSON");
         assert_eq!(orders["orders"].as_array().map(Vec::len), Some(1));
         assert_eq!((&orders["orders"][0]["kind"], &orders["orders"][0]["state"]), (&"load_model".into(), &"open".into()));
     }
-    a_report_collects_pages_and_keeps_them => {
-        let desk = Desk::open().await;
-        desk.log.members.lock().expect("no test panics").push(member("sidecar-a", 0));
+    a_report_collects_pages_and_records_them => {
+        let fixture = Fixture::start().await;
+        fixture.shared.members.lock().expect("no test panics with the lock held").push(member("sidecar-a", 0));
         let pages = serve_pages(&["hinge_entry_requests_total{outcome=\"completed\",reason=\"\"} 1", "hinge_entry_requests_total{outcome=\"completed\",reason=\"\"} 90\nhinge_entry_requests_total{outcome=\"not_run\",reason=\"shed\"} 10"]).await;
-        let folder = desk.write("folder", &[("a.toml", "[objectives.whole]\nwhat = 'answered_whole'\ntarget = 99\n")]);
-        let path = |name: &str| desk.folder.path().join(name).display().to_string();
+        let folder = fixture.write("folder", &[("a.toml", "[objectives.whole]\nwhat = 'answered_whole'\ntarget = 99\n")]);
+        let path = |name: &str| fixture.folder.path().join(name).display().to_string();
         let scrape = format!("entry-a={},entry-b=127.0.0.1:1", pages.local_address());
-        let (exit, out, notes) = desk.run(&["report", "burn", "--folder", &folder, "--scrape", &scrape, "--watch", "2ms", "--every", "1ms", "--samples", &path("samples"), "--svg", &path("burn.svg")]).await;
+        let (exit, out, notes) = fixture.run(&["report", "burn", "--folder", &folder, "--scrape", &scrape, "--watch", "2ms", "--every", "1ms", "--samples", &path("samples"), "--svg", &path("burn.svg")]).await;
         assert_eq!(exit, Exit::Ok, "{notes}");
         assert!(out.contains("(10 bad of 99 requests)") && out.contains("entry-b: 3 of 3 pages are missing"), "{out}");
         assert!(notes.contains("no page of entry-b"), "{notes}");
-        assert!(std::fs::read_to_string(path("burn.svg")).expect("the picture is there").contains("<svg"));
-        let (_, again, _) = desk.run(&["report", "burn", "--folder", &folder, "--samples", &path("samples")]).await;
+        assert!(std::fs::read_to_string(path("burn.svg")).expect("the chart is written").contains("<svg"));
+        let (_, again, _) = fixture.run(&["report", "burn", "--folder", &folder, "--samples", &path("samples")]).await;
         assert_eq!(again, out);
-        let (exit, out, _) = desk.run(&["report", "utilisation", "--samples", &path("samples"), "--json"]).await;
+        let (exit, out, _) = fixture.run(&["report", "utilisation", "--samples", &path("samples"), "--json"]).await;
         let use_of: serde_json::Value = serde_json::from_str(&out).expect("the answer is JSON");
         assert_eq!((exit, &use_of["pools"]), (Exit::Ok, &serde_json::json!([])));
-        assert!(std::fs::read_to_string(path("samples")).expect("the samples are there").contains("forecast-llm"));
+        assert!(std::fs::read_to_string(path("samples")).expect("the samples are recorded").contains("forecast-llm"));
     }
-    a_control_instance_is_removed_or_says_why_not => {
-        let desk = Desk::open().await;
-        assert_eq!(desk.run(&["remove-control", "control-c"]).await.0, Exit::Ok);
-        let (exit, out, _) = desk.run(&["remove-control", "control-a"]).await;
+    removing_a_control_instance_succeeds_or_gives_the_reason => {
+        let fixture = Fixture::start().await;
+        assert_eq!(fixture.run(&["remove-control", "control-c"]).await.0, Exit::Ok);
+        let (exit, out, _) = fixture.run(&["remove-control", "control-a"]).await;
         assert_eq!((exit, &*out), (Exit::Failed, "control-a still counts: it answers\n"));
     }
-    a_torn_folder_is_no_base => {
-        let desk = Desk::open().await;
-        let folder = desk.write("folder", &[SURF, BOARD]);
-        assert_eq!(desk.run(&["apply", &folder]).await.0, Exit::Ok);
-        desk.first.tears_folder.store(true, Ordering::SeqCst);
-        let (exit, _, notes) = desk.run(&["apply", &folder]).await;
-        assert_eq!((exit, desk.log.version()), (Exit::Failed, 1));
+    a_truncated_folder_is_rejected => {
+        let fixture = Fixture::start().await;
+        let folder = fixture.write("folder", &[SURF, BOARD]);
+        assert_eq!(fixture.run(&["apply", &folder]).await.0, Exit::Ok);
+        fixture.first.truncates_folder.store(true, Ordering::SeqCst);
+        let (exit, _, notes) = fixture.run(&["apply", &folder]).await;
+        assert_eq!((exit, fixture.shared.version()), (Exit::Failed, 1));
         assert!(notes.contains("does not match its own digest"), "{notes}");
     }
     upgrades_and_stops_show_their_state_and_what_they_wait_for => {
-        let desk = Desk::open().await;
-        desk.first.is_isolated.store(true, Ordering::SeqCst);
+        let fixture = Fixture::start().await;
+        fixture.first.is_isolated.store(true, Ordering::SeqCst);
         let plan = |name: &str, state, detail: &str, until_ms| UpgradeStatus {
             plan: name.into(),
             pool: "forecast-llm".into(),
@@ -248,8 +248,8 @@
             plan("day", UpgradeState::Stopped, "x failed load_model", 0),
             plan("night", UpgradeState::Waiting, "the window is closed", 1_700_000_000_000),
         ];
-        *desk.log.upgrades.lock().expect("no test panics") = Some(Upgrades { plans, stops: vec![stop] });
-        let (exit, out, notes) = desk.run(&["upgrade", "status"]).await;
+        *fixture.shared.upgrades.lock().expect("no test panics with the lock held") = Some(Upgrades { plans, stops: vec![stop] });
+        let (exit, out, notes) = fixture.run(&["upgrade", "status"]).await;
         assert_eq!(exit, Exit::Ok, "{notes}");
         for line in [
             "day      forecast-llm  2        stopped  1 of 2  x failed load_model\n",
@@ -259,32 +259,32 @@
         ] {
             assert!(out.contains(line), "{out}");
         }
-        let (_, out, _) = desk.run(&["upgrade", "status", "night", "--json"]).await;
+        let (_, out, _) = fixture.run(&["upgrade", "status", "night", "--json"]).await;
         let shown: serde_json::Value = serde_json::from_str(&out).expect("the answer is JSON");
         assert_eq!((&shown["plans"][0]["state"], &shown["plans"][0]["done"]), (&"waiting".into(), &1.into()));
         assert_eq!((shown["plans"].as_array().map(Vec::len), &shown["stops"]), (Some(1), &serde_json::json!([])));
-        let (exit, _, notes) = desk.run(&["upgrade", "status", "nihgt"]).await;
+        let (exit, _, notes) = fixture.run(&["upgrade", "status", "nihgt"]).await;
         assert!(exit == Exit::Invalid && notes.contains("is named nihgt"), "{notes}");
-        desk.second.is_isolated.store(true, Ordering::SeqCst);
-        let (exit, out, _) = desk.run(&["upgrade", "status", "--timeout", "10ms"]).await;
+        fixture.second.is_isolated.store(true, Ordering::SeqCst);
+        let (exit, out, _) = fixture.run(&["upgrade", "status", "--timeout", "10ms"]).await;
         assert_eq!((exit, &*out), (Exit::Unavailable, ""));
     }
     a_held_request_is_listed_and_released => {
-        let desk = Desk::open().await;
-        let (exit, out, _) = desk.run(&["suspects"]).await;
+        let fixture = Fixture::start().await;
+        let (exit, out, _) = fixture.run(&["suspects"]).await;
         assert_eq!((exit, out.lines().count()), (Exit::Ok, 1), "{out}");
         let request = RequestKey::of("POST", "/a", Some("surf"), b"body");
         for endpoint in 1..=3 {
-            desk.log.apply(Command::Suspects(SuspectsCommand {
+            fixture.shared.apply(Command::Suspects(SuspectsCommand {
                 ends: vec![(request, endpoint)],
                 completed: Vec::new(),
             }));
         }
-        let (_, out, _) = desk.run(&["suspects"]).await;
+        let (_, out, _) = fixture.run(&["suspects"]).await;
         assert!(out.contains(&format!("{request}  3     held")), "{out}");
-        let (exit, _, notes) = desk.run(&["suspects", "--release", "12"]).await;
+        let (exit, _, notes) = fixture.run(&["suspects", "--release", "12"]).await;
         assert_eq!(exit, Exit::Invalid, "{notes}");
-        let (exit, out, _) = desk.run(&["suspects", "--release", &request.to_string()]).await;
+        let (exit, out, _) = fixture.run(&["suspects", "--release", &request.to_string()]).await;
         assert_eq!((exit, out.contains("held")), (Exit::Ok, false), "{out}");
     }
 }
--- a/crates/ctl/tests/explain.rs
+++ b/crates/ctl/tests/explain.rs
@@ -1,4 +1,4 @@
-//! Checks the story of one request that `explain` tells out of logs.
+//! Checks the timeline of one request that `explain` prints from logs.
 
 use hinge_cases::cases;
 use sequoiactl::{Environment, Exit, Streams, run};
@@ -17,33 +17,33 @@
 2026-06-07T07:03:31.047Z info [admission] Refused. id=aa team=surf budget_ms=499 ahead_tokens=5859
 ";
 
-/// Tells the story of a request out of the two logs and what is added to the second one.
-fn story(id: &str, logs: &[(&str, String)]) -> (Exit, String) {
-    let folder = tempfile::tempdir().expect("the system gives a folder");
+/// Runs `explain` on logs, each given with the name of its process.
+fn explain(id: &str, logs: &[(&str, String)]) -> (Exit, String) {
+    let folder = tempfile::tempdir().expect("creating a temporary folder succeeds");
     let mut args = vec!["explain".to_owned(), id.to_owned()];
     for (name, text) in logs {
         let path = folder.path().join(format!("{name}.log"));
-        std::fs::write(&path, text).expect("the folder is ours");
+        std::fs::write(&path, text).expect("the temporary folder is writable");
         args.push(path.display().to_string());
     }
     let (mut out, mut notes) = (Vec::new(), Vec::new());
     let mut streams = Streams::new(&mut out, &mut notes);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
-        .expect("the system gives a runtime");
+        .expect("starting a runtime succeeds");
     let exit = runtime.block_on(run(&args, &Environment::default(), &mut streams));
-    (exit, String::from_utf8(out).expect("answers are text"))
+    (exit, String::from_utf8(out).expect("answers are UTF-8"))
 }
 
-fn both(more: &str) -> Vec<(&'static str, String)> {
+fn both_logs(added_lines: &str) -> Vec<(&'static str, String)> {
     vec![
         ("edge-1", GATEWAY.to_owned()),
-        ("side-1", format!("{ADMISSION}{more}")),
+        ("side-1", format!("{ADMISSION}{added_lines}")),
     ]
 }
 
-/// Checks that the parts of a text stand in it, in their order.
-fn holds_in_order(text: &str, parts: &[&str]) {
+/// Checks that a text contains all parts, in their order.
+fn assert_contains_in_order(text: &str, parts: &[&str]) {
     let mut from = 0;
     for part in parts {
         let at = text[from..].find(part);
@@ -53,48 +53,48 @@
 }
 
 cases! {
-    lines_of_all_processes_stand_in_order => {
-        let (exit, text) = story("aa", &both(""));
+    lines_of_all_processes_are_in_order => {
+        let (exit, text) = explain("aa", &both_logs(""));
         assert_eq!(exit, Exit::Ok);
-        holds_in_order(&text, &[
+        assert_contains_in_order(&text, &[
             "aa: not_run, status 503, cause: the admission refused",
             "lines:",
             "07:03:31.047Z side-1 info [admission] Refused.",
             "07:03:31.049Z edge-1 info [gateway] Request.",
         ]);
     }
-    beliefs_of_those_that_it_met_stand_beside_it => {
-        let (_, text) = story("aa", &both(""));
-        holds_in_order(&text, &["around it:", "An endpoint is held out. endpoint=i-1", "pace_per_ms=11"]);
-        assert!(!text.contains("pace_per_ms=31"), "an older line of the same kind:\n{text}");
+    state_changes_of_involved_processes_are_context => {
+        let (_, text) = explain("aa", &both_logs(""));
+        assert_contains_in_order(&text, &["around it:", "An endpoint is held out. endpoint=i-1", "pace_per_ms=11"]);
+        assert!(!text.contains("pace_per_ms=31"), "an older engine line is shown:\n{text}");
         assert!(!text.contains("gaps:"), "{text}");
     }
-    the_logs_of_one_stream_are_told_apart_by_what_stands_before_the_time => {
+    text_before_the_timestamp_names_the_process_in_a_merged_log => {
         let lines = GATEWAY.lines().filter(|line| !line.is_empty());
         let lines: Vec<String> = lines.map(|line| format!("  12.5 edge-7  {line}")).collect();
         let text = lines.join("\n");
-        let (_, text) = story("bb", &[("all", text)]);
-        holds_in_order(&text, &["lines:", "12.5 edge-7 info [gateway] Request. id=bb"]);
+        let (_, text) = explain("bb", &[("all", text)]);
+        assert_contains_in_order(&text, &["lines:", "12.5 edge-7 info [gateway] Request. id=bb"]);
     }
-    an_end_that_is_missing_is_a_gap => {
-        let (exit, text) = story("aa", &[("side-1", ADMISSION.to_owned())]);
+    a_missing_end_is_a_gap => {
+        let (exit, text) = explain("aa", &[("side-1", ADMISSION.to_owned())]);
         assert_eq!(exit, Exit::Ok);
-        holds_in_order(&text, &["aa: no line tells its end", "gaps:", "no gateway tells the end"]);
+        assert_contains_in_order(&text, &["aa: no line tells its end", "gaps:", "no gateway tells the end"]);
     }
-    a_verdict_that_is_missing_is_a_gap => {
-        let (_, refused) = story("aa", &[("edge-1", GATEWAY.to_owned())]);
-        holds_in_order(&refused, &["gaps:", "an admission refused it, and the line of that is missing"]);
-        let (_, granted) = story("bb", &both(""));
-        holds_in_order(&granted, &["gaps:", "an admission granted it a place"]);
+    a_missing_admission_decision_is_a_gap => {
+        let (_, refused) = explain("aa", &[("edge-1", GATEWAY.to_owned())]);
+        assert_contains_in_order(&refused, &["gaps:", "an admission refused it, and the line of that is missing"]);
+        let (_, granted) = explain("bb", &both_logs(""));
+        assert_contains_in_order(&granted, &["gaps:", "an admission granted it a place"]);
     }
-    dropped_lines_and_a_start_are_gaps => {
+    dropped_lines_and_a_process_start_are_gaps => {
         let more = "2026-06-07T07:03:31.010Z info [admission] Listening. address=10.0.0.2:1\n\
             2026-06-07T07:03:32.000Z warn [daemon] Dropped lines that nobody took in time. count=40\n";
-        let (_, text) = story("aa", &both(more));
-        holds_in_order(&text, &["gaps:", "side-1 started at", "side-1 dropped 40 lines"]);
+        let (_, text) = explain("aa", &both_logs(more));
+        assert_contains_in_order(&text, &["gaps:", "side-1 started at", "side-1 dropped 40 lines"]);
     }
-    a_request_that_nobody_knows_is_a_failure => {
-        let (exit, text) = story("cc", &both(""));
+    a_request_without_lines_is_a_failure => {
+        let (exit, text) = explain("cc", &both_logs(""));
         assert_eq!(exit, Exit::Failed);
         assert!(text.starts_with("cc: no line of these logs names it"), "{text}");
     }
