--- a/crates/ctl/tests/fake/mod.rs
+++ b/crates/ctl/tests/fake_control/mod.rs
@@ -1,4 +1,4 @@
-//! Plays control over loopback: real decisions of the replicated state, with answers that can be lost.
+//! Fake control instances on loopback. They decide with the real replicated state, and their answers can get lost.
 
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -22,38 +22,41 @@
 
 pub const SECRET: &str = "a secret of sixteen bytes or more";
 
-/// Holds what all instances of the fake share.
+/// State that all fake instances share.
 #[derive(Default)]
-pub struct Log {
+pub struct SharedState {
     pub state: Mutex<State>,
     pub members: Mutex<Vec<Member>>,
-    /// Files that another operator puts just before the next change arrives.
-    pub rival: Mutex<Option<ConfigFile>>,
-    /// Numbers of the changes that arrived, in order.
-    pub arrived: Mutex<Vec<Box<str>>>,
+    /// A file that another operator changes just before the next change arrives.
+    pub competing_file: Mutex<Option<ConfigFile>>,
+    /// Ids of the changes received, in order.
+    pub received_change_ids: Mutex<Vec<Box<str>>>,
     pub status_calls: AtomicUsize,
-    /// What is answered on upgrades and planned stops.
+    /// The answer about upgrades and planned stops.
     pub upgrades: Mutex<Option<Upgrades>>,
 }
 
-/// Holds one instance of the fake.
+/// One fake control instance.
 pub struct Instance {
-    log: Arc<Log>,
-    /// Answers to changes that get lost after they took effect.
+    shared: Arc<SharedState>,
+    /// Number of answers that still get lost, after their changes took effect.
     pub answers_to_lose: AtomicUsize,
     pub is_isolated: AtomicBool,
-    /// Whether the folder comes without its first file.
-    pub tears_folder: AtomicBool,
+    /// Whether the folder is sent without its first file.
+    pub truncates_folder: AtomicBool,
 }
 
-impl Log {
+impl SharedState {
     pub fn apply(&self, command: Command) -> Reply {
-        let mut state = self.state.lock().expect("no test panics in here");
+        let mut state = self
+            .state
+            .lock()
+            .expect("no test panics with the lock held");
         let index = state.applied_index() + 1;
         state.apply(index, 1, command)
     }
 
-    pub fn put(&self, operator: &str, apply: Apply) -> ApplyReply {
+    pub fn apply_change(&self, operator: &str, apply: Apply) -> ApplyReply {
         let command = Command::ApplyChange(ChangeCommand {
             change_id: apply.change_id,
             operator: operator.into(),
@@ -66,12 +69,15 @@
         });
         match self.apply(command) {
             Reply::Change(reply) => reply,
-            other => panic!("a change is answered as a change: {other:?}"),
+            other => panic!("unexpected reply to a change: {other:?}"),
         }
     }
 
     pub fn version(&self) -> u64 {
-        let state = self.state.lock().expect("no test panics in here");
+        let state = self
+            .state
+            .lock()
+            .expect("no test panics with the lock held");
         state.changes().folder().version()
     }
 }
@@ -100,22 +106,28 @@
         if let Err(unavailable) = self.check() {
             return Ok(ApplyReply::Unavailable(unavailable));
         }
-        let log = &self.log;
-        log.arrived
+        let shared = &self.shared;
+        shared
+            .received_change_ids
             .lock()
-            .expect("no test panics in here")
+            .expect("no test panics with the lock held")
             .push(apply.change_id.clone());
-        if let Some(file) = log.rival.lock().expect("no test panics in here").take() {
-            let rival = Apply {
+        if let Some(file) = shared
+            .competing_file
+            .lock()
+            .expect("no test panics with the lock held")
+            .take()
+        {
+            let competing_file = Apply {
                 change_id: "rival".into(),
                 note: "first".into(),
                 put: vec![file],
                 removed: Vec::new(),
                 ..apply.clone()
             };
-            log.put("bruno", rival);
+            shared.apply_change("bruno", competing_file);
         }
-        let reply = log.put("ana", apply);
+        let reply = shared.apply_change("ana", apply);
         if self.loses_answer() {
             return Err(StatusCode::SERVICE_UNAVAILABLE);
         }
@@ -126,12 +138,16 @@
         if let Err(unavailable) = self.check() {
             return FolderReply::Unavailable(unavailable);
         }
-        let state = self.log.state.lock().expect("no test panics in here");
+        let state = self
+            .shared
+            .state
+            .lock()
+            .expect("no test panics with the lock held");
         let folder = state.changes().folder();
         let mut delta = folder.delta_since(ask.config_version);
         if let Some(delta) = delta
             .as_mut()
-            .filter(|_| self.tears_folder.load(Ordering::SeqCst))
+            .filter(|_| self.truncates_folder.load(Ordering::SeqCst))
         {
             delta.put.remove(0);
         }
@@ -145,8 +161,12 @@
         if let Err(unavailable) = self.check() {
             return UpgradesReply::Unavailable(unavailable);
         }
-        let upgrades = self.log.upgrades.lock().expect("no test panics in here");
-        let mut upgrades = upgrades.clone().expect("the test says what is answered");
+        let upgrades = self
+            .shared
+            .upgrades
+            .lock()
+            .expect("no test panics with the lock held");
+        let mut upgrades = upgrades.clone().expect("the test sets the answer");
         let is_asked = |name: &str| ask.name.is_empty() || *ask.name == *name;
         upgrades.plans.retain(|plan| is_asked(&plan.plan));
         upgrades.stops.retain(|stop| is_asked(&stop.stop));
@@ -157,10 +177,14 @@
         if let Err(unavailable) = self.check() {
             return StatusReply::Unavailable(unavailable);
         }
-        // The second question finds every process with the newest version.
-        let calls = self.log.status_calls.fetch_add(1, Ordering::SeqCst);
-        let config_version = self.log.version();
-        let mut members = self.log.members.lock().expect("no test panics in here");
+        // From the second call on, every process except `stuck` has the newest version.
+        let calls = self.shared.status_calls.fetch_add(1, Ordering::SeqCst);
+        let config_version = self.shared.version();
+        let mut members = self
+            .shared
+            .members
+            .lock()
+            .expect("no test panics with the lock held");
         if calls > 0 {
             let late = members
                 .iter_mut()
@@ -178,10 +202,10 @@
             members: members.clone(),
             control: Vec::new(),
             drains: self
-                .log
+                .shared
                 .state
                 .lock()
-                .expect("no test panics in here")
+                .expect("no test panics with the lock held")
                 .drains(),
         })
     }
@@ -230,8 +254,12 @@
         Ok(instance.folder(&ask))
     });
     let router = serve(router, "history", instance, |instance, ask: AskHistory| {
-        let state = instance.log.state.lock().expect("no test panics in here");
-        let limit = usize::try_from(ask.limit).expect("a limit is small");
+        let state = instance
+            .shared
+            .state
+            .lock()
+            .expect("no test panics with the lock held");
+        let limit = usize::try_from(ask.limit).expect("a limit fits in usize");
         let entries = state.changes().history(ask.before_version, limit);
         Ok(HistoryReply::History(History { entries }))
     });
@@ -244,9 +272,9 @@
             deadline_ms: drain.deadline_ms,
             now_ms: 1_700_000_000_000,
         });
-        match instance.log.apply(command) {
+        match instance.shared.apply(command) {
             Reply::Drains(drains) => Ok(DrainReply::Drains(Drains { drains })),
-            other => panic!("a drain is answered by drains: {other:?}"),
+            other => panic!("unexpected reply to a drain: {other:?}"),
         }
     });
     let router = serve(
@@ -268,19 +296,29 @@
         instance,
         |instance, ask: AskSuspects| {
             if let Some(released) = ask.release {
-                let request = released.parse().expect("the command line checks it");
-                instance.log.apply(Command::Suspects(SuspectsCommand {
+                let request = released
+                    .parse()
+                    .expect("the client sends a valid request key");
+                instance.shared.apply(Command::Suspects(SuspectsCommand {
                     ends: Vec::new(),
                     completed: vec![request],
                 }));
             }
-            let state = instance.log.state.lock().expect("no test panics in here");
+            let state = instance
+                .shared
+                .state
+                .lock()
+                .expect("no test panics with the lock held");
             let suspects = state.routing().suspects().records(10);
             Ok(SuspectsReply::Suspects(SuspectRecords { suspects }))
         },
     );
     let router = serve(router, "orders", instance, |instance, ask: AskOrders| {
-        let state = instance.log.state.lock().expect("no test panics in here");
+        let state = instance
+            .shared
+            .state
+            .lock()
+            .expect("no test panics with the lock held");
         let orders = state.orders().list(&ask.instance, 10);
         Ok(OrdersReply::Orders(Orders { orders }))
     });
@@ -294,8 +332,8 @@
             version: order.version,
             now_ms: 1_700_000_000_000,
         });
-        let Reply::Order(order) = instance.log.apply(command) else {
-            panic!("an order is answered by the order");
+        let Reply::Order(order) = instance.shared.apply(command) else {
+            panic!("unexpected reply to an order");
         };
         if instance.loses_answer() {
             return Err(StatusCode::SERVICE_UNAVAILABLE);
@@ -306,9 +344,9 @@
     })
 }
 
-/// Holds two instances of the fake, a folder to work in, and an operator's key.
-pub struct Desk {
-    pub log: Arc<Log>,
+/// Two fake control instances, a temporary folder, and an operator's key.
+pub struct Fixture {
+    pub shared: Arc<SharedState>,
     pub first: Arc<Instance>,
     pub second: Arc<Instance>,
     pub folder: tempfile::TempDir,
@@ -316,33 +354,33 @@
     _servers: Vec<ServerHandle>,
 }
 
-impl Desk {
-    pub async fn open() -> Self {
-        let log = Arc::<Log>::default();
+impl Fixture {
+    pub async fn start() -> Self {
+        let shared = Arc::<SharedState>::default();
         let instance = || {
             Arc::new(Instance {
-                log: Arc::clone(&log),
+                shared: Arc::clone(&shared),
                 answers_to_lose: AtomicUsize::default(),
                 is_isolated: AtomicBool::default(),
-                tears_folder: AtomicBool::default(),
+                truncates_folder: AtomicBool::default(),
             })
         };
         let (first, second) = (instance(), instance());
         let (mut addresses, mut servers) = (Vec::new(), Vec::new());
         for instance in [&first, &second] {
             let server = Server::bind("127.0.0.1:0", router(instance), Limits::default()).await;
-            let server = server.expect("a free port exists");
+            let server = server.expect("binding a free port succeeds");
             addresses.push(server.local_address().to_string());
             servers.push(server);
         }
-        let folder = tempfile::tempdir().expect("the system gives a folder");
+        let folder = tempfile::tempdir().expect("creating a temporary folder succeeds");
         let key = write_key(folder.path(), SECRET);
         let environment = Environment {
             control: Some(addresses.join(",")),
             key_file: Some(key),
         };
         Self {
-            log,
+            shared,
             first,
             second,
             folder,
@@ -351,17 +389,17 @@
         }
     }
 
-    /// Writes files into a folder, and returns its path.
+    /// Writes files into a folder and returns its path.
     pub fn write(&self, name: &str, files: &[(&str, &str)]) -> String {
         let path = self.folder.path().join(name);
-        std::fs::create_dir_all(&path).expect("the folder is ours");
+        std::fs::create_dir_all(&path).expect("the temporary folder is writable");
         for (name, text) in files {
-            std::fs::write(path.join(name), text).expect("the folder is ours");
+            std::fs::write(path.join(name), text).expect("the temporary folder is writable");
         }
         path.display().to_string()
     }
 
-    /// Runs a command, and returns its end, its answer and its notes.
+    /// Runs a command and returns its exit code, its answer and its notes.
     pub async fn run(&self, args: &[&str]) -> (Exit, String, String) {
         run_with(args, &self.environment).await
     }
@@ -374,9 +412,9 @@
 pub fn write_key(folder: &Path, secret: &str) -> String {
     use std::os::unix::fs::PermissionsExt;
     let path = folder.join("key");
-    std::fs::write(&path, secret).expect("the folder is ours");
+    std::fs::write(&path, secret).expect("the temporary folder is writable");
     let mode = std::fs::Permissions::from_mode(0o600);
-    std::fs::set_permissions(&path, mode).expect("the file is ours");
+    std::fs::set_permissions(&path, mode).expect("the temporary file is writable");
     path.display().to_string()
 }
 
@@ -385,7 +423,7 @@
     let (mut out, mut notes) = (Vec::new(), Vec::new());
     let mut streams = Streams::new(&mut out, &mut notes);
     let exit = run(&args, environment, &mut streams).await;
-    let text = |bytes| String::from_utf8(bytes).expect("answers are text");
+    let text = |bytes| String::from_utf8(bytes).expect("answers are UTF-8");
     (exit, text(out), text(notes))
 }
 
@@ -407,7 +445,7 @@
     }
 }
 
-/// Serves metrics pages: each one once, and the last one from then on.
+/// Serves metrics pages, each of them once, and then the last one again and again.
 pub async fn serve_pages(pages: &[&str]) -> ServerHandle {
     let pages: Arc<Vec<String>> = Arc::new(pages.iter().map(|page| (*page).to_owned()).collect());
     let asked = Arc::new(AtomicUsize::new(0));
@@ -417,5 +455,5 @@
         async move { viz::Result::Ok(page) }
     });
     let server = Server::bind("127.0.0.1:0", router, Limits::default()).await;
-    server.expect("a free port exists")
+    server.expect("binding a free port succeeds")
 }
--- a/crates/ctl/tests/shares.rs
+++ b/crates/ctl/tests/shares.rs
@@ -1,4 +1,4 @@
-//! Checks what `shares` adds up out of logs.
+//! Checks the sums that `shares` prints from logs.
 
 use hinge_cases::cases;
 use sequoiactl::{Environment, Exit, Streams, run};
@@ -24,26 +24,26 @@
 }
 
 fn shares_with(options: &[&str], logs: &[&str]) -> (Exit, String) {
-    let folder = tempfile::tempdir().expect("the system gives a folder");
+    let folder = tempfile::tempdir().expect("creating a temporary folder succeeds");
     let mut args = vec!["shares".to_owned()];
     args.extend(options.iter().map(|option| (*option).to_owned()));
     for (number, text) in logs.iter().enumerate() {
         let path = folder.path().join(format!("side-{number}.log"));
-        std::fs::write(&path, text).expect("the folder is ours");
+        std::fs::write(&path, text).expect("the temporary folder is writable");
         args.push(path.display().to_string());
     }
     let (mut out, mut notes) = (Vec::new(), Vec::new());
     let mut streams = Streams::new(&mut out, &mut notes);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
-        .expect("the system gives a runtime");
+        .expect("starting a runtime succeeds");
     let exit = runtime.block_on(run(&args, &Environment::default(), &mut streams));
-    (exit, String::from_utf8(out).expect("answers are text"))
+    (exit, String::from_utf8(out).expect("answers are UTF-8"))
 }
 
-/// Writes the logs of a gateway and an admission over six seconds: `shop` is served all that it asks for, and `surf`, which asks for
-/// as much, is granted a tenth of it, a part of which never begins.
-fn a_team_that_is_short() -> [Vec<String>; 2] {
+/// Returns the logs of a gateway and an admission over six seconds. `shop` gets all that it asks for; `surf` asks for twice as
+/// much, is granted a tenth of what `shop` gets, and none of its requests begins.
+fn logs_of_a_short_team() -> [Vec<String>; 2] {
     let (mut gateway, mut admission) = (Vec::new(), Vec::new());
     for second in 30..36 {
         let ended = format!("2026-06-07T07:03:{second}.900Z info [gateway] Request.");
@@ -61,14 +61,14 @@
         }
         admission.push(format!("{granted} team=surf {tokens}"));
     }
-    let plain = "2026-06-07T07:03:32.000Z info [gateway] Request. outcome=complete team=- prompt_tokens=0 answer_tokens=0 first_ms=5 ms=5";
-    gateway.push(plain.into());
+    let without_team = "2026-06-07T07:03:32.000Z info [gateway] Request. outcome=complete team=- prompt_tokens=0 answer_tokens=0 first_ms=5 ms=5";
+    gateway.push(without_team.into());
     [gateway, admission]
 }
 
 cases! {
-    a_team_below_half_of_the_best_served_is_shown_with_the_stages_of_its_requests => {
-        let [gateway, admission] = a_team_that_is_short();
+    a_team_below_half_of_the_best_served_team_is_short_and_its_stages_are_shown => {
+        let [gateway, admission] = logs_of_a_short_team();
         let logs = [gateway.join("\n"), admission.join("\n")];
         let (exit, text) = shares_with(&["--team", "surf"], &[&logs[0], &logs[1]]);
         assert_eq!(exit, Exit::Ok);
@@ -77,8 +77,8 @@
         let second = "3 s: asked 20000, overloaded 10000, not run 10000, granted 1000, began 0";
         assert!(text.contains(second), "{text}");
     }
-    a_teams_requests_are_shown_by_gateway_with_the_time_for_which_it_did_not_listen => {
-        let [gateway, admission] = a_team_that_is_short();
+    requests_of_a_team_are_shown_by_gateway_with_its_connections_and_shut_time => {
+        let [gateway, admission] = logs_of_a_short_team();
         let load = "2026-06-07T07:03:33.950Z info [gateway] Load. connections=7 begun=2 refused_hot_teams=10 shut_ms=320 limit=24 lag_ms=82";
         let other = "2026-06-07T07:03:33.600Z info [gateway] Request. outcome=complete team=surf prompt_tokens=500 answer_tokens=0 first_ms=20 ms=100";
         let logs = [format!("{}\n{load}", gateway.join("\n")), admission.join("\n"), other.into()];
@@ -87,18 +87,18 @@
         assert!(text.contains(flooded), "{text}");
         let calm = "3 s, side-2: asked 500, overloaded 0, not run 0, granted 0, began 500\n";
         assert!(text.contains(calm), "{text}");
-        assert!(!text.contains("side-1:"), "an admission is no gateway: {text}");
+        assert!(!text.contains("side-1:"), "an admission is not a gateway: {text}");
     }
-    a_team_that_does_not_wait_is_not_short => {
-        let [mut gateway, admission] = a_team_that_is_short();
+    a_team_without_rejections_in_every_second_is_not_short => {
+        let [mut gateway, admission] = logs_of_a_short_team();
         gateway.retain(|line| !line.contains(":33."));
         let (_, text) = shares(&[&gateway.join("\n"), &admission.join("\n")]);
         assert!(!text.contains("short from"), "{text}");
     }
-    gap_and_use_and_teams_are_added_up_over_all_logs => {
+    gaps_engine_load_and_teams_are_summed_up_over_all_logs => {
         let (exit, text) = shares(&[SIDE_1, SIDE_2]);
         assert_eq!(exit, Exit::Ok);
-        // Of the first window, surf has 1,000 and twice 100 tokens and shop 300; calm waits for nothing.
+        // In the first window surf has 1,000 plus twice 100 tokens, and shop 300; calm has no refusal, so it is not compared.
         let gap = "median 900, widest 900 (from 0 s: surf before shop)";
         assert!(text.contains(gap), "{text}");
         assert!(text.contains("running 666, reading 333"), "{text}");
@@ -109,7 +109,7 @@
         let (exit, text) = shares(&["nothing\n"]);
         assert_eq!((exit, text.trim()), (Exit::Failed, ""));
     }
-    the_logs_must_be_named => {
+    logs_are_required => {
         let (exit, _) = shares(&[]);
         assert_ne!(exit, Exit::Ok);
     }
