--- a/crates/ctl/src/args.rs
+++ b/crates/ctl/src/args.rs
@@ -46,15 +46,15 @@
 
 /// The flags that every command takes.
 #[derive(Debug)]
-pub(crate) struct Globals {
+pub(crate) struct GlobalFlags {
     pub(crate) control: Option<String>,
     pub(crate) operator_key: Option<String>,
     pub(crate) timeout: Option<Duration>,
 }
 
 impl Arguments {
-    pub(crate) fn globals(&self) -> Globals {
-        Globals {
+    pub(crate) fn global_flags(&self) -> GlobalFlags {
+        GlobalFlags {
             control: self.control.clone(),
             operator_key: self.operator_key.clone(),
             timeout: self.timeout,
--- a/crates/ctl/src/control_config.rs
+++ b/crates/ctl/src/control_config.rs
@@ -7,7 +7,7 @@
 use hinge_link::ClusterKey;
 
 use crate::Environment;
-use crate::args::Globals;
+use crate::args::GlobalFlags;
 use crate::control_client::ControlClient;
 use crate::failure::Failure;
 
@@ -26,14 +26,14 @@
 }
 
 impl ControlConfig {
-    pub(crate) fn resolve(globals: &Globals, environment: &Environment) -> Self {
+    pub(crate) fn resolve(flags: &GlobalFlags, environment: &Environment) -> Self {
         let flag_or_env = |flag: &Option<String>, fallback: &Option<String>| {
             flag.clone().or_else(|| fallback.clone())
         };
         Self {
-            control: flag_or_env(&globals.control, &environment.control),
-            key_file: flag_or_env(&globals.operator_key, &environment.key_file),
-            timeout: globals.timeout,
+            control: flag_or_env(&flags.control, &environment.control),
+            key_file: flag_or_env(&flags.operator_key, &environment.key_file),
+            timeout: flags.timeout,
         }
     }
 
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -82,7 +82,7 @@
     environment: &Environment,
     output: &mut Output<'_, '_>,
 ) -> Result<Exit, Failure> {
-    let control = control_config::ControlConfig::resolve(&parsed.globals(), environment);
+    let control = control_config::ControlConfig::resolve(&parsed.global_flags(), environment);
     let Some(command) = parsed.command else {
         let message = "which command? `sequoiactl --help` lists them";
         return Err(Failure::invalid(message));
--- a/crates/ctl/src/shares.rs
+++ b/crates/ctl/src/shares.rs
@@ -91,7 +91,7 @@
             share.refused_tokens += decision.tokens;
         }
     }
-    (shares, StageTable::of(&events, connection_events))
+    (shares, StageTable::new(&events, connection_events))
 }
 
 /// Decision of an admission on a request.
--- a/crates/ctl/src/stages.rs
+++ b/crates/ctl/src/stages.rs
@@ -100,7 +100,7 @@
 
 impl StageTable {
     /// Creates a table by team and second from events in any order.
-    pub(crate) fn of(events: &[StageEvent], connection_counts: Vec<ConnectionEvent>) -> Self {
+    pub(crate) fn new(events: &[StageEvent], connection_counts: Vec<ConnectionEvent>) -> Self {
         let mut table = Self::default();
         let first = events.iter().map(|event| event.at).min();
         let first = first.unwrap_or_default();
