--- a/crates/ctl/src/args.rs
+++ b/crates/ctl/src/args.rs
@@ -86,7 +86,7 @@
     Undrain(UndrainOptions),
     /// remove a control instance that is gone for good from the quorum
     RemoveControl(RemoveControlOptions),
-    /// list requests that endpoints terminated on, or release one: suspects --release REQUEST
+    /// list requests during which endpoints crashed, or release one: suspects --release REQUEST
     Suspects(SuspectsOptions),
     /// list orders to endpoints, or place one: orders place INSTANCE KIND SUBJECT
     Orders(OrdersOptions),
@@ -265,12 +265,13 @@
     pub(crate) instance: String,
 }
 
-/// Lists the requests that endpoints terminated on and that have not completed since. Requests that gateways reject come first.
+/// Lists the requests during which endpoints crashed and that have not completed since. Requests that gateways reject
+/// come first.
 #[derive(Debug, Options)]
 pub(crate) struct SuspectsOptions {
     /// print this help
     pub(crate) help: bool,
-    /// let this request reach endpoints again, for example after the endpoints were fixed
+    /// send this request to endpoints again, for example after a fix of the endpoints
     #[options(no_short, meta = "REQUEST", parse(try_from_str = "request_key"))]
     pub(crate) release: Option<String>,
 }
--- a/crates/ctl/src/commands/suspects.rs
+++ b/crates/ctl/src/commands/suspects.rs
@@ -1,4 +1,4 @@
-//! Lists the requests that endpoints terminated on, and releases one.
+//! Lists the requests during which endpoints crashed, and releases one.
 
 use std::fmt::{self, Display};
 
@@ -42,8 +42,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let suspects = &self.records.suspects;
         if suspects.is_empty() {
-            return f
-                .write_str("no endpoint has terminated on a request that has not completed since");
+            return f.write_str(
+                "no endpoint has crashed during a request that has not completed since",
+            );
         }
         let rows: Vec<_> = suspects.iter().map(row).collect();
         f.write_str(&format::table(&["REQUEST", "ENDS", "STATE"], &rows))
--- a/crates/ctl/src/scrape.rs
+++ b/crates/ctl/src/scrape.rs
@@ -74,16 +74,16 @@
             tasks.spawn(async move { scraper.scrape(target, at_ms).await });
         }
         let mut records = tasks.join_all().await;
-        records.sort_by_key(|scrape| instance(scrape).to_owned());
+        records.sort_by_key(|record| instance(record).to_owned());
         records
     }
 
     async fn scrape(&self, target: ScrapeTarget, at_ms: u64) -> Record {
-        let fetch_page = match timeout(PAGE_TIMEOUT, self.fetch_page(&target.address)).await {
-            Ok(fetch_page) => fetch_page,
+        let page = match timeout(PAGE_TIMEOUT, self.fetch_page(&target.address)).await {
+            Ok(page) => page,
             Err(_elapsed) => Err("no answer in time".into()),
         };
-        let samples = fetch_page.and_then(|fetch_page| parse(&fetch_page).map_err(Into::into));
+        let samples = page.and_then(|page| parse(&page).map_err(Into::into));
         match samples {
             Ok(mut samples) => {
                 samples.retain(|sample| sample.series.name.starts_with(METRIC_PREFIX));
@@ -114,8 +114,8 @@
 }
 
 /// Returns the instance that a record is about.
-fn instance(scrape: &Record) -> &str {
-    match scrape {
+fn instance(record: &Record) -> &str {
+    match record {
         Record::Scrape(scrape) => &scrape.instance,
         Record::Missing(missing) => &missing.instance,
         Record::Slots(_) => "",
--- a/crates/ctl/src/stages.rs
+++ b/crates/ctl/src/stages.rs
@@ -194,10 +194,10 @@
         });
         let minimum = could_have_had.sum::<u64>() / SHORT_DIVISOR;
         let had = self.sum(from_s).begun_tokens + SLACK_REQUESTS * self.largest_request_tokens;
-        self.is_turned_away_throughout(from_s) && had < minimum
+        self.has_rejections_throughout(from_s) && had < minimum
     }
 
-    fn is_turned_away_throughout(&self, from_s: u64) -> bool {
+    fn has_rejections_throughout(&self, from_s: u64) -> bool {
         let mut seconds = from_s..from_s + WINDOW_S;
         seconds.all(|second| {
             let stages = self.at(second);
--- a/crates/ctl/tests/control.rs
+++ b/crates/ctl/tests/control.rs
@@ -50,7 +50,7 @@
         let (exit, out, notes) = fixture.run(&["apply", &folder]).await;
         assert_eq!(exit, Exit::Ok, "{notes}");
         assert!(out.starts_with("accepted as version 1, earlier"), "{out}");
-        let received_change_ids = fixture.shared.received_change_ids.lock().expect("no test panics with the lock held").clone();
+        let received_change_ids = fixture.shared.received_change_ids.lock().expect("lock is not poisoned").clone();
         assert_eq!((received_change_ids.len(), &received_change_ids[0]), (2, &received_change_ids[1]));
         assert!(notes.contains(&*received_change_ids[0]), "the id is printed before the change is sent: {notes}");
         assert_eq!(fixture.shared.version(), 1);
@@ -62,7 +62,7 @@
         let (exit, out, notes) = fixture.run(&["apply", &fixture.write("folder", &[SURF])]).await;
         assert_eq!(exit, Exit::Ok, "{notes}");
         assert!(out.starts_with("accepted as version 1, earlier"), "{out}");
-        assert_eq!(fixture.shared.received_change_ids.lock().expect("no test panics with the lock held").len(), 3);
+        assert_eq!(fixture.shared.received_change_ids.lock().expect("lock is not poisoned").len(), 3);
     }
     a_change_without_an_answer_is_found_later_by_its_id => {
         let fixture = Fixture::start().await;
@@ -81,7 +81,7 @@
         let fixture = Fixture::start().await;
         let folder = fixture.write("folder", &[SURF]);
         assert_eq!(fixture.run(&["apply", &folder]).await.0, Exit::Ok);
-        *fixture.shared.competing_file.lock().expect("no test panics with the lock held") = Some(competing_file("a.toml"));
+        *fixture.shared.competing_file.lock().expect("lock is not poisoned") = Some(competing_file("a.toml"));
         fixture.write("folder", &[("a.toml", "[teams.surf]\nshare = 5\n"), BOARD]);
         let (exit, out, _) = fixture.run(&["apply", &folder]).await;
         assert_eq!(exit, Exit::Conflict);
@@ -118,13 +118,13 @@
     }
     a_wait_names_the_processes_that_lack_the_version_and_times_out => {
         let fixture = Fixture::start().await;
-        fixture.shared.members.lock().expect("no test panics with the lock held").push(member("sidecar-a", 0));
+        fixture.shared.members.lock().expect("lock is not poisoned").push(member("sidecar-a", 0));
         let folder = fixture.write("folder", &[SURF]);
         let (exit, out, notes) = fixture.run(&["apply", &folder, "--wait"]).await;
         assert_eq!(exit, Exit::Ok, "{notes}");
         assert!(notes.contains("version 1: 1 of 1 processes lack it: sidecar-a (0)"), "{notes}");
         assert!(out.contains("version 1 is in force at 1 processes"), "{out}");
-        fixture.shared.members.lock().expect("no test panics with the lock held").push(member("stuck", 0));
+        fixture.shared.members.lock().expect("lock is not poisoned").push(member("stuck", 0));
         let (exit, out, notes) = fixture.run(&["wait", "--version", "1", "--timeout", "1s"]).await;
         assert_eq!(exit, Exit::TimedOut, "{notes}");
         assert!(out.contains("1 of 2 processes lack it: stuck (0)"), "{out}");
@@ -188,7 +188,7 @@
     }
     a_report_collects_pages_and_records_them => {
         let fixture = Fixture::start().await;
-        fixture.shared.members.lock().expect("no test panics with the lock held").push(member("sidecar-a", 0));
+        fixture.shared.members.lock().expect("lock is not poisoned").push(member("sidecar-a", 0));
         let pages = serve_pages(&["hinge_entry_requests_total{outcome=\"completed\",reason=\"\"} 1", "hinge_entry_requests_total{outcome=\"completed\",reason=\"\"} 90\nhinge_entry_requests_total{outcome=\"not_run\",reason=\"shed\"} 10"]).await;
         let folder = fixture.write("folder", &[("a.toml", "[objectives.whole]\nwhat = 'answered_whole'\ntarget = 99\n")]);
         let path = |name: &str| fixture.folder.path().join(name).display().to_string();
@@ -248,7 +248,7 @@
             plan("day", UpgradeState::Stopped, "x failed load_model", 0),
             plan("night", UpgradeState::Waiting, "the window is closed", 1_700_000_000_000),
         ];
-        *fixture.shared.upgrades.lock().expect("no test panics with the lock held") = Some(Upgrades { plans, stops: vec![stop] });
+        *fixture.shared.upgrades.lock().expect("lock is not poisoned") = Some(Upgrades { plans, stops: vec![stop] });
         let (exit, out, notes) = fixture.run(&["upgrade", "status"]).await;
         assert_eq!(exit, Exit::Ok, "{notes}");
         for line in [
--- a/crates/ctl/tests/fake_control/mod.rs
+++ b/crates/ctl/tests/fake_control/mod.rs
@@ -48,10 +48,7 @@
 
 impl SharedState {
     pub fn apply(&self, command: Command) -> Reply {
-        let mut state = self
-            .state
-            .lock()
-            .expect("no test panics with the lock held");
+        let mut state = self.state.lock().expect("lock is not poisoned");
         let index = state.applied_index() + 1;
         state.apply(index, 1, command)
     }
@@ -74,10 +71,7 @@
     }
 
     pub fn version(&self) -> u64 {
-        let state = self
-            .state
-            .lock()
-            .expect("no test panics with the lock held");
+        let state = self.state.lock().expect("lock is not poisoned");
         state.changes().folder().version()
     }
 }
@@ -110,12 +104,12 @@
         shared
             .received_change_ids
             .lock()
-            .expect("no test panics with the lock held")
+            .expect("lock is not poisoned")
             .push(apply.change_id.clone());
         if let Some(file) = shared
             .competing_file
             .lock()
-            .expect("no test panics with the lock held")
+            .expect("lock is not poisoned")
             .take()
         {
             let competing_file = Apply {
@@ -138,11 +132,7 @@
         if let Err(unavailable) = self.check() {
             return FolderReply::Unavailable(unavailable);
         }
-        let state = self
-            .shared
-            .state
-            .lock()
-            .expect("no test panics with the lock held");
+        let state = self.shared.state.lock().expect("lock is not poisoned");
         let folder = state.changes().folder();
         let mut delta = folder.delta_since(ask.config_version);
         if let Some(delta) = delta
@@ -161,11 +151,7 @@
         if let Err(unavailable) = self.check() {
             return UpgradesReply::Unavailable(unavailable);
         }
-        let upgrades = self
-            .shared
-            .upgrades
-            .lock()
-            .expect("no test panics with the lock held");
+        let upgrades = self.shared.upgrades.lock().expect("lock is not poisoned");
         let mut upgrades = upgrades.clone().expect("the test sets the answer");
         let is_asked = |name: &str| ask.name.is_empty() || *ask.name == *name;
         upgrades.plans.retain(|plan| is_asked(&plan.plan));
@@ -180,11 +166,7 @@
         // From the second call on, every process except `stuck` has the newest version.
         let calls = self.shared.status_calls.fetch_add(1, Ordering::SeqCst);
         let config_version = self.shared.version();
-        let mut members = self
-            .shared
-            .members
-            .lock()
-            .expect("no test panics with the lock held");
+        let mut members = self.shared.members.lock().expect("lock is not poisoned");
         if calls > 0 {
             let late = members
                 .iter_mut()
@@ -205,7 +187,7 @@
                 .shared
                 .state
                 .lock()
-                .expect("no test panics with the lock held")
+                .expect("lock is not poisoned")
                 .drains(),
         })
     }
@@ -254,11 +236,7 @@
         Ok(instance.folder(&ask))
     });
     let router = serve(router, "history", instance, |instance, ask: AskHistory| {
-        let state = instance
-            .shared
-            .state
-            .lock()
-            .expect("no test panics with the lock held");
+        let state = instance.shared.state.lock().expect("lock is not poisoned");
         let limit = usize::try_from(ask.limit).expect("a limit fits in usize");
         let entries = state.changes().history(ask.before_version, limit);
         Ok(HistoryReply::History(History { entries }))
@@ -304,21 +282,13 @@
                     completed: vec![request],
                 }));
             }
-            let state = instance
-                .shared
-                .state
-                .lock()
-                .expect("no test panics with the lock held");
+            let state = instance.shared.state.lock().expect("lock is not poisoned");
             let suspects = state.routing().suspects().records(10);
             Ok(SuspectsReply::Suspects(SuspectRecords { suspects }))
         },
     );
     let router = serve(router, "orders", instance, |instance, ask: AskOrders| {
-        let state = instance
-            .shared
-            .state
-            .lock()
-            .expect("no test panics with the lock held");
+        let state = instance.shared.state.lock().expect("lock is not poisoned");
         let orders = state.orders().list(&ask.instance, 10);
         Ok(OrdersReply::Orders(Orders { orders }))
     });
