--- a/crates/ctl/src/commands/apply.rs
+++ b/crates/ctl/src/commands/apply.rs
@@ -116,7 +116,7 @@
             change_id: self.earlier_id.map_or_else(generate_change_id, Box::from),
             base_version,
             note: self.note.into(),
-            // Control fills in the operator whose key signed the call.
+            // Control fills in the operator that the key belongs to.
             operator: Box::default(),
             put,
             removed,
--- a/crates/ctl/src/commands/explain.rs
+++ b/crates/ctl/src/commands/explain.rs
@@ -19,19 +19,19 @@
     } else {
         Exit::Ok
     };
-    output.show(&ExplainAnswer { timeline })?;
+    output.show(&ExplainAnswer { story: timeline })?;
     Ok(exit)
 }
 
 #[derive(Serialize)]
 struct ExplainAnswer {
     #[serde(flatten)]
-    timeline: Timeline,
+    story: Timeline,
 }
 
 impl Display for ExplainAnswer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let timeline = &self.timeline;
+        let timeline = &self.story;
         writeln!(f, "{}: {}", timeline.id, timeline.outcome)?;
         for (title, lines) in [("lines", &timeline.lines), ("around it", &timeline.context)] {
             if lines.is_empty() {
