--- a/crates/ctl/src/commands/explain.rs
+++ b/crates/ctl/src/commands/explain.rs
@@ -13,13 +13,13 @@
 
 /// Runs `explain`.
 pub(crate) fn run(options: &ExplainOptions, output: &mut Output<'_, '_>) -> Result<Exit, Failure> {
-    let timeline = build_timeline(&options.id, &read_logs(&options.logs)?);
-    let exit = if timeline.lines.is_empty() {
+    let story = build_timeline(&options.id, &read_logs(&options.logs)?);
+    let exit = if story.lines.is_empty() {
         Exit::Failed
     } else {
         Exit::Ok
     };
-    output.show(&ExplainAnswer { story: timeline })?;
+    output.show(&ExplainAnswer { story })?;
     Ok(exit)
 }
 
