--- a/crates/outcome/examples/key_cost.rs
+++ b/crates/outcome/examples/key_cost.rs
@@ -1,4 +1,6 @@
-//! Measures what a key costs in memory and in a snapshot: `cargo run --release -p hinge-outcome --example key_cost`.
+//! Measures the bytes that a key takes in memory and in a snapshot.
+//!
+//! Run with `cargo run --release -p hinge-outcome --example key_cost`.
 
 use std::{error, fs};
 
@@ -7,10 +9,10 @@
     keys::{KeyRules, KeyTable, key_digest},
 };
 
-/// Keys in the table; as many as the default bound allows.
+/// Number of keys in the table, the default limit.
 const KEYS: u32 = 100_000;
 
-/// Teams that share them, as many as the target size has.
+/// Number of teams that share the keys, as in a fleet of the target size.
 const TEAMS: u32 = 1500;
 
 fn main() -> Result<(), Box<dyn error::Error>> {
--- a/crates/outcome/src/answer.rs
+++ b/crates/outcome/src/answer.rs
@@ -1,4 +1,4 @@
-//! Checks at the entry that an answer is whole and belongs to its request.
+//! Validation at the entry that an answer is complete and belongs to its request.
 
 use std::{error, fmt};
 
@@ -6,20 +6,20 @@
 
 use crate::{ids::AttemptId, outcome::Reason};
 
-/// Describes a frame of an answer; the bytes of a chunk travel beside it.
+/// The metadata of an answer frame; the bytes of a chunk are carried separately.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "frame", rename_all = "snake_case")]
 pub enum Frame {
-    /// Status and header fields of the answer.
+    /// Start of the answer, with its status and header fields.
     Head {
         /// Attempt that the answer belongs to.
         attempt: AttemptId,
     },
-    /// Bytes of the answer's body.
+    /// A part of the answer's body.
     Chunk {
         /// Attempt that the answer belongs to.
         attempt: AttemptId,
-        /// Place of the first byte in the body.
+        /// Offset of the first byte in the body.
         offset: u64,
         /// Number of bytes.
         len: u64,
@@ -45,25 +45,25 @@
     }
 }
 
-/// Says what to do with a frame that fits.
+/// What to do with a valid frame.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Accepted {
-    /// Pass the head on to the caller.
+    /// Pass the head to the caller.
     Head,
-    /// Pass the chunk on, without its first `skip` bytes, which the caller has from before a resume.
+    /// Pass the chunk on without its first `skip` bytes, which the caller received before a resume.
     Chunk {
-        /// Number of bytes to leave out.
+        /// Number of bytes to skip.
         skip: u64,
         /// Number of bytes to pass on.
         pass: u64,
     },
-    /// The caller has this already; pass nothing on.
+    /// The caller already has this; pass nothing on.
     Nothing,
-    /// The answer is whole.
+    /// The answer is complete.
     End,
 }
 
-/// Says what is wrong with an answer.
+/// An error in the sequence of an answer's frames.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerFault {
     /// A frame belongs to another attempt.
@@ -71,9 +71,9 @@
         /// Attempt named by the frame.
         attempt: AttemptId,
     },
-    /// A chunk or an end came before the head.
+    /// A chunk or the end arrived before the head.
     NoHead,
-    /// The head came twice.
+    /// The head arrived twice.
     HeadRepeated,
     /// Bytes are missing before this chunk or end.
     Gap {
@@ -82,23 +82,23 @@
         /// Offset received.
         offset: u64,
     },
-    /// A chunk repeats bytes without a resume.
+    /// A chunk repeats bytes although the exchange was not resumed.
     Repeated {
         /// Offset expected.
         expected: u64,
         /// Offset received.
         offset: u64,
     },
-    /// The end names fewer bytes than have come, or a chunk's range overflows.
+    /// The end gives a total below the bytes received, or a chunk's range overflows.
     BadLength,
-    /// A frame came after the end.
+    /// A frame arrived after the end.
     AfterEnd,
-    /// The exchange is over and the end never came.
+    /// The exchange closed before the end arrived.
     NoEnd,
 }
 
 impl AnswerFault {
-    /// Returns the reason that the caller is told.
+    /// Returns the reason to report to the caller.
     #[must_use]
     pub fn reason(&self) -> Reason {
         match self {
@@ -117,35 +117,35 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Crossed { attempt } => write!(f, "a frame belongs to attempt {attempt}"),
-            Self::NoHead => f.write_str("a frame came before the head"),
-            Self::HeadRepeated => f.write_str("the head came twice"),
+            Self::NoHead => f.write_str("a frame arrived before the head"),
+            Self::HeadRepeated => f.write_str("the head arrived twice"),
             Self::Gap { expected, offset } => write!(f, "bytes {expected} to {offset} are missing"),
             Self::Repeated { expected, offset } => {
-                write!(f, "bytes {offset} to {expected} came twice")
+                write!(f, "bytes {offset} to {expected} arrived twice")
             }
-            Self::BadLength => f.write_str("the lengths don't add up"),
-            Self::AfterEnd => f.write_str("a frame came after the end"),
-            Self::NoEnd => f.write_str("the end is missing"),
+            Self::BadLength => f.write_str("the announced lengths are inconsistent"),
+            Self::AfterEnd => f.write_str("a frame arrived after the end"),
+            Self::NoEnd => f.write_str("the exchange closed before the end of the answer"),
         }
     }
 }
 
 impl error::Error for AnswerFault {}
 
-/// Checks the frames of one attempt's answer in the order of their arrival.
+/// A validator of one attempt's answer, which takes the frames in the order of their arrival.
 #[derive(Debug, Clone)]
 pub struct AnswerCheck {
     attempt: AttemptId,
     has_head: bool,
     next_offset: u64,
     has_ended: bool,
-    // Set by a resume until the first new byte: only then may bytes, or the head, come again.
+    // Set from a resume until the first new byte: only then may bytes or the head be repeated.
     may_overlap: bool,
     fault: Option<AnswerFault>,
 }
 
 impl AnswerCheck {
-    /// Opens the check of an attempt's answer.
+    /// Creates the validator of an attempt's answer.
     #[must_use]
     pub fn open(attempt: AttemptId) -> Self {
         Self {
@@ -158,11 +158,11 @@
         }
     }
 
-    /// Takes the next frame and says what to pass on.
+    /// Validates the next frame and returns what to pass on.
     ///
     /// # Errors
     ///
-    /// Returns the fault, and again for every later frame: an answer that was broken once is never whole.
+    /// Returns the error, and the same error for every later frame: an answer never recovers from an invalid frame.
     pub fn accept(&mut self, frame: Frame) -> Result<Accepted, AnswerFault> {
         if let Some(fault) = self.fault {
             return Err(fault);
@@ -174,11 +174,11 @@
         checked
     }
 
-    /// Ends the check, as the exchange is over and won't be resumed.
+    /// Ends the validation when the exchange is closed and won't be resumed.
     ///
     /// # Errors
     ///
-    /// Returns the fault that was found, or [`AnswerFault::NoEnd`] if the answer is not whole.
+    /// Returns the error found earlier, or [`AnswerFault::NoEnd`] if the answer is incomplete.
     pub fn close(&self) -> Result<(), AnswerFault> {
         match self.fault {
             Some(fault) => Err(fault),
@@ -187,25 +187,25 @@
         }
     }
 
-    /// Returns whether the answer is whole.
+    /// Returns whether the answer is complete.
     #[must_use]
     pub fn is_whole(&self) -> bool {
         self.has_ended && self.fault.is_none()
     }
 
-    /// Returns whether the head has come.
+    /// Returns whether the head has arrived.
     #[must_use]
     pub fn has_head(&self) -> bool {
         self.has_head
     }
 
-    /// Returns the number of body bytes passed on, which is where a resume has to start.
+    /// Returns the number of body bytes passed on, which is the offset for a resume.
     #[must_use]
     pub fn resume_offset(&self) -> u64 {
         self.next_offset
     }
 
-    /// Notes that the exchange is resumed; frames of the broken exchange must not be fed any more.
+    /// Records that the exchange is resumed; frames of the broken exchange must no longer be passed in.
     pub fn resume(&mut self) {
         self.may_overlap = true;
     }
--- a/crates/outcome/src/attempt.rs
+++ b/crates/outcome/src/attempt.rs
@@ -1,8 +1,8 @@
-//! Follows one attempt at a request at the entry, and decides what may be said and done.
+//! The state machine of one attempt at a request, at the entry.
 //!
 //! An attempt offers the request to some sidecars, binds it to at most one grant, and ends with exactly one [`Outcome`].
-//! "Not run" is only said with proof: the bind was never sent, or the sidecar that granted says, in the same incarnation,
-//! that it never handed the request over.
+//! [`Outcome::NotRun`] is reported only with proof: either the bind was never sent, or the sidecar that granted, still in the
+//! same incarnation, states that it never handed the request over to the endpoint.
 
 use std::time::Duration;
 
@@ -13,113 +13,113 @@
     run::Verdict,
 };
 
-/// Says how far an attempt has come.
+/// The state of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptState {
-    /// Offers are out, or about to go out, and none is granted.
+    /// Offers have been sent or are about to be sent, and none is granted.
     Offered,
-    /// A sidecar has granted; nothing of the request has been sent.
+    /// A sidecar has granted an offer; no part of the request has been sent.
     Granted(Holder),
-    /// The request, or a part of it, has been sent.
+    /// The request has been sent, at least in part.
     Bound(Holder),
-    /// The head of the answer has reached the caller.
+    /// The head of the answer has been passed to the caller.
     HeadSeen(Holder),
-    /// Bytes of the answer's body have reached the caller.
+    /// Bytes of the answer's body have been passed to the caller.
     Streaming(Holder),
     /// The attempt has its final outcome.
     Done(Outcome),
 }
 
-/// Holds what the entry learns about an attempt.
+/// An input to the state machine of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
-    /// An offer goes out.
+    /// An offer is sent.
     OfferSent,
     /// A sidecar refuses an offer.
     OfferRefused {
         /// Why the offer was refused.
         reason: Reason,
-        /// When the sidecar would look at another offer.
+        /// How long to wait before the sidecar is offered the request again.
         retry_after: Duration,
     },
-    /// A sidecar grants.
+    /// A sidecar grants an offer.
     Granted(Holder),
-    /// The bind is about to be written; feed this before the first byte leaves.
+    /// The bind is about to be sent; must be applied before its first byte is written.
     BindSent,
-    /// The exchange with a sidecar broke.
+    /// The exchange with a sidecar broke off.
     LinkLost(SidecarId),
-    /// The sidecar speaks about the run, on the exchange itself or asked after a break.
+    /// The sidecar reports the state of the run, on the exchange itself or when asked after a break.
     Verdict {
-        /// Incarnation of the sidecar that speaks.
+        /// Incarnation of the sidecar that reports.
         incarnation: Incarnation,
-        /// What it says.
+        /// The reported state.
         verdict: Verdict,
     },
-    /// The sidecar could not be asked, and the entry gives up on asking.
+    /// The sidecar could not be asked for its verdict, and the entry stops trying.
     AskFailed,
     /// The sidecar can no longer send the rest of the answer.
     ResumeRefused,
-    /// The head of the answer passed the check and goes to the caller.
+    /// The head of the answer is valid and can be passed to the caller.
     Head,
-    /// Bytes of the answer passed the check and go to the caller.
+    /// Bytes of the answer are valid and can be passed to the caller.
     Chunk {
         /// Number of new bytes.
         bytes: u64,
     },
-    /// The end of the answer passed the check.
+    /// The end of the answer is valid.
     End,
-    /// The answer failed the check; see [`crate::AnswerFault::reason`].
+    /// The answer is invalid; see [`crate::AnswerFault::reason`].
     AnswerBroken(Reason),
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
     /// The caller's deadline passed.
     Deadline {
-        /// When the caller may come back, if the request did not run.
+        /// How long the caller should wait before a retry, if the request did not run.
         retry_after: Duration,
     },
-    /// The entry gives up, as no further offer can be made.
+    /// The entry gives up because no further offer can be made.
     GiveUp {
         /// Why it gives up.
         reason: Reason,
-        /// When the caller may come back, if the request did not run.
+        /// How long the caller should wait before a retry, if the request did not run.
         retry_after: Duration,
     },
 }
 
-/// Says what the entry has to do next.
+/// The action that the entry must take after an event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
     /// Wait for the next event.
     Wait,
-    /// Every offer is answered: make further offers, or feed [`Event::GiveUp`].
+    /// Every offer has been answered: make further offers, or apply [`Event::GiveUp`].
     OfferMore,
     /// Bind the request to this grant, and withdraw the other offers.
     Bind(Holder),
-    /// Release this grant, as it came too late.
+    /// Release this grant, which came too late.
     Release(Holder),
-    /// Pass the frame on to the caller.
+    /// Pass the frame to the caller.
     Pass,
-    /// Ask this sidecar what became of the run, and feed [`Event::Verdict`] or [`Event::AskFailed`].
+    /// Ask this sidecar for the state of the run, and apply [`Event::Verdict`] or [`Event::AskFailed`].
     Ask(Holder),
     /// Fetch the rest of the answer from this sidecar, from this offset.
     Resume {
-        /// Grant that the run belongs to.
+        /// Grant to which the run belongs.
         holder: Holder,
-        /// Number of bytes that the caller has.
+        /// Number of body bytes that the caller already has.
         offset: u64,
-        /// Whether the caller has the head.
+        /// Whether the caller already has the head.
         has_head: bool,
     },
-    /// Tell the caller this final outcome at once.
+    /// Report this final outcome to the caller immediately.
     Settle {
         /// The final outcome.
         outcome: Outcome,
-        /// Run to cancel, as nobody waits for it any more.
+        /// Run to cancel because nobody waits for it any more.
         cancel: Option<Holder>,
     },
 }
 
-/// Follows one attempt.
+/// One attempt at a request.
 #[derive(Debug, Clone)]
 pub struct Attempt {
     state: AttemptState,
@@ -136,7 +136,7 @@
 }
 
 impl Attempt {
-    /// Opens an attempt without offers.
+    /// Creates an attempt without offers.
     #[must_use]
     pub fn open() -> Self {
         Self {
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Returns how far the attempt has come.
+    /// Returns the state of the attempt.
     #[must_use]
     pub fn state(&self) -> AttemptState {
         self.state
@@ -163,15 +163,15 @@
         }
     }
 
-    /// Returns the number of body bytes that have reached the caller.
+    /// Returns the number of body bytes passed to the caller.
     #[must_use]
     pub fn passed_bytes(&self) -> u64 {
         self.passed_bytes
     }
 
-    /// Returns the finished attempt as the retry rules see it, or `None` while it has no outcome.
+    /// Returns the finished attempt as input to the retry decision, or `None` while it has no outcome.
     ///
-    /// `attempts` counts the attempts at the request so far, this one included.
+    /// `attempts` is the number of attempts at the request so far, including this one.
     #[must_use]
     pub fn tried(&self, is_idempotent: bool, attempts: u32) -> Option<Tried> {
         let outcome = self.outcome()?;
@@ -183,9 +183,9 @@
         })
     }
 
-    /// Takes an event and returns what to do next.
+    /// Applies an event and returns the next action.
     ///
-    /// Events that don't fit the state (late, repeated or forged) change nothing.
+    /// Events that are not valid in the current state (late, repeated or forged) are ignored.
     pub fn on(&mut self, event: Event) -> Step {
         match self.state {
             AttemptState::Offered => self.on_offered(event),
@@ -193,7 +193,7 @@
             AttemptState::Bound(holder)
             | AttemptState::HeadSeen(holder)
             | AttemptState::Streaming(holder) => self.on_bound(holder, event),
-            AttemptState::Done(_) => release_late(event),
+            AttemptState::Done(_) => release_late_grant(event),
         }
     }
 
@@ -209,7 +209,7 @@
                 self.state = AttemptState::Granted(holder);
                 Step::Bind(holder)
             }
-            other => self.give_up_unbound(other, None),
+            other => self.finish_unbound(other, None),
         }
     }
 
@@ -221,24 +221,24 @@
             }
             Event::Granted(other) if other != holder => Step::Release(other),
             Event::LinkLost(sidecar) if sidecar == holder.sidecar => {
-                // Nothing was sent, so the grant is simply gone and the other offers still stand.
+                // Nothing was sent, so only the grant is lost and the other offers are still valid.
                 self.state = AttemptState::Offered;
-                self.more_or_wait()
+                self.offer_more_or_wait()
             }
             Event::OfferRefused { .. } | Event::LinkLost(_) => {
                 self.open_offers = self.open_offers.saturating_sub(1);
                 Step::Wait
             }
-            other => self.give_up_unbound(other, Some(holder)),
+            other => self.finish_unbound(other, Some(holder)),
         }
     }
 
     fn offer_answered(&mut self) -> Step {
         self.open_offers = self.open_offers.saturating_sub(1);
-        self.more_or_wait()
+        self.offer_more_or_wait()
     }
 
-    fn more_or_wait(&self) -> Step {
+    fn offer_more_or_wait(&self) -> Step {
         if self.open_offers == 0 {
             Step::OfferMore
         } else {
@@ -246,12 +246,12 @@
         }
     }
 
-    /// Settles an attempt whose bind was never sent; this is proof enough for "not run".
-    fn give_up_unbound(&mut self, event: Event, cancel: Option<Holder>) -> Step {
+    /// Ends an attempt whose bind was never sent, which proves that the request did not run.
+    fn finish_unbound(&mut self, event: Event, cancel: Option<Holder>) -> Step {
         let Some((reason, retry_after)) = given_up(event) else {
             return Step::Wait;
         };
-        self.settle(
+        self.finish(
             Outcome::NotRun {
                 reason,
                 retry_after,
@@ -271,15 +271,15 @@
                 incarnation,
                 verdict,
             } => self.on_verdict(holder, incarnation, verdict),
-            Event::AskFailed => self.unknown(Reason::SidecarLost, Some(holder)),
-            Event::ResumeRefused => self.unknown(Reason::AnswerTruncated, Some(holder)),
+            Event::AskFailed => self.finish_unknown(Reason::SidecarLost, Some(holder)),
+            Event::ResumeRefused => self.finish_unknown(Reason::AnswerTruncated, Some(holder)),
             Event::Head => self.on_head(holder),
             Event::Chunk { bytes } => self.on_chunk(holder, bytes),
             Event::End => self.on_end(holder),
-            Event::AnswerBroken(reason) => self.unknown(reason, Some(holder)),
+            Event::AnswerBroken(reason) => self.finish_unknown(reason, Some(holder)),
             other => match given_up(other) {
-                // The sidecar could still be asked for proof, but the caller gets the final answer at once.
-                Some((reason, _)) => self.unknown(reason, Some(holder)),
+                // The sidecar could still be asked for proof, but the caller gets its final answer without delay.
+                Some((reason, _)) => self.finish_unknown(reason, Some(holder)),
                 None => Step::Wait,
             },
         }
@@ -307,27 +307,27 @@
 
     fn on_end(&mut self, holder: Holder) -> Step {
         if !self.has_head {
-            // An end without a head is no answer.
-            return self.unknown(Reason::AnswerTruncated, Some(holder));
+            // An end without a head is not a complete answer.
+            return self.finish_unknown(Reason::AnswerTruncated, Some(holder));
         }
-        self.settle(Outcome::Completed, None)
+        self.finish(Outcome::Completed, None)
     }
 
     fn on_verdict(&mut self, holder: Holder, incarnation: Incarnation, verdict: Verdict) -> Step {
         if incarnation != holder.incarnation {
-            // A restarted sidecar knows nothing of the runs of its former life.
-            return self.unknown(Reason::SidecarLost, None);
+            // A restarted sidecar has no record of the runs of its previous incarnations.
+            return self.finish_unknown(Reason::SidecarLost, None);
         }
         let has_head = self.has_head;
         match verdict {
-            // Bytes of an answer are proof of a run, whatever the sidecar says now.
+            // Received answer bytes prove that the request ran, so this verdict contradicts them.
             Verdict::NeverHandedOver { .. } if has_head => {
-                self.unknown(Reason::AnswerGarbled, None)
+                self.finish_unknown(Reason::AnswerGarbled, None)
             }
             Verdict::NeverHandedOver {
                 reason,
                 retry_after,
-            } => self.settle(
+            } => self.finish(
                 Outcome::NotRun {
                     reason,
                     retry_after,
@@ -337,7 +337,7 @@
             Verdict::Completed { answer_bytes }
                 if has_head && answer_bytes == self.passed_bytes =>
             {
-                self.settle(Outcome::Completed, None)
+                self.finish(Outcome::Completed, None)
             }
             Verdict::Running { .. } | Verdict::Completed { .. } if self.asked => {
                 self.asked = false;
@@ -348,22 +348,22 @@
                 }
             }
             Verdict::Running { .. } | Verdict::Completed { .. } => Step::Wait,
-            Verdict::Failed { reason } => self.unknown(reason, None),
-            Verdict::Unknown => self.unknown(Reason::VerdictForgotten, Some(holder)),
+            Verdict::Failed { reason } => self.finish_unknown(reason, None),
+            Verdict::Unknown => self.finish_unknown(Reason::VerdictForgotten, Some(holder)),
         }
     }
 
-    fn unknown(&mut self, reason: Reason, cancel: Option<Holder>) -> Step {
-        self.settle(Outcome::Unknown { reason }, cancel)
+    fn finish_unknown(&mut self, reason: Reason, cancel: Option<Holder>) -> Step {
+        self.finish(Outcome::Unknown { reason }, cancel)
     }
 
-    fn settle(&mut self, outcome: Outcome, cancel: Option<Holder>) -> Step {
+    fn finish(&mut self, outcome: Outcome, cancel: Option<Holder>) -> Step {
         self.state = AttemptState::Done(outcome);
         Step::Settle { outcome, cancel }
     }
 }
 
-/// Returns the reason and the retry delay of an event by which the entry or the caller gives up.
+/// Returns the reason and the retry delay if the entry or the caller gives up with this event.
 fn given_up(event: Event) -> Option<(Reason, Duration)> {
     match event {
         Event::CallerGone => Some((Reason::Cancelled, Duration::ZERO)),
@@ -376,7 +376,7 @@
     }
 }
 
-fn release_late(event: Event) -> Step {
+fn release_late_grant(event: Event) -> Step {
     match event {
         Event::Granted(holder) => Step::Release(holder),
         _ => Step::Wait,
--- a/crates/outcome/src/ids.rs
+++ b/crates/outcome/src/ids.rs
@@ -1,23 +1,23 @@
-//! Names the ids that entries, sidecars and control share.
+//! Identifiers that entries, sidecars and control share.
 
 use serde::{Deserialize, Serialize};
 
-/// Names a sidecar; it is derived from the instance's name by [`sidecar_id`] and is the same in every process.
+/// The id of a sidecar, which [`sidecar_id`] derives from the instance's name, so that it is the same in every process.
 pub type SidecarId = u64;
 
-/// Numbers one life of a sidecar's process; a restarted sidecar takes a higher one.
+/// The incarnation number of a sidecar process; it is higher after every restart.
 pub type Incarnation = u64;
 
-/// Numbers a grant of one incarnation of a sidecar; the sidecar never uses a number twice.
+/// The number of a grant within one incarnation of a sidecar, which never reuses a number.
 pub type ClaimId = u64;
 
-/// Names one attempt at a request; every attempt takes a fresh random one, so that late frames of an earlier attempt differ.
+/// The id of one attempt at a request, drawn at random so that late frames of an earlier attempt are recognised.
 pub type AttemptId = u64;
 
-/// Names a team.
+/// The name of a team.
 pub type TeamId = Box<str>;
 
-/// Names the one grant that a request was bound to.
+/// A grant's fleet-wide identity, which also identifies the run that holds an idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Holder {
     /// Sidecar that granted.
@@ -36,8 +36,8 @@
 
 /// Returns the id of the sidecar with this instance name.
 ///
-/// The id is an FNV-1a hash: stable across processes and versions, as holders are stored in the replicated log. Among
-/// 1,600 sidecars two share an id with a chance of about 7 in 10^14.
+/// The id is an FNV-1a hash, which is stable across processes and versions, as the replicated log stores these ids. The
+/// probability that any two of 1,600 sidecars share an id is about 7 in 10^14.
 #[must_use]
 pub fn sidecar_id(name: &str) -> SidecarId {
     name.bytes().fold(FNV_OFFSET, |hash, byte| {
--- a/crates/outcome/src/keys.rs
+++ b/crates/outcome/src/keys.rs
@@ -1,10 +1,11 @@
-//! Holds the idempotency keys as a replicated table: one key runs at most once, through whichever entry it comes.
+//! The replicated table of idempotency keys: a request with a given key runs at most once, whichever entry receives it.
 //!
-//! Control applies the table's methods from its log, in the log's order and with the log's time, so that every copy holds
-//! the same state; the rules passed in must come from the replicated configuration for the same reason. A method reads no clock and draws nothing at random, and its work is bounded but for the sweeps.
+//! Control applies the table's methods from its log, in the log's order and with the log's time, so that every replica
+//! holds the same state. For the same reason the rules passed in must come from the replicated configuration, and no method
+//! reads a clock or uses randomness. The work of every method except [`KeyTable::holder_lost`] and the sweeps is bounded.
 //!
-//! A key is kept until `keep_finished_ms` after its end. A running key whose holder is lost has an unknown outcome; it is
-//! never granted again before `keep_unknown_ms` have passed since it was claimed, long after a caller would try.
+//! A key is kept until `keep_finished_ms` after its run ended. A running key whose holder is lost has an unknown outcome; it
+//! is not granted again until `keep_unknown_ms` after it was claimed, long after a caller would still retry.
 
 use std::collections::BTreeMap;
 
@@ -16,10 +17,10 @@
     outcome::Reason,
 };
 
-/// Holds the first 128 bits of the SHA-256 of a caller's key.
+/// The first 128 bits of the SHA-256 of a caller's key.
 ///
-/// A digest bounds the size of a key in the log and in memory. Each team's keys are apart, so a caller that finds two keys
-/// with one digest spoils its own requests only.
+/// The digest bounds the size of a key in the log and in memory. Keys are stored per team, so a caller that finds two keys
+/// with the same digest affects only its own team's requests.
 pub type KeyDigest = [u8; 16];
 
 /// Returns the digest of a key as the caller sent it.
@@ -31,7 +32,7 @@
     digest
 }
 
-/// Returns the fingerprint of a request, by which a key that is used for another request is found out.
+/// Returns the fingerprint of a request, which detects that a key is reused for a different request.
 #[must_use]
 pub fn request_fingerprint(method: &str, path: &str, body: &[u8]) -> u64 {
     let mut hash = Sha256::new();
@@ -45,29 +46,30 @@
         .fold(0, |value, byte| (value << 8) | u64::from(*byte))
 }
 
-/// Sets the bounds of the table.
+/// The limits and retention times of the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyRules {
     /// How long a key is kept after its run has ended.
     pub keep_finished_ms: u64,
-    /// How long a key is kept, counted from its claim, if no end of its run was ever reported.
+    /// How long a key is kept after its claim if the end of its run was never reported.
     pub keep_unknown_ms: u64,
-    /// How long a released key remembers its former holder.
+    /// How long a released key's former holder is remembered.
     pub keep_released_ms: u64,
-    /// Keys of one team.
+    /// Maximum number of keys of one team.
     pub max_keys_per_team: usize,
-    /// Keys of all teams together.
+    /// Maximum number of keys of all teams together.
     pub max_keys: usize,
-    /// Keys that every team may hold even if the whole table is full.
+    /// Number of keys that every team may hold even if the table is full.
     pub reserved_keys_per_team: usize,
 }
 
 impl Default for KeyRules {
     /// Returns the defaults.
     ///
-    /// Callers resend a lost request within minutes. 100,000 keys, kept for ten minutes, allow 166 non-idempotent requests
-    /// a second. A team may hold a tenth of them; 32 reserved keys let a small team's push text through while large teams
-    /// fill the table. A day for unknown runs outlasts the longest job and an operator's look at it.
+    /// Callers resend a lost request within minutes. 100,000 keys that are kept for ten minutes allow 166 non-idempotent
+    /// requests per second. A team may hold a tenth of the keys; 32 reserved keys let a small team's push texts through
+    /// while large teams fill the table. Keys of unknown runs are kept for a day, which outlasts the longest job and leaves
+    /// an operator time to look into it.
     fn default() -> Self {
         Self {
             keep_finished_ms: 10 * 60 * 1000,
@@ -80,32 +82,32 @@
     }
 }
 
-/// Sums up how the run of a key ended.
+/// How the run of a key ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum KeyOutcome {
-    /// The run ended with a whole answer.
+    /// The run ended with a complete answer.
     Completed {
         /// HTTP status of the answer.
         status: u16,
         /// Length of the answer's body in bytes.
         answer_bytes: u64,
     },
-    /// The run began and did not end with a whole answer.
+    /// The run began and did not end with a complete answer.
     Failed,
-    /// The sidecar that held the run is lost.
+    /// The sidecar that executed the run is lost.
     Unknown,
 }
 
-/// Answers a claim.
+/// The answer to a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimAnswer {
-    /// The claimer may hand the request over; a claim that is sent again gets this again.
+    /// The claimant may hand the request over; a repeated claim by the same holder gets the same answer.
     Granted,
     /// Another run holds the key.
     AlreadyRunning {
-        /// Time of the log at which the run claimed the key.
+        /// Log time at which the run claimed the key.
         since_ms: u64,
     },
     /// The key's run is over.
@@ -115,17 +117,17 @@
     },
     /// The key was used for another request.
     Conflict,
-    /// The claimer has released the key itself.
+    /// The claimant has released the key itself.
     Withdrawn,
     /// There is no room for another key of this team; the request did not run.
     Full {
-        /// When to try again.
+        /// How long to wait before the next claim.
         retry_after_ms: u64,
     },
 }
 
 impl ClaimAnswer {
-    /// Returns the reason to refuse the request with, or `None` if the claim is granted.
+    /// Returns the reason for refusing the request, or `None` if the claim is granted.
     #[must_use]
     pub fn refusal(&self) -> Option<Reason> {
         match self {
@@ -142,7 +144,7 @@
     }
 }
 
-/// Says how far the run of a key has come.
+/// The state of a key's run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 enum KeyState {
     Running,
@@ -150,7 +152,7 @@
     Released { at_ms: u64 },
 }
 
-/// Holds one key.
+/// The table's record of one key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 struct KeyRecord {
     holder: Holder,
@@ -187,17 +189,19 @@
     }
 }
 
-/// Wait that a claim without room is told; sweeps of a full team are no more frequent, so that a flood can't buy work.
+/// The retry delay of a claim that finds the table full.
+///
+/// It is also the shortest interval between sweeps of a full team, so that a flood of claims can't cause extra work.
 const FULL_RETRY_AFTER_MS: u64 = 1000;
 
-/// Holds the keys of one team.
+/// The keys of one team.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct TeamKeys {
     records: BTreeMap<KeyDigest, KeyRecord>,
     swept_ms: u64,
 }
 
-/// Holds the keys of all teams.
+/// The idempotency keys of all teams.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyTable {
     teams: BTreeMap<TeamId, TeamKeys>,
@@ -206,13 +210,13 @@
 }
 
 impl KeyTable {
-    /// Opens an empty table.
+    /// Creates an empty table.
     #[must_use]
     pub fn open() -> Self {
         Self::default()
     }
 
-    /// Returns the number of keys held, expired ones that were not swept included.
+    /// Returns the number of keys held, including expired ones that have not been swept.
     #[must_use]
     pub fn len(&self) -> usize {
         self.len
@@ -224,9 +228,9 @@
         self.len == 0
     }
 
-    /// Claims a key for a run; `now_ms` is the time of the log's entry and never goes back.
+    /// Claims a key for a run; `now_ms` is the time of the log entry.
     ///
-    /// Among all claims of a key from its first to its expiry, one holder is granted, unless it releases the key.
+    /// Until the key expires, only one holder is granted it, unless that holder releases the key.
     pub fn claim(
         &mut self,
         rules: &KeyRules,
@@ -236,8 +240,8 @@
         fingerprint: u64,
         now_ms: u64,
     ) -> ClaimAnswer {
-        let now_ms = self.advance(now_ms);
-        if let Some(record) = self.live(rules, team, key, now_ms) {
+        let now_ms = self.advance_clock(now_ms);
+        if let Some(record) = self.live_record(rules, team, key, now_ms) {
             let is_free =
                 matches!(record.state, KeyState::Released { .. }) && record.holder != holder;
             if !is_free {
@@ -261,9 +265,9 @@
         ClaimAnswer::Granted
     }
 
-    /// Notes how the run of a key ended, and returns whether the key was still this holder's.
+    /// Records how the run of a key ended, and returns whether this holder still held the key.
     ///
-    /// A holder that was believed lost may still report its end; the first real end stands.
+    /// A holder that was presumed lost may still report the end of its run; the first reported end is final.
     pub fn finish(
         &mut self,
         team: &str,
@@ -272,8 +276,8 @@
         outcome: KeyOutcome,
         now_ms: u64,
     ) -> bool {
-        let now_ms = self.advance(now_ms);
-        let Some(record) = self.held_by(team, key, holder) else {
+        let now_ms = self.advance_clock(now_ms);
+        let Some(record) = self.record_held_by(team, key, holder) else {
             return false;
         };
         let is_open = matches!(
@@ -293,13 +297,14 @@
         is_open
     }
 
-    /// Gives a key back, and returns whether it was still this holder's to give.
+    /// Releases a key, and returns whether this holder still held it.
     ///
-    /// Only the sidecar that holds the claim may ask for this, after it has withdrawn the run: it is the proof that the
-    /// request did not run and never will. It asks before it tells the entry "not run", so that a retry finds the key free. A holder that was believed lost can still give that proof.
+    /// Only the sidecar that holds the claim may release it, after it has withdrawn the run: the release proves that the
+    /// request did not run and never will. The sidecar releases the key before it tells the entry "not run", so that a retry
+    /// finds the key free. A holder that was presumed lost can still give that proof.
     pub fn release(&mut self, team: &str, key: KeyDigest, holder: Holder, now_ms: u64) -> bool {
-        let now_ms = self.advance(now_ms);
-        let Some(record) = self.held_by(team, key, holder) else {
+        let now_ms = self.advance_clock(now_ms);
+        let Some(record) = self.record_held_by(team, key, holder) else {
             return false;
         };
         let is_open = matches!(
@@ -316,16 +321,16 @@
         is_open
     }
 
-    /// Notes that every incarnation of a sidecar below `incarnation` is gone, and returns how many keys that concerns.
+    /// Records that every incarnation of a sidecar below `incarnation` is gone, and returns the number of affected keys.
     ///
-    /// Their outcome is unknown from now on; they are not granted again before they expire.
+    /// The outcome of their runs is unknown from now on; the keys are not granted again before they expire.
     pub fn holder_lost(
         &mut self,
         sidecar: SidecarId,
         incarnation: Incarnation,
         now_ms: u64,
     ) -> usize {
-        let now_ms = self.advance(now_ms);
+        let now_ms = self.advance_clock(now_ms);
         let mut count = 0;
         for record in self
             .teams
@@ -346,9 +351,9 @@
         count
     }
 
-    /// Drops every expired key, and returns how many; control applies it from its log about once a minute.
+    /// Removes every expired key and returns their number; control applies this from its log about once a minute.
     pub fn sweep(&mut self, rules: &KeyRules, now_ms: u64) -> usize {
-        let now_ms = self.advance(now_ms);
+        let now_ms = self.advance_clock(now_ms);
         let before = self.len;
         for keys in self.teams.values_mut() {
             self.len -= keys.sweep(rules, now_ms);
@@ -357,13 +362,13 @@
         before - self.len
     }
 
-    /// Moves the table's time on; a leader whose clock is behind can't turn it back.
-    fn advance(&mut self, now_ms: u64) -> u64 {
+    /// Advances the table's time, which never goes back even if a new leader's clock is behind.
+    fn advance_clock(&mut self, now_ms: u64) -> u64 {
         self.now_ms = self.now_ms.max(now_ms);
         self.now_ms
     }
 
-    fn live(
+    fn live_record(
         &self,
         rules: &KeyRules,
         team: &str,
@@ -374,28 +379,33 @@
         (record.expires_ms(rules) > now_ms).then_some(record)
     }
 
-    fn held_by(&mut self, team: &str, key: KeyDigest, holder: Holder) -> Option<&mut KeyRecord> {
+    fn record_held_by(
+        &mut self,
+        team: &str,
+        key: KeyDigest,
+        holder: Holder,
+    ) -> Option<&mut KeyRecord> {
         let record = self.teams.get_mut(team)?.records.get_mut(&key)?;
         (record.holder == holder).then_some(record)
     }
 
-    /// Returns whether a key that isn't live may be added, and sweeps the team if it has no room.
+    /// Returns whether a key that isn't live may be added; sweeps the team's keys if there is no room.
     fn has_room(&mut self, rules: &KeyRules, team: &str, key: KeyDigest, now_ms: u64) -> bool {
         let Some(keys) = self.teams.get_mut(team) else {
-            return is_within(rules, 0, self.len);
+            return may_add_key(rules, 0, self.len);
         };
         if keys.records.contains_key(&key) {
-            // The expired record is replaced, so that nothing is added.
+            // The expired record is replaced, so the number of keys does not grow.
             return true;
         }
-        if is_within(rules, keys.records.len(), self.len) {
+        if may_add_key(rules, keys.records.len(), self.len) {
             return true;
         }
         if now_ms < keys.swept_ms.saturating_add(FULL_RETRY_AFTER_MS) {
             return false;
         }
         self.len -= keys.sweep(rules, now_ms);
-        is_within(rules, keys.records.len(), self.len)
+        may_add_key(rules, keys.records.len(), self.len)
     }
 }
 
@@ -409,8 +419,8 @@
     }
 }
 
-/// Returns whether a team with `team_len` keys may add one to a table of `len`.
-fn is_within(rules: &KeyRules, team_len: usize, len: usize) -> bool {
+/// Returns whether a team with `team_len` keys may add one to a table of `len` keys.
+fn may_add_key(rules: &KeyRules, team_len: usize, len: usize) -> bool {
     let has_reserve = team_len < rules.reserved_keys_per_team;
     let fits = team_len < rules.max_keys_per_team && len < rules.max_keys;
     has_reserve || fits
--- a/crates/outcome/src/lib.rs
+++ b/crates/outcome/src/lib.rs
@@ -1,11 +1,11 @@
-//! Decides what may be said about a request: its closed set of outcomes, and the proof that each of them needs.
+//! The outcomes that may be reported for a request, and the proof that each of them requires.
 //!
-//! The crate is pure. Time is passed in as the span since the start of the process (or, for the key table, as the time of
-//! the replicated log), and randomness as a generator, so that every decision can be repeated.
+//! The crate does no I/O. Time is passed in as the span since the start of the process (or, for the key table, as the time
+//! of the replicated log) and randomness as a generator, so that every decision is reproducible.
 //!
-//! - [`attempt`] holds the machine of one attempt at the entry, [`run`] that of one run at the sidecar.
+//! - [`attempt`] is the state machine of one attempt at the entry, [`run`] that of one run at the sidecar.
 //! - [`retry`] decides whether another attempt is allowed.
-//! - [`answer`] checks at the entry that an answer is whole, and [`replay`] keeps at the sidecar what a resume needs.
+//! - [`answer`] validates at the entry that an answer is complete, and [`replay`] buffers at the sidecar what a resume needs.
 //! - [`keys`] is the replicated table of idempotency keys.
 
 pub mod answer;
--- a/crates/outcome/src/outcome.rs
+++ b/crates/outcome/src/outcome.rs
@@ -1,16 +1,16 @@
-//! Defines the closed set of outcomes and of reasons.
+//! The closed sets of outcomes and reasons.
 
 use std::{fmt, time::Duration};
 
 use serde::{Deserialize, Serialize};
 use serde_with::{DurationMilliSeconds, serde_as};
 
-/// Says how a request ended, as the caller is told.
+/// The outcome of a request as reported to the caller.
 #[serde_as]
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub enum Outcome {
-    /// The caller has received the whole answer.
+    /// The caller has received the complete answer.
     Completed,
     /// The request did not run, and this is proven.
     NotRun {
@@ -21,9 +21,9 @@
         #[serde_as(as = "DurationMilliSeconds<u64>")]
         retry_after: Duration,
     },
-    /// The request may have run, in part or whole.
+    /// The request may have run, in part or completely.
     Unknown {
-        /// Why nothing better is known.
+        /// Why the outcome is unknown.
         reason: Reason,
     },
 }
@@ -35,7 +35,7 @@
         matches!(self, Self::NotRun { .. })
     }
 
-    /// Returns whether the caller has the whole answer.
+    /// Returns whether the caller has the complete answer.
     #[must_use]
     pub fn is_completed(&self) -> bool {
         matches!(self, Self::Completed)
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Returns when the caller may send the request again; only a proven "not run" has such a time.
+    /// Returns how long the caller should wait before a retry; only a proven "not run" has such a delay.
     #[must_use]
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
@@ -70,10 +70,10 @@
     }
 }
 
-/// Declares [`Reason`] with its stable names, so that the enum, its text form and the list of all can't drift apart.
+/// Declares [`Reason`] with its stable names, so that the enum, its text form and [`Reason::ALL`] can't drift apart.
 macro_rules! reasons {
     ($($(#[doc = $doc:literal])+ $variant:ident = $name:literal,)+) => {
-        /// Says why a request did not run, or why its outcome is unknown.
+        /// The reason why a request did not run, or why its outcome is unknown.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
         #[serde(rename_all = "snake_case")]
         pub enum Reason {
@@ -96,15 +96,15 @@
 }
 
 reasons! {
-    /// The team's queue at every sidecar asked is full.
+    /// The team's queue is full at every sidecar that was offered the request.
     QueueFull = "queue_full",
-    /// The request was shed, as its team is the furthest above its share.
+    /// The request was shed because its team is the furthest above its share.
     Shed = "shed",
     /// The caller's deadline has passed, or can't be met.
     Deadline = "deadline",
-    /// The process has no current configuration, or the offer was made under an older one.
+    /// The process has no current configuration, or the offer was based on an older one.
     StaleConfig = "stale_config",
-    /// The endpoint or process is leaving and takes no new work.
+    /// The endpoint or process is leaving and accepts no new work.
     Leaving = "leaving",
     /// The pool has no endpoint that can take the request.
     NoEndpoint = "no_endpoint",
@@ -112,43 +112,44 @@
     OverLimit = "over_limit",
     /// The endpoint refused the connection, so the request was not handed over.
     EndpointRefused = "endpoint_refused",
-    /// The caller went away.
+    /// The caller disconnected.
     Cancelled = "cancelled",
     /// A request with the same key is running.
     AlreadyRunning = "already_running",
     /// A request with the same key has completed.
     AlreadyFinished = "already_finished",
-    /// A request with the same key ran, or may have run, without a whole answer.
+    /// A request with the same key ran, or may have run, without a complete answer.
     AlreadyFailed = "already_failed",
     /// The key was used for another request.
     KeyConflict = "key_conflict",
-    /// The table of keys has no room for another key of this team.
+    /// The key table has no room for another key of this team.
     KeyTableFull = "key_table_full",
     /// Control can't be reached, so the key can't be claimed.
     ControlUnreachable = "control_unreachable",
-    /// The sidecar is lost, or has restarted and can't vouch for the run.
+    /// The sidecar is lost, or has restarted and has no record of the run.
     SidecarLost = "sidecar_lost",
     /// The sidecar no longer remembers the run.
     VerdictForgotten = "verdict_forgotten",
-    /// The grant's lease ended before the whole request had arrived.
+    /// The grant's lease expired before the whole request had arrived.
     GrantExpired = "grant_expired",
     /// The endpoint failed after the hand-over.
     EndpointFailed = "endpoint_failed",
-    /// The endpoint stopped sending and was given up.
+    /// The endpoint sent nothing within its time limit.
     EndpointTimeout = "endpoint_timeout",
-    /// The answer ended early, or its rest can no longer be fetched.
+    /// The answer ended early, or the rest of it can no longer be fetched.
     AnswerTruncated = "answer_truncated",
-    /// The answer held a frame of another request.
+    /// The answer contained a frame of another request.
     AnswerCrossed = "answer_crossed",
     /// The answer's frames repeat, overlap or leave a gap.
     AnswerGarbled = "answer_garbled",
 }
 
 impl Reason {
-    /// Returns whether another sidecar may do better; such a refusal speaks of a place and not of the request or the load.
+    /// Returns whether the reason concerns one sidecar or endpoint, so that another may succeed, and not the request or the
+    /// load.
     ///
-    /// A refusal for load (`queue_full`, `shed`, `over_limit`) is never retried by an entry: offers have already widened
-    /// over the pool, and a retry would add load where there is too much.
+    /// An entry never retries a refusal that is due to load (`queue_full`, `shed`, `over_limit`): it has already offered the
+    /// request more and more widely in the pool, and a retry would add to an overload.
     #[must_use]
     pub fn is_of_place(self) -> bool {
         match self {
--- a/crates/outcome/src/replay.rs
+++ b/crates/outcome/src/replay.rs
@@ -1,26 +1,26 @@
-//! Keeps at the sidecar the part of an answer that the entry has not acknowledged.
+//! The sidecar's buffer for the part of an answer that the entry has not acknowledged.
 //!
-//! Two ways were weighed for an answer that outgrows the buffer: drop bytes that were sent, or make the writer wait. A
-//! sidecar that drops bytes can't resume an exchange whose bytes were lost on the way, and the caller loses its answer; so
-//! the writer waits. Memory stays bounded, every break can be resumed, and a caller that reads slowly slows its endpoint
-//! down, as it would without the system. The sidecar bounds that wait by its own time limit.
+//! When the buffer is full, the writer waits. Dropping bytes that were sent instead would make it impossible to resume an
+//! exchange whose bytes were lost in transit, and the caller would lose its answer. With backpressure, memory stays
+//! bounded, every broken exchange can be resumed, and a slow caller slows its endpoint down, as it would with a direct
+//! connection. The sidecar limits that wait with a timeout of its own.
 
 use std::{collections::VecDeque, error, fmt};
 
-/// Bytes of an answer that may be unacknowledged.
+/// Default limit on the unacknowledged bytes of an answer.
 ///
-/// A model's stream of about 200 bytes for each token, 13 tokens a second, runs on for 50 seconds while its entry comes
-/// back. A plain service's long answer moves 128 KiB in a round trip of 3 ms, about 40 MB/s. With 64 slots in use the
-/// buffers of a sidecar take 8 MiB at most.
+/// A model's stream with about 200 bytes per token and 13 tokens/s can continue for 50 seconds while its entry reconnects. A
+/// plain service's long answer moves 128 KiB in a round trip of 3 ms, about 40 MB/s. With 64 slots in use the buffers of a
+/// sidecar take at most 8 MiB.
 pub const DEFAULT_BOUND_BYTES: usize = 128 * 1024;
 
-/// Parts of the bound after each of which the entry acknowledges.
+/// Number of acknowledgements that the entry sends per full buffer.
 ///
-/// With a quarter, the writer never waits as long as three quarters of the bound cover a round trip, and a stream of
-/// tokens costs one acknowledgement in 32 KiB, about 160 tokens.
-const ACKS_PER_BOUND: u64 = 4;
+/// With an acknowledgement for each quarter, the writer never waits while the other three quarters cover a round trip, and a
+/// token stream costs one acknowledgement per 32 KiB, about 160 tokens.
+const ACKS_PER_BUFFER: u64 = 4;
 
-/// Decides at the entry when to acknowledge what the caller has taken.
+/// The entry's pacing of acknowledgements for bytes that the caller has taken.
 #[derive(Debug, Clone)]
 pub struct AckPacer {
     every_bytes: u64,
@@ -28,16 +28,16 @@
 }
 
 impl AckPacer {
-    /// Opens the pacer of an answer whose sidecar holds up to `bound_bytes`.
+    /// Creates the pacer of an answer whose sidecar buffers up to `bound_bytes`.
     #[must_use]
     pub fn open(bound_bytes: usize) -> Self {
         Self {
-            every_bytes: (bound_bytes as u64 / ACKS_PER_BOUND).max(1),
+            every_bytes: (bound_bytes as u64 / ACKS_PER_BUFFER).max(1),
             acked: 0,
         }
     }
 
-    /// Returns the offset to acknowledge now, if enough bytes have passed since the last one.
+    /// Returns the offset to acknowledge now, if enough bytes have been passed on since the last one.
     ///
     /// `passed` is the number of bytes that the caller's connection has taken.
     pub fn due(&mut self, passed: u64) -> Option<u64> {
@@ -49,15 +49,15 @@
     }
 }
 
-/// Reports an offset that a replay buffer can't serve.
+/// The error for an offset that a replay buffer can't serve.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReplayFault {
-    /// The entry has acknowledged these bytes, so they are gone.
+    /// The entry has acknowledged these bytes, so they were dropped.
     Gone {
         /// First offset still held.
         start: u64,
     },
-    /// The offset lies past what the endpoint has sent.
+    /// The offset lies beyond what the endpoint has sent.
     Ahead {
         /// Offset after the last byte held.
         end: u64,
@@ -67,15 +67,15 @@
 impl fmt::Display for ReplayFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Gone { start } => write!(f, "bytes before offset {start} are gone"),
-            Self::Ahead { end } => write!(f, "bytes after offset {end} have not come yet"),
+            Self::Gone { start } => write!(f, "bytes before offset {start} are no longer buffered"),
+            Self::Ahead { end } => write!(f, "bytes after offset {end} have not arrived yet"),
         }
     }
 }
 
 impl error::Error for ReplayFault {}
 
-/// Holds the unacknowledged bytes of one answer, up to a bound.
+/// A bounded buffer of the unacknowledged bytes of one answer.
 #[derive(Debug)]
 pub struct ReplayBuffer {
     bytes: VecDeque<u8>,
@@ -85,11 +85,11 @@
 }
 
 impl ReplayBuffer {
-    /// Opens an empty buffer; memory is taken as bytes come.
+    /// Creates an empty buffer, which allocates memory as bytes arrive.
     ///
     /// # Panics
     ///
-    /// Panics if the bound is zero, as no answer could pass.
+    /// Panics if the limit is zero, as no byte could pass.
     #[must_use]
     pub fn open(bound_bytes: usize) -> Self {
         assert!(bound_bytes > 0, "a replay buffer holds at least one byte");
@@ -101,10 +101,10 @@
         }
     }
 
-    /// Takes as many of the endpoint's bytes as there is room for, and returns their number.
+    /// Appends as many of the endpoint's bytes as there is room for, and returns their number.
     ///
-    /// A smaller number than `bytes.len()` tells the writer to wait for an acknowledgement, without reading on from the
-    /// endpoint, and then to push the rest.
+    /// If the number is below `bytes.len()`, the writer must stop reading from the endpoint, wait for an acknowledgement and
+    /// then push the rest.
     ///
     /// # Panics
     ///
@@ -119,7 +119,7 @@
         taken
     }
 
-    /// Notes the end of the answer and returns its length in bytes.
+    /// Records the end of the answer and returns its length in bytes.
     pub fn end(&mut self) -> u64 {
         let total = self.end_offset();
         self.total = Some(total);
@@ -152,7 +152,7 @@
 
     /// Drops the bytes before `offset`, which the entry has passed on to the caller.
     ///
-    /// A late acknowledgement of fewer bytes than an earlier one changes nothing.
+    /// A late acknowledgement of fewer bytes than an earlier one has no effect.
     ///
     /// # Errors
     ///
@@ -162,7 +162,7 @@
         if offset > end {
             return Err(ReplayFault::Ahead { end });
         }
-        let dropped = held_len(offset.saturating_sub(self.start));
+        let dropped = buffered_len(offset.saturating_sub(self.start));
         self.bytes.drain(..dropped);
         self.start += dropped as u64;
         Ok(())
@@ -181,7 +181,7 @@
         if offset > end {
             return Err(ReplayFault::Ahead { end });
         }
-        let skip = held_len(offset - self.start);
+        let skip = buffered_len(offset - self.start);
         let (first, second) = self.bytes.as_slices();
         let first_skip = skip.min(first.len());
         let first = &first[first_skip..];
@@ -192,7 +192,7 @@
     }
 }
 
-/// Converts a number of held bytes, which the bound keeps within memory.
-fn held_len(bytes: u64) -> usize {
+/// Converts a number of buffered bytes, which the limit keeps within `usize`.
+fn buffered_len(bytes: u64) -> usize {
     usize::try_from(bytes).expect("no more than the bytes held")
 }
--- a/crates/outcome/src/retry.rs
+++ b/crates/outcome/src/retry.rs
@@ -1,8 +1,8 @@
-//! Decides whether an entry may make another attempt at a request.
+//! The decision whether an entry may make another attempt at a request.
 //!
-//! An attempt is repeated only if it is proven that the request did not run, or if the request is idempotent and nothing
-//! of an answer has reached the caller. Retries are paid from budgets that first tries fill, so that a fleet in trouble
-//! gets a bounded extra load; and they wait a random time, within the caller's deadline.
+//! An attempt is repeated only if it is proven that the request did not run, or if the request is idempotent and no part of
+//! an answer has reached the caller. Retries are charged to token buckets that first attempts refill, so that they add
+//! only a bounded load to a failing fleet. Each retry waits for a random time within the caller's deadline.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -11,34 +11,34 @@
 
 use crate::{ids::TeamId, outcome::Outcome};
 
-/// Price of one retry in a budget's unit, so that a fraction of a retry can be paid in per first try.
-const RETRY_PRICE: u64 = 1000;
+/// Cost of one retry in bucket units, so that a first attempt can add a fraction of a retry.
+const RETRY_COST: u64 = 1000;
 
-/// Sets how retries are paid for and spaced.
+/// The limits and delays of retries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RetryRules {
-    /// Retries allowed per thousand first tries, over the entry and over each team.
+    /// Retries allowed per thousand first attempts, both for the whole entry and for each team.
     pub retry_permille: u32,
-    /// Retries that the entry may make beyond that.
+    /// Burst of retries that the entry may make beyond that rate.
     pub entry_burst_retries: u32,
-    /// Retries that each team may make beyond that.
+    /// Burst of retries that each team may make beyond that rate.
     pub team_burst_retries: u32,
-    /// Attempts at one request, the first one included.
+    /// Maximum number of attempts at one request, including the first.
     pub max_attempts: u32,
-    /// Upper end of the random wait before the first retry; it doubles with each further one.
+    /// Upper limit of the random delay before the first retry; it doubles with each further retry.
     pub base_delay: Duration,
-    /// Greatest upper end of the random wait.
+    /// Maximum of that upper limit.
     pub max_delay: Duration,
-    /// Time before the deadline that an attempt needs to be of use.
+    /// Minimum time that must remain before the deadline for an attempt to be useful.
     pub min_attempt: Duration,
 }
 
 impl Default for RetryRules {
     /// Returns the defaults.
     ///
-    /// A tenth more load is what a pool at 90% can bear. The bursts cover the loss of a rack at a quiet entry, and keep a
-    /// single team from taking an entry's whole burst. The first wait is about ten times the way between data centres, so
-    /// that a change of membership can arrive in between; three attempts see three sidecars.
+    /// A pool at 90% utilisation can bear 10% more load. The bursts cover the loss of a rack at an entry with little traffic,
+    /// and keep a single team from using up the entry's burst. The first delay is up to about ten times the latency between
+    /// data centres, so that a membership change can arrive in the meantime. Three attempts reach three sidecars.
     fn default() -> Self {
         Self {
             retry_permille: 100,
@@ -52,21 +52,21 @@
     }
 }
 
-/// Describes a finished attempt.
+/// A finished attempt, as input to the retry decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Tried {
     /// How the attempt ended.
     pub outcome: Outcome,
     /// Whether the request may run more than once.
     pub is_idempotent: bool,
-    /// Whether anything of an answer, its head included, has reached the caller.
+    /// Whether any part of an answer, including its head, has reached the caller.
     pub answer_started: bool,
-    /// Attempts made so far, this one included.
+    /// Number of attempts made so far, including this one.
     pub attempts: u32,
 }
 
 impl Tried {
-    /// Returns whether another attempt does no harm; budgets and the deadline are not looked at.
+    /// Returns whether another attempt is safe and may succeed, regardless of budgets and the deadline.
     #[must_use]
     pub fn is_repeatable(&self) -> bool {
         let Some(reason) = self.outcome.reason() else {
@@ -77,78 +77,78 @@
     }
 }
 
-/// Says what follows a finished attempt.
+/// What follows a finished attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Retry {
-    /// Make another attempt after this wait.
+    /// Make another attempt after this delay.
     After(Duration),
-    /// Tell the caller this outcome now.
+    /// Report this outcome to the caller now.
     Final(Outcome),
 }
 
-/// Counts what one entry or one team may still retry, in thousandths of a retry.
+/// A token bucket that limits the retries of an entry or a team, in thousandths of a retry.
 #[derive(Debug, Clone, Copy)]
-struct Bucket {
+struct TokenBucket {
     level: u64,
     burst: u64,
 }
 
-impl Bucket {
+impl TokenBucket {
     fn full(burst_retries: u32) -> Self {
-        let burst = u64::from(burst_retries) * RETRY_PRICE;
+        let burst = u64::from(burst_retries) * RETRY_COST;
         Self {
             level: burst,
             burst,
         }
     }
 
-    fn pay_in(&mut self, permille: u32) {
+    fn refill(&mut self, permille: u32) {
         self.level = self.burst.min(self.level + u64::from(permille));
     }
 
-    fn can_pay(&self) -> bool {
-        self.level >= RETRY_PRICE
+    fn has_token(&self) -> bool {
+        self.level >= RETRY_COST
     }
 
-    fn pay(&mut self) {
-        self.level -= RETRY_PRICE;
+    fn take_token(&mut self) {
+        self.level -= RETRY_COST;
     }
 }
 
-/// Holds the retry budgets of one entry and of its teams.
+/// The retry budgets of one entry and of its teams.
 #[derive(Debug)]
 pub struct RetryBudgets {
     rules: RetryRules,
-    entry: Bucket,
-    teams: HashMap<TeamId, Bucket>,
+    entry: TokenBucket,
+    teams: HashMap<TeamId, TokenBucket>,
 }
 
 impl RetryBudgets {
-    /// Opens full budgets.
+    /// Creates full budgets.
     #[must_use]
     pub fn open(rules: RetryRules) -> Self {
         Self {
             rules,
-            entry: Bucket::full(rules.entry_burst_retries),
+            entry: TokenBucket::full(rules.entry_burst_retries),
             teams: HashMap::new(),
         }
     }
 
-    /// Pays in for a first try of this team; call it once for each request.
+    /// Refills the budgets for a first attempt of this team; must be called once for each request.
     pub fn first_try(&mut self, team: &str) {
         let permille = self.rules.retry_permille;
-        self.entry.pay_in(permille);
-        self.team(team).pay_in(permille);
+        self.entry.refill(permille);
+        self.team(team).refill(permille);
     }
 
-    /// Drops the budgets of teams that the configuration no longer has.
+    /// Removes the budgets of teams that the configuration no longer contains.
     pub fn retain_teams(&mut self, mut is_known: impl FnMut(&str) -> bool) {
         self.teams.retain(|team, _| is_known(team));
     }
 
     /// Decides what follows a finished attempt; `now` and `deadline` are spans since the start of the process.
     ///
-    /// A refusal is final at once: it is handed back with its outcome and retry delay, and never held back.
+    /// If no retry is allowed, the outcome is returned immediately, with its own retry delay for the caller.
     pub fn decide(
         &mut self,
         team: &str,
@@ -164,27 +164,27 @@
         if now + delay + self.rules.min_attempt > deadline {
             return Retry::Final(tried.outcome);
         }
-        if !self.entry.can_pay() || !self.team(team).can_pay() {
+        if !self.entry.has_token() || !self.team(team).has_token() {
             return Retry::Final(tried.outcome);
         }
-        self.entry.pay();
-        self.team(team).pay();
+        self.entry.take_token();
+        self.team(team).take_token();
         Retry::After(delay)
     }
 
-    /// Returns a wait drawn evenly from zero to a limit that doubles with each attempt ("full jitter").
+    /// Returns a delay drawn uniformly between zero and a limit that doubles with each attempt ("full jitter").
     fn delay(&self, attempts: u32, rng: &mut impl Rng) -> Duration {
         let doublings = attempts.saturating_sub(1).min(31);
         let limit = self.rules.base_delay.saturating_mul(1 << doublings);
         let limit = limit.min(self.rules.max_delay);
         let limit_us =
-            u64::try_from(limit.as_micros()).expect("a wait of at most max_delay fits 64 bits");
+            u64::try_from(limit.as_micros()).expect("a delay of at most max_delay fits 64 bits");
         Duration::from_micros(rng.random_range(0..=limit_us))
     }
 
-    fn team(&mut self, team: &str) -> &mut Bucket {
+    fn team(&mut self, team: &str) -> &mut TokenBucket {
         if !self.teams.contains_key(team) {
-            let bucket = Bucket::full(self.rules.team_burst_retries);
+            let bucket = TokenBucket::full(self.rules.team_burst_retries);
             self.teams.insert(team.into(), bucket);
         }
         self.teams
--- a/crates/outcome/src/run.rs
+++ b/crates/outcome/src/run.rs
@@ -1,7 +1,7 @@
-//! Follows one run at the sidecar, and remembers for a bounded time what became of it.
+//! The state machine of one run at the sidecar, and a bounded record of the runs that have ended.
 //!
-//! An entry whose exchange broke asks the sidecar about the run. The answer "never handed over" is a promise as well: the
-//! run is withdrawn in the same step, so that a bind that is still on its way can't be handed over afterwards.
+//! An entry whose exchange broke asks the sidecar about the run. The answer "never handed over" is also a promise: the run
+//! is withdrawn in the same step, so that a bind that is still in flight can't be handed over afterwards.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -14,7 +14,7 @@
 
 use crate::{ids::ClaimId, outcome::Reason};
 
-/// Says what a sidecar knows about a run.
+/// What a sidecar knows about a run.
 #[serde_as]
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "verdict", rename_all = "snake_case")]
@@ -23,36 +23,36 @@
     NeverHandedOver {
         /// Why it was not handed over.
         reason: Reason,
-        /// When another try makes sense.
+        /// How long to wait before another attempt.
         #[serde(rename = "retry_after_ms")]
         #[serde_as(as = "DurationMilliSeconds<u64>")]
         retry_after: Duration,
     },
-    /// The run goes on, or is about to be handed over.
+    /// The run is in progress, or its request is about to be handed over.
     Running {
         /// Bytes of the answer so far.
         answer_bytes: u64,
     },
-    /// The run ended with a whole answer.
+    /// The run ended with a complete answer.
     Completed {
         /// Length of the answer in bytes.
         answer_bytes: u64,
     },
-    /// The request was handed over and did not end with a whole answer.
+    /// The request was handed over and did not end with a complete answer.
     Failed {
         /// What went wrong.
         reason: Reason,
     },
-    /// The sidecar doesn't know the run, or no longer.
+    /// The sidecar has no record of the run, or no longer has one.
     Unknown,
 }
 
-/// Says how far a run has come.
+/// The state of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunState {
-    /// A slot is held for the grant; the request has not arrived, or not whole.
+    /// A slot is reserved for the grant; the request has not arrived completely.
     Granted,
-    /// The whole request is here.
+    /// The whole request has arrived.
     Bound,
     /// The idempotency key is claimed.
     KeyClaimed,
@@ -67,7 +67,7 @@
     Ended(Verdict),
 }
 
-/// Holds what a sidecar learns about a run.
+/// An input to the state machine of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunEvent {
     /// The whole request has arrived.
@@ -81,18 +81,18 @@
         /// Number of new bytes.
         bytes: u64,
     },
-    /// The endpoint has ended its answer properly.
+    /// The endpoint has completed its answer.
     Ended,
-    /// The run is given up: refused before the hand-over, failed or cancelled after it.
+    /// The run is given up: refused before the hand-over, or failed or cancelled after it.
     GivenUp {
         /// Why it is given up.
         reason: Reason,
-        /// When another try makes sense, if the request did not run.
+        /// How long to wait before another attempt, if the request did not run.
         retry_after: Duration,
     },
 }
 
-/// Reports an event that a run's state does not allow.
+/// The error for an event that a run's state does not allow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RunError {
     /// State of the run, or `None` if the run is not known.
@@ -110,7 +110,7 @@
 
 impl error::Error for RunError {}
 
-/// Follows one run.
+/// One run of a request.
 #[derive(Debug, Clone)]
 pub struct Run {
     state: RunState,
@@ -118,7 +118,7 @@
 }
 
 impl Run {
-    /// Opens a run for a grant; a request that must not be repeated needs its key claimed before the hand-over.
+    /// Creates a run for a grant; a request that must not be repeated needs its key claimed before the hand-over.
     #[must_use]
     pub fn open(needs_key: bool) -> Self {
         Self {
@@ -127,18 +127,18 @@
         }
     }
 
-    /// Returns how far the run has come.
+    /// Returns the state of the run.
     #[must_use]
     pub fn state(&self) -> RunState {
         self.state
     }
 
-    /// Takes an event and returns the new state.
+    /// Applies an event and returns the new state.
     ///
     /// # Errors
     ///
-    /// Returns [`RunError`] if the state does not allow the event; above all, a hand-over of a run that was withdrawn or
-    /// whose key is not claimed. The state is then unchanged.
+    /// Returns [`RunError`] and leaves the state unchanged if the state does not allow the event; in particular, a run that
+    /// was withdrawn or whose key is not claimed can't be handed over.
     pub fn on(&mut self, event: RunEvent) -> Result<RunState, RunError> {
         let next = match (self.state, event) {
             (RunState::Granted, RunEvent::Bound) => RunState::Bound,
@@ -179,9 +179,9 @@
         Ok(next)
     }
 
-    /// Returns what the sidecar knows, and withdraws a run whose request has not arrived whole.
+    /// Returns what the sidecar knows, and withdraws a run whose request has not arrived completely.
     ///
-    /// A run whose whole request is here goes on: the entry resumes it, and no work is lost.
+    /// A run whose whole request has arrived continues: the entry resumes it, and no work is lost.
     pub fn ask(&mut self) -> Verdict {
         if self.state == RunState::Granted {
             self.state = RunState::Ended(Verdict::NeverHandedOver {
@@ -192,7 +192,7 @@
         self.verdict()
     }
 
-    /// Returns what the sidecar knows, without a promise; [`Run::ask`] answers entries.
+    /// Returns what the sidecar knows, without the promise that [`Run::ask`] gives to entries.
     #[must_use]
     pub fn verdict(&self) -> Verdict {
         match self.state {
@@ -205,10 +205,10 @@
     }
 }
 
-/// Bounds the memory of ended runs.
+/// The limits on remembering ended runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RunMemory {
-    /// Number of ended runs remembered.
+    /// Maximum number of ended runs that are remembered.
     pub max_ended: usize,
     /// How long an ended run is remembered.
     pub keep: Duration,
@@ -217,9 +217,9 @@
 impl Default for RunMemory {
     /// Remembers 4,096 runs for two minutes.
     ///
-    /// An entry asks within seconds of a break; two minutes also cover a partition between regions of "minutes" in its
-    /// usual length. 3,600 requests/s over 1,600 sidecars are 2.25 a second, 270 in two minutes; a plain service with 30
-    /// requests a second still fits. The bound keeps the memory small: an estimated 100 bytes each.
+    /// An entry asks within seconds of a break; two minutes also cover the usual length of a network partition between
+    /// regions. 3,600 requests/s over 1,600 sidecars are 2.25/s for each, or 270 in two minutes; a plain service with 30
+    /// requests/s also fits. The limit keeps memory small, at an estimated 100 bytes for each run.
     fn default() -> Self {
         Self {
             max_ended: 4096,
@@ -228,7 +228,7 @@
     }
 }
 
-/// Holds the runs of one incarnation of a sidecar.
+/// The runs of one incarnation of a sidecar.
 #[derive(Debug)]
 pub struct RunTable {
     memory: RunMemory,
@@ -239,7 +239,7 @@
 }
 
 impl RunTable {
-    /// Opens an empty table.
+    /// Creates an empty table.
     #[must_use]
     pub fn open(memory: RunMemory) -> Self {
         Self {
@@ -251,7 +251,7 @@
         }
     }
 
-    /// Opens a run and returns the number of its grant; numbers are never used twice.
+    /// Creates a run and returns the number of its grant; numbers are never reused.
     pub fn grant(&mut self, needs_key: bool) -> ClaimId {
         let claim = self.next_claim;
         self.next_claim += 1;
@@ -277,7 +277,7 @@
         self.ended.len()
     }
 
-    /// Feeds an event to a run; `now` is the span since the start of the process.
+    /// Applies an event to a run; `now` is the span since the start of the process.
     ///
     /// # Errors
     ///
@@ -288,7 +288,7 @@
         event: RunEvent,
         now: Duration,
     ) -> Result<RunState, RunError> {
-        self.forget(now);
+        self.forget_expired(now);
         let Some(run) = self.live.get_mut(&claim) else {
             let state = self
                 .ended
@@ -297,35 +297,35 @@
             return Err(RunError { state });
         };
         let state = run.on(event)?;
-        self.keep_if_ended(claim, state, now);
+        self.remember_if_ended(claim, state, now);
         Ok(state)
     }
 
     /// Returns what is known about a run, for an entry whose exchange broke; see [`Run::ask`].
     ///
-    /// A run that was forgotten reads as [`Verdict::Unknown`].
+    /// Returns [`Verdict::Unknown`] for a run that is no longer remembered.
     pub fn ask(&mut self, claim: ClaimId, now: Duration) -> Verdict {
-        self.forget(now);
+        self.forget_expired(now);
         let Some(run) = self.live.get_mut(&claim) else {
             return self.ended.get(&claim).copied().unwrap_or(Verdict::Unknown);
         };
         let verdict = run.ask();
         let state = run.state();
-        self.keep_if_ended(claim, state, now);
+        self.remember_if_ended(claim, state, now);
         verdict
     }
 
-    fn keep_if_ended(&mut self, claim: ClaimId, state: RunState, now: Duration) {
+    fn remember_if_ended(&mut self, claim: ClaimId, state: RunState, now: Duration) {
         let RunState::Ended(verdict) = state else {
             return;
         };
         self.live.remove(&claim);
         self.ended.insert(claim, verdict);
         self.ended_order.push_back((now, claim));
-        self.forget(now);
+        self.forget_expired(now);
     }
 
-    fn forget(&mut self, now: Duration) {
+    fn forget_expired(&mut self, now: Duration) {
         while let Some((ended_at, claim)) = self.ended_order.front().copied() {
             let is_old = now.saturating_sub(ended_at) > self.memory.keep;
             if !is_old && self.ended_order.len() <= self.memory.max_ended {
--- a/crates/outcome/tests/answers.rs
+++ b/crates/outcome/tests/answers.rs
@@ -1,4 +1,4 @@
-//! Checks the whole-answer check and the replay buffer against mutated streams.
+//! Tests the answer validator and the replay buffer with mutated streams.
 
 use hinge_cases::cases;
 use hinge_outcome::{
@@ -27,14 +27,14 @@
     }
 }
 
-/// Returns a checker with a fixed seed, so that every run checks the same cases.
+/// Returns a `QuickCheck` runner with a fixed seed, so that every run tests the same cases.
 fn checker(tests: u64) -> QuickCheck {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, 1))
         .tests(tests)
 }
 
-/// Returns the frames of the body in pieces of at most `piece` bytes, each with its bytes.
+/// Returns the frames of the body in chunks of at most `piece` bytes, each with its bytes.
 fn frames(piece: usize) -> Vec<(Frame, &'static [u8])> {
     let none = &BODY[..0];
     let mut all = vec![(HEAD, none)];
@@ -46,7 +46,7 @@
     all
 }
 
-/// Drops, repeats, swaps, crosses or resumes at a place, as the numbers say.
+/// Drops, repeats or swaps a frame, assigns it to another attempt, truncates the stream, or adds a resume, by `kind`.
 fn mutate(list: &mut Vec<(Frame, &'static [u8])>, resumes: &mut Vec<usize>, kind: u8, at: usize) {
     let at = at % list.len();
     match kind % 6 {
@@ -65,8 +65,8 @@
     }
 }
 
-/// Feeds mutated frames; the caller ends up with the whole body, or with a prefix of it and an error.
-fn whole_or_error(piece: u8, mutations: Vec<(u8, u8)>) -> TestResult {
+/// Passes in mutated frames; the caller gets either the whole body, or a prefix of it and an error.
+fn complete_or_error(piece: u8, mutations: Vec<(u8, u8)>) -> TestResult {
     let mut list = frames(usize::from(piece % 16) + 1);
     let mut resumes = Vec::new();
     for (kind, at) in mutations {
@@ -95,8 +95,8 @@
     )
 }
 
-/// Pushes, loses links and resumes at arbitrary points; what arrives is the whole body, within the bound.
-fn replay_is_whole(bound: u8, steps: Vec<u8>) -> bool {
+/// Pushes, acknowledges and reads in arbitrary order; the whole body arrives, and the buffer stays within its limit.
+fn replay_is_complete(bound: u8, steps: Vec<u8>) -> bool {
     let bound = usize::from(bound % 16) + 1;
     let mut buffer = ReplayBuffer::open(bound);
     let (mut sent, mut received) = (0, Vec::new());
@@ -130,7 +130,7 @@
 }
 
 cases! { fault:
-    a_crossed_frame => (&[HEAD, Frame::Head { attempt: 9 }], AnswerFault::Crossed { attempt: 9 }),
+    a_frame_of_another_attempt => (&[HEAD, Frame::Head { attempt: 9 }], AnswerFault::Crossed { attempt: 9 }),
     no_head => (&[chunk(0, 1)], AnswerFault::NoHead),
     two_heads => (&[HEAD, HEAD], AnswerFault::HeadRepeated),
     a_gap => (&[HEAD, chunk(0, 2), chunk(3, 1)], AnswerFault::Gap { expected: 2, offset: 3 }),
@@ -142,11 +142,11 @@
 }
 
 cases! {
-    mutated_frames_give_the_whole_answer_or_an_error => {
-        checker(20_000).quickcheck(whole_or_error as fn(u8, Vec<(u8, u8)>) -> TestResult);
+    mutated_frames_give_the_complete_answer_or_an_error => {
+        checker(20_000).quickcheck(complete_or_error as fn(u8, Vec<(u8, u8)>) -> TestResult);
     }
-    a_replayed_answer_is_whole_and_bounded => {
-        checker(500).quickcheck(replay_is_whole as fn(u8, Vec<u8>) -> bool);
+    a_replayed_answer_is_complete_and_bounded => {
+        checker(500).quickcheck(replay_is_complete as fn(u8, Vec<u8>) -> bool);
     }
     an_overlap_is_trimmed_only_when_resumed => {
         let mut check = AnswerCheck::open(ATTEMPT);
--- a/crates/outcome/tests/retries_and_keys.rs
+++ b/crates/outcome/tests/retries_and_keys.rs
@@ -1,4 +1,4 @@
-//! Checks retries against their budgets, and the table of idempotency keys.
+//! Tests the retry budgets and the table of idempotency keys.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -42,7 +42,7 @@
     assert_eq!(retry == Retry::Final(tried.outcome), !want);
 }
 
-/// Returns a checker with a fixed seed, so that every run checks the same cases.
+/// Returns a `QuickCheck` runner with a fixed seed, so that every run tests the same cases.
 fn checker(tests: u64) -> QuickCheck {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, 1))
@@ -50,15 +50,15 @@
 }
 
 cases! { repeatable:
-    a_proven_not_run_is_repeated => (tried(LEAVING, false, false), true),
+    a_proven_not_run_attempt_is_repeated => (tried(LEAVING, false, false), true),
     an_unknown_idempotent_one_is_repeated => (tried(FAILED, true, false), true),
-    an_unknown_non_idempotent_one_is_not => (tried(FAILED, false, false), false),
-    a_started_answer_is_not => (tried(FAILED, true, true), false),
-    a_refusal_for_load_is_not => (tried(SHED, true, false), false),
-    a_completed_one_is_not => (tried(Outcome::Completed, true, false), false),
+    an_unknown_non_idempotent_one_is_not_repeated => (tried(FAILED, false, false), false),
+    a_started_answer_is_not_repeated => (tried(FAILED, true, true), false),
+    a_refusal_due_to_load_is_not_repeated => (tried(SHED, true, false), false),
+    a_completed_one_is_not_repeated => (tried(Outcome::Completed, true, false), false),
 }
 
-/// Retries stay within a fraction of the first tries and a burst, for the entry and for each team.
+/// Retries stay within a fraction of the first attempts plus a burst, for the entry and for each team.
 fn budget_holds(seed: u64, teams: Vec<(u8, bool)>) -> bool {
     let rules = RetryRules {
         entry_burst_retries: 4,
@@ -107,8 +107,8 @@
     }
 }
 
-/// Applies claims, releases, ends and losses in any order and repetition. Within a key's lifetime a run begins only for the
-/// holder that was granted and has not released; a grant to another holder is wrong.
+/// Applies claims, releases, ends and losses in arbitrary order. Within a key's lifetime only the holder that was granted
+/// the key and has not released it may run; a grant to another holder is an error.
 fn one_grant_per_lifetime(steps: Vec<(u8, u8)>) -> bool {
     let rules = KeyRules {
         keep_unknown_ms: u64::MAX,
@@ -147,8 +147,8 @@
     true
 }
 
-/// The same steps give the same state, and a snapshot restores it; the length is the number of records.
-fn copies_agree(steps: Vec<(u8, u8, u8, u8)>) -> bool {
+/// The same steps give the same state, a snapshot restores it, and the length stays within the limits.
+fn replicas_agree(steps: Vec<(u8, u8, u8, u8)>) -> bool {
     let (mut left, mut right) = (KeyTable::open(), KeyTable::open());
     for (index, (kind, team, name, wait)) in steps.into_iter().enumerate() {
         let apply = |table: &mut KeyTable| {
@@ -172,7 +172,7 @@
     retries_stay_within_the_budgets => {
         checker(300).quickcheck(budget_holds as fn(u64, Vec<(u8, bool)>) -> bool);
     }
-    no_retry_passes_the_deadline => {
+    no_retry_exceeds_the_deadline => {
         let mut budgets = RetryBudgets::open(RetryRules::default());
         let (now, deadline) = (Duration::from_millis(960), Duration::from_secs(1));
         let retry = budgets.decide("a", &tried(LEAVING, true, false), now, deadline, &mut StdRng::seed_from_u64(1));
@@ -181,10 +181,10 @@
     a_key_is_granted_once => {
         checker(20_000).quickcheck(one_grant_per_lifetime as fn(Vec<(u8, u8)>) -> bool);
     }
-    copies_of_the_table_agree => {
-        checker(300).quickcheck(copies_agree as fn(Vec<(u8, u8, u8, u8)>) -> bool);
+    replicas_of_the_table_agree => {
+        checker(300).quickcheck(replicas_agree as fn(Vec<(u8, u8, u8, u8)>) -> bool);
     }
-    a_duplicate_gets_what_is_known => {
+    a_duplicate_claim_returns_the_known_state => {
         let mut table = KeyTable::open();
         let mut claim = |holder, print, now_ms| table.claim(&RULES, "a", key("k"), holder, print, now_ms);
         assert_eq!(claim(holder(1), 1, 5), ClaimAnswer::Granted);
@@ -197,7 +197,7 @@
         assert_eq!(table.claim(&RULES, "a", key("k"), holder(3), 1, 109), ClaimAnswer::Finished { outcome });
         assert_eq!(table.claim(&RULES, "a", key("k"), holder(3), 1, 110), ClaimAnswer::Granted);
     }
-    a_lost_holder_keeps_its_key_until_far_later => {
+    a_lost_holders_key_stays_claimed_until_it_expires => {
         let mut table = KeyTable::open();
         table.claim(&RULES, "a", key("k"), holder(1), 1, 0);
         assert_eq!(table.holder_lost(1, 2, 10), 1);
@@ -205,7 +205,7 @@
         assert_eq!(table.claim(&RULES, "a", key("k"), holder(2), 1, 9_999), unknown);
         assert_eq!(table.claim(&RULES, "a", key("k"), holder(2), 1, 10_000), ClaimAnswer::Granted);
     }
-    a_released_key_is_free_for_others_only => {
+    a_released_key_is_granted_only_to_another_holder => {
         let mut table = KeyTable::open();
         table.claim(&RULES, "a", key("k"), holder(1), 1, 0);
         assert!(table.release("a", key("k"), holder(1), 1));
@@ -213,7 +213,7 @@
         assert_eq!(table.claim(&RULES, "a", key("k"), holder(2), 1, 3), ClaimAnswer::Granted);
         assert!(!table.release("a", key("k"), holder(1), 4));
     }
-    a_flood_of_keys_costs_its_own_team => {
+    a_flood_of_keys_affects_only_its_own_team => {
         let mut table = KeyTable::open();
         let mut claim = |team: &str, name: &str, now_ms| table.claim(&RULES, team, key(name), holder(1), 1, now_ms);
         let full = ClaimAnswer::Full { retry_after_ms: 1000 };
@@ -224,7 +224,7 @@
         assert_eq!(claim("big", "4", 20_000), ClaimAnswer::Granted);
         assert_eq!(full.refusal(), Some(Reason::KeyTableFull));
     }
-    fingerprints_keep_the_parts_apart => {
+    fingerprints_separate_method_path_and_body => {
         assert_ne!(request_fingerprint("POST", "/a", b"b"), request_fingerprint("POST", "/ab", b""));
     }
 }
--- a/crates/outcome/tests/machines.rs
+++ b/crates/outcome/tests/state_machines.rs
@@ -1,4 +1,4 @@
-//! Checks the machines of an attempt and of a run under arbitrary orders of events.
+//! Tests the state machines of an attempt and of a run with arbitrary sequences of events.
 
 use std::time::Duration;
 
@@ -65,7 +65,7 @@
             Verdict::Failed { reason },
             Verdict::Unknown,
         ];
-        let said = verdict(small, *g.choose(&verdicts).expect("verdicts"));
+        let reported = verdict(small, *g.choose(&verdicts).expect("verdicts"));
         let events = [
             Event::OfferSent,
             refused(reason),
@@ -73,8 +73,8 @@
             Event::Granted(HOLDER),
             Event::BindSent,
             Event::LinkLost(small),
-            said,
-            said,
+            reported,
+            reported,
             Event::AskFailed,
             Event::ResumeRefused,
             Event::Head,
@@ -93,7 +93,7 @@
     }
 }
 
-/// Replays the events beside a plain record of what was sent, passed and proven, and checks the outcome against it.
+/// Applies the events and tracks separately what was sent, passed on and proven, then checks the outcome against that.
 fn outcome_is_proven(events: Vec<AnyEvent>) -> bool {
     let mut attempt = Attempt::open();
     let (mut bound, mut head, mut settled) = (None, false, None);
@@ -112,7 +112,9 @@
             continue;
         };
         let is_proven = match outcome {
-            Outcome::NotRun { .. } => !head && bound.is_none_or(|to| is_vouched(event, to)),
+            Outcome::NotRun { .. } => {
+                !head && bound.is_none_or(|to| is_proof_of_not_run(event, to))
+            }
             Outcome::Completed => head && matches!(event, Event::End | Event::Verdict { .. }),
             Outcome::Unknown { .. } => bound.is_some(),
         };
@@ -135,7 +137,7 @@
     true
 }
 
-fn is_vouched(event: Event, to: Holder) -> bool {
+fn is_proof_of_not_run(event: Event, to: Holder) -> bool {
     matches!(event, Event::Verdict { incarnation, verdict: Verdict::NeverHandedOver { .. } } if incarnation == to.incarnation)
 }
 
@@ -160,21 +162,21 @@
     }
 }
 
-/// Checks that "never handed over" is said only before, and never followed by, a hand-over; `None` asks the run.
-fn run_keeps_its_word(needs_key: bool, events: Vec<AnyRunEvent>) -> bool {
+/// Checks that "never handed over" is never reported after a hand-over or followed by one; `None` asks the run.
+fn never_handed_over_is_final(needs_key: bool, events: Vec<AnyRunEvent>) -> bool {
     let mut run = Run::open(needs_key);
-    let (mut handed_over, mut claimed, mut denied) = (false, false, false);
+    let (mut handed_over, mut claimed, mut withdrawn) = (false, false, false);
     for AnyRunEvent(event) in events {
         match event {
-            None => denied |= matches!(run.ask(), Verdict::NeverHandedOver { .. }),
+            None => withdrawn |= matches!(run.ask(), Verdict::NeverHandedOver { .. }),
             Some(event) => {
                 let done = run.on(event).is_ok();
                 claimed |= done && event == RunEvent::KeyClaimed;
                 handed_over |= done && event == RunEvent::HandedOver;
             }
         }
-        denied |= matches!(run.verdict(), Verdict::NeverHandedOver { .. });
-        if handed_over && (denied || needs_key != claimed) {
+        withdrawn |= matches!(run.verdict(), Verdict::NeverHandedOver { .. });
+        if handed_over && (withdrawn || needs_key != claimed) {
             return false;
         }
     }
@@ -190,32 +192,32 @@
     attempt
 }
 
-fn broken_link((said, want): (Event, Option<Outcome>)) {
+fn verdict_after_break((reported, want): (Event, Option<Outcome>)) {
     let mut attempt = bound();
     assert_eq!(attempt.on(Event::LinkLost(1)), Step::Ask(HOLDER));
-    attempt.on(said);
+    attempt.on(reported);
     assert_eq!(attempt.outcome(), want);
 }
 
-const LOST: Outcome = Outcome::Unknown {
+const UNKNOWN_SIDECAR_LOST: Outcome = Outcome::Unknown {
     reason: Reason::SidecarLost,
 };
-const LEFT: Outcome = Outcome::NotRun {
+const NOT_RUN_LEAVING: Outcome = Outcome::NotRun {
     reason: Reason::Leaving,
     retry_after: NO_WAIT,
 };
 
-/// Returns a checker with a fixed seed, so that every run checks the same cases.
+/// Returns a `QuickCheck` runner with a fixed seed, so that every run tests the same cases.
 fn checker(tests: u64) -> QuickCheck {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, 1))
         .tests(tests)
 }
 
-cases! { broken_link:
-    the_same_incarnation_can_vouch => (verdict(1, never(Reason::Leaving)), Some(LEFT)),
-    another_incarnation_cannot_vouch => (verdict(2, never(Reason::Leaving)), Some(LOST)),
-    an_unanswered_question_is_unknown => (Event::AskFailed, Some(LOST)),
+cases! { verdict_after_break:
+    the_same_incarnation_can_prove_not_run => (verdict(1, never(Reason::Leaving)), Some(NOT_RUN_LEAVING)),
+    another_incarnation_proves_nothing => (verdict(2, never(Reason::Leaving)), Some(UNKNOWN_SIDECAR_LOST)),
+    a_verdict_that_cannot_be_fetched_is_unknown => (Event::AskFailed, Some(UNKNOWN_SIDECAR_LOST)),
     a_running_run_is_resumed => (verdict(1, Verdict::Running { answer_bytes: 0 }), None),
 }
 
@@ -223,10 +225,10 @@
     any_order_of_events_gives_one_proven_outcome => {
         checker(20_000).quickcheck(outcome_is_proven as fn(Vec<AnyEvent>) -> bool);
     }
-    a_run_that_was_denied_is_never_handed_over => {
-        checker(5_000).quickcheck(run_keeps_its_word as fn(bool, Vec<AnyRunEvent>) -> bool);
+    a_withdrawn_run_is_never_handed_over => {
+        checker(5_000).quickcheck(never_handed_over_is_final as fn(bool, Vec<AnyRunEvent>) -> bool);
     }
-    a_whole_answer_completes_and_a_lost_end_is_made_good => {
+    an_answer_completes_despite_a_break_and_a_lost_end => {
         let mut attempt = bound();
         assert_eq!(attempt.on(Event::Head), Step::Pass);
         assert_eq!(attempt.on(Event::Chunk { bytes: 4 }), Step::Pass);
@@ -250,7 +252,7 @@
         assert_eq!(attempt.on(Event::LinkLost(1)), Step::Wait);
         assert_eq!(attempt.on(refused(Reason::Leaving)), Step::OfferMore);
     }
-    a_forgotten_run_reads_as_unknown => {
+    a_forgotten_run_is_reported_as_unknown => {
         let mut table = RunTable::open(RunMemory { max_ended: 2, keep: Duration::from_secs(10) });
         let given_up = given_up(Reason::Leaving);
         let claims: Vec<_> = (0..3).map(|_| table.grant(false)).collect();
@@ -263,14 +265,14 @@
         assert_eq!(table.ask(claims[2], Duration::from_secs(12)), Verdict::Unknown);
         assert_eq!((table.live_len(), table.ended_len()), (0, 0));
     }
-    a_bind_after_the_question_is_refused => {
+    a_bind_after_the_run_is_withdrawn_is_refused => {
         let mut table = RunTable::open(RunMemory::default());
         let claim = table.grant(false);
         assert_eq!(table.ask(claim, NO_WAIT), never(Reason::SidecarLost));
         let late = table.on(claim, RunEvent::Bound, NO_WAIT).expect_err("the run is withdrawn");
         assert_eq!(late.state, Some(RunState::Ended(never(Reason::SidecarLost))));
     }
-    names_are_stable => {
+    serialized_names_are_stable => {
         for reason in Reason::ALL {
             let json = serde_json::to_string(reason).expect("a reason has a name");
             assert_eq!(json, format!("\"{reason}\""));
