--- a/crates/entry/src/bound.rs
+++ b/crates/entry/src/bound.rs
@@ -6,8 +6,8 @@
 use bytes::{Bytes, BytesMut};
 use hinge_link::Exchange;
 use hinge_outcome::{
-    Accepted, AckPacer, AnswerCheck, Attempt, Event, Frame, Holder, Outcome, Reason, SidecarId,
-    Step,
+    Accepted, AckPacer, AnswerValidator, Attempt, Event, Frame, GrantId, Outcome, Reason,
+    SidecarId, Step,
 };
 use hinge_schema::messages::{
     Ack, AnswerChunk, AnswerHead, AskVerdict, FromSidecar, Resume, ToSidecar, VerdictReply,
@@ -45,11 +45,11 @@
 pub struct BoundRequest {
     shared: Arc<Shared>,
     request_id: u64,
-    holder: Holder,
+    holder: GrantId,
     cost_features: Arc<CostFeatures>,
     guard: ExchangeGuard,
     body_sender: Option<BodySender>,
-    check: AnswerCheck,
+    check: AnswerValidator,
     pacer: Option<AckPacer>,
     attempt: Attempt,
     /// A frame that was read after the bytes of the last part, and is handled next.
@@ -83,7 +83,7 @@
             mut guard,
             replay_bytes,
         } = grant;
-        attempt.on(Event::BindSent);
+        attempt.apply(Event::BindSent);
         // There is always room for the first frame after an offer; a closed exchange is detected by the reader.
         let sender = guard.exchange().sender.clone();
         let _closed = sender
@@ -97,7 +97,7 @@
             holder,
             guard,
             body_sender,
-            check: AnswerCheck::open(request_id),
+            check: AnswerValidator::new(request_id),
             pacer: replay_bytes.map(ack_pacer),
             attempt,
             next_frame: None,
@@ -121,7 +121,7 @@
 
     /// Applies an event that ends the request, such as its deadline, and returns the outcome.
     pub fn settle(&mut self, event: Event) -> Outcome {
-        self.attempt.on(event);
+        self.attempt.apply(event);
         self.outcome()
     }
 
@@ -243,7 +243,7 @@
         match self.check.accept(frame) {
             Ok(Accepted::Chunk { skip, pass }) => {
                 self.verdict_calls = 0;
-                self.attempt.on(Event::Chunk { bytes: pass });
+                self.attempt.apply(Event::Chunk { bytes: pass });
                 let data = Bytes::from(chunk.data.into_vec());
                 let skip = usize::try_from(skip).expect("a skip is shorter than its chunk");
                 Ok(data.slice(skip..))
@@ -307,7 +307,7 @@
         match self.check.accept(frame) {
             Ok(Accepted::Head) => {
                 self.verdict_calls = 0;
-                self.attempt.on(Event::Head);
+                self.attempt.apply(Event::Head);
                 Some(AnswerPart::Head(head))
             }
             Ok(_) => None,
@@ -330,21 +330,21 @@
     ///
     /// Returns `None` when the answer is resumed.
     async fn recover(&mut self) -> Option<AnswerPart> {
-        self.attempt.on(Event::LinkLost(self.holder.sidecar));
+        self.attempt.apply(Event::LinkLost(self.holder.sidecar));
         self.guard.mark_lost();
         // The rest of a body can't be sent on another exchange, so such a run can't be resumed, only proved not to have begun.
         let has_body_left = self.body_sender.take().is_some();
         while self.verdict_calls < self.shared.settings.max_verdict_calls {
             self.verdict_calls += 1;
             if self.verdict_calls > 1 {
-                self.attempt.on(Event::LinkLost(self.holder.sidecar));
+                self.attempt.apply(Event::LinkLost(self.holder.sidecar));
                 sleep(self.verdict_retry_delay()).await;
             }
             let Some(reply) = self.ask_verdict().await else {
                 continue;
             };
-            match self.attempt.on(wire::verdict(&reply)) {
-                Step::Settle { outcome, .. } => {
+            match self.attempt.apply(wire::verdict(&reply)) {
+                Step::Finish { outcome, .. } => {
                     self.guard.disarm();
                     return Some(AnswerPart::Settled(outcome));
                 }
@@ -428,7 +428,7 @@
             .call(&self.guard.address, "/v1/cancel", &cancel, wait)
             .await;
         if let Ok(reply) = reply {
-            self.attempt.on(wire::verdict(&reply));
+            self.attempt.apply(wire::verdict(&reply));
         }
         let reason = self.body_fault.map_or(Reason::Cancelled, BodyFault::reason);
         self.settle(Event::AnswerBroken(reason))
@@ -453,7 +453,7 @@
 }
 
 fn ack_pacer(replay_bytes: u64) -> AckPacer {
-    AckPacer::open(usize::try_from(replay_bytes).unwrap_or(usize::MAX))
+    AckPacer::new(usize::try_from(replay_bytes).unwrap_or(usize::MAX))
 }
 
 fn start_coalescing(first: &Bytes) -> BytesMut {
--- a/crates/entry/src/exchange_guard.rs
+++ b/crates/entry/src/exchange_guard.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use hinge_link::{Exchange, FrameError};
-use hinge_outcome::Holder;
+use hinge_outcome::GrantId;
 use hinge_schema::messages::{Cancel, CancelRun, FromSidecar, ToSidecar, VerdictReply};
 use tokio::runtime::Handle;
 use tokio::time::timeout;
@@ -20,7 +20,7 @@
     pub address: Box<str>,
     shared: Arc<Shared>,
     request_id: u64,
-    grant: Option<Holder>,
+    grant: Option<GrantId>,
     exchange: Option<Exchange>,
     is_lost: bool,
 }
@@ -74,7 +74,7 @@
     }
 
     /// Records the grant, so that the run can be cancelled after its exchange is lost.
-    pub fn set_grant(&mut self, holder: Holder) {
+    pub fn set_grant(&mut self, holder: GrantId) {
         self.grant = Some(holder);
     }
 
@@ -125,7 +125,7 @@
     shared: Arc<Shared>,
     address: Box<str>,
     request_id: u64,
-    grant: Option<Holder>,
+    grant: Option<GrantId>,
 }
 
 impl Cancellation {
--- a/crates/entry/src/offers.rs
+++ b/crates/entry/src/offers.rs
@@ -6,7 +6,7 @@
 use futures::future::BoxFuture;
 use futures::stream::FuturesUnordered;
 use futures::{FutureExt, StreamExt};
-use hinge_outcome::{Attempt, Event, Holder, Outcome, Reason, SidecarId, Step};
+use hinge_outcome::{Attempt, Event, GrantId, Outcome, Reason, SidecarId, Step};
 use hinge_placement::{AttemptOffers, Sample};
 use hinge_schema::messages::{
     FromSidecar, Granted, NotRunReason, Offer, Refused, ToSidecar, UrgencyClass,
@@ -31,7 +31,7 @@
 #[derive(Debug)]
 pub struct Grant {
     /// Sidecar, incarnation and claim of the grant.
-    pub holder: Holder,
+    pub holder: GrantId,
     /// Cancels the request when dropped.
     pub guard: ExchangeGuard,
     /// Most unacknowledged bytes of the answer; `None` from a sidecar that does not support acknowledgements.
@@ -67,7 +67,7 @@
 impl BestRefusal {
     /// Keeps a refusal due to the request or load over one specific to a sidecar, then the one with the shortest retry delay.
     fn record(&mut self, reason: Reason, retry_after: Duration) {
-        let rank = |reason: Reason, after| (reason.is_of_place(), after);
+        let rank = |reason: Reason, after| (reason.may_succeed_elsewhere(), after);
         let is_better = self
             .refusal
             .is_none_or(|(kept, after)| rank(reason, retry_after) < rank(kept, after));
@@ -100,7 +100,7 @@
     let end = loop {
         match race.step(attempt).await {
             Ok(Step::OfferMore) => race.widen(attempt),
-            Ok(Step::Settle { outcome, .. }) => break RaceResult::Settled(outcome),
+            Ok(Step::Finish { outcome, .. }) => break RaceResult::Settled(outcome),
             Ok(_) => {}
             Err(grant) => break RaceResult::Granted(grant),
         }
@@ -156,7 +156,7 @@
         };
         let mut replaced = round.withdraw.and_then(|id| self.withdrawal(id));
         for target in round.targets {
-            attempt.on(Event::OfferSent);
+            attempt.apply(Event::OfferSent);
             self.offers += 1;
             let withdrawal = Arc::new(Notify::new());
             self.withdrawals.push((target.id, Arc::clone(&withdrawal)));
@@ -193,7 +193,7 @@
                 return Ok(Step::OfferMore);
             }
         };
-        Ok(attempt.on(event))
+        Ok(attempt.apply(event))
     }
 
     /// Offers the request to the remaining sidecars, or gives up if there are none.
@@ -201,20 +201,20 @@
         if self.widen_at.is_some() {
             return Step::OfferMore;
         }
-        attempt.on(self.best_refusal.event())
+        attempt.apply(self.best_refusal.event())
     }
 
     fn on_end(&mut self, attempt: &mut Attempt, ended: OfferEnd) -> Result<Step, Box<Grant>> {
         self.record_end(&ended);
         match ended {
-            OfferEnd::Granted(grant) => match attempt.on(Event::Granted(grant.holder)) {
+            OfferEnd::Granted(grant) => match attempt.apply(Event::Granted(grant.holder)) {
                 Step::Bind(_) => Err(grant),
                 step => Ok(step),
             },
             OfferEnd::Withdrawn(_) => Ok(Step::Wait),
             OfferEnd::Refused(_, reason, retry_after) => {
                 self.best_refusal.record(reason, retry_after);
-                Ok(attempt.on(Event::OfferRefused {
+                Ok(attempt.apply(Event::OfferRefused {
                     reason,
                     retry_after,
                 }))
@@ -222,7 +222,7 @@
             OfferEnd::Lost(sidecar) => {
                 self.best_refusal.has_lost_offer = true;
                 self.request.observe(sidecar, Sample::Failed);
-                Ok(attempt.on(Event::LinkLost(sidecar)))
+                Ok(attempt.apply(Event::LinkLost(sidecar)))
             }
         }
     }
@@ -331,8 +331,8 @@
     }
 }
 
-fn grant_holder(sidecar: SidecarId, granted: &Granted) -> Holder {
-    Holder {
+fn grant_holder(sidecar: SidecarId, granted: &Granted) -> GrantId {
+    GrantId {
         sidecar,
         incarnation: granted.incarnation,
         claim: granted.claim_id,
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -2,7 +2,7 @@
 
 use std::sync::PoisonError;
 
-use hinge_outcome::{Attempt, Event, Outcome, Retry, Tried};
+use hinge_outcome::{Attempt, Event, FinishedAttempt, Outcome, RetryDecision};
 use tokio::time::{Instant, sleep, timeout_at};
 use viz::Response;
 
@@ -28,18 +28,18 @@
         .budgets
         .lock()
         .unwrap_or_else(PoisonError::into_inner)
-        .first_try(&ctx.team);
+        .record_first_attempt(&ctx.team);
     loop {
         attempts += 1;
         match attempt(&mut ctx).await {
             AttemptEnd::Answering(bound, head) => return answer::response(*bound, ctx, &head),
             AttemptEnd::Ended(outcome, Some(fault)) => return refuse_body(&ctx, outcome, fault),
             AttemptEnd::Ended(outcome, None) => match decide_retry(&ctx, outcome, attempts) {
-                Retry::After(wait) => {
+                RetryDecision::After(wait) => {
                     ctx.shared.metrics.count_retry();
                     sleep(wait).await;
                 }
-                Retry::Final(outcome) => return refuse(&ctx, outcome),
+                RetryDecision::Final(outcome) => return refuse(&ctx, outcome),
             },
         }
     }
@@ -47,7 +47,7 @@
 
 async fn attempt(request: &mut RequestContext) -> AttemptEnd {
     let request_id = rand::random();
-    let mut attempt = Attempt::open();
+    let mut attempt = Attempt::new();
     let grant = match race_offers(request, &mut attempt, request_id).await {
         RaceResult::Granted(grant) => grant,
         RaceResult::Settled(outcome) => return AttemptEnd::Ended(outcome, None),
@@ -87,12 +87,12 @@
     }
 }
 
-fn decide_retry(request: &RequestContext, outcome: Outcome, attempts: u32) -> Retry {
+fn decide_retry(request: &RequestContext, outcome: Outcome, attempts: u32) -> RetryDecision {
     // A body that was streamed can't be sent again, even if the retry budgets allow it.
     if !request.body.is_sendable() {
-        return Retry::Final(outcome);
+        return RetryDecision::Final(outcome);
     }
-    let tried = Tried {
+    let finished = FinishedAttempt {
         outcome,
         is_idempotent: request.is_idempotent,
         answer_started: false,
@@ -106,7 +106,7 @@
         .unwrap_or_else(PoisonError::into_inner)
         .decide(
             &request.team,
-            &tried,
+            &finished,
             shared.now(),
             deadline,
             &mut rand::rng(),
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -58,7 +58,7 @@
     ) -> Self {
         let teams = Teams::new(settings.max_waiting_requests, settings.max_waiting_bytes);
         Self {
-            budgets: Mutex::new(RetryBudgets::open(settings.retry)),
+            budgets: Mutex::new(RetryBudgets::new(settings.retry)),
             teams: Arc::new(teams),
             pools: PoolSelectors::new(member.instance()),
             estimates: Estimates::default(),
--- a/crates/outcome/examples/key_cost.rs
+++ b/crates/outcome/examples/key_cost.rs
@@ -5,7 +5,7 @@
 use std::{error, fs};
 
 use hinge_outcome::{
-    Holder,
+    GrantId,
     keys::{KeyRules, KeyTable, key_digest},
 };
 
@@ -18,10 +18,10 @@
 fn main() -> Result<(), Box<dyn error::Error>> {
     let rules = KeyRules::default();
     let before_bytes = resident_bytes()?;
-    let mut table = KeyTable::open();
+    let mut table = KeyTable::new();
     for index in 0..KEYS {
         let team = format!("team-{:04}", index % TEAMS);
-        let holder = Holder {
+        let holder = GrantId {
             sidecar: u64::from(index) << 20,
             incarnation: 1_700_000_000_000,
             claim: u64::from(index),
--- a/crates/outcome/src/answer.rs
+++ b/crates/outcome/src/answer.rs
@@ -58,16 +58,16 @@
         pass: u64,
     },
     /// The caller already has this; pass nothing on.
-    Nothing,
+    Duplicate,
     /// The answer is complete.
     End,
 }
 
 /// An error in the sequence of an answer's frames.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AnswerFault {
+pub enum AnswerError {
     /// A frame belongs to another attempt.
-    Crossed {
+    WrongAttempt {
         /// Attempt named by the frame.
         attempt: AttemptId,
     },
@@ -97,12 +97,12 @@
     NoEnd,
 }
 
-impl AnswerFault {
+impl AnswerError {
     /// Returns the reason to report to the caller.
     #[must_use]
     pub fn reason(&self) -> Reason {
         match self {
-            Self::Crossed { .. } => Reason::AnswerCrossed,
+            Self::WrongAttempt { .. } => Reason::AnswerCrossed,
             Self::Gap { .. } | Self::NoEnd => Reason::AnswerTruncated,
             Self::NoHead
             | Self::HeadRepeated
@@ -113,10 +113,10 @@
     }
 }
 
-impl fmt::Display for AnswerFault {
+impl fmt::Display for AnswerError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Crossed { attempt } => write!(f, "a frame belongs to attempt {attempt}"),
+            Self::WrongAttempt { attempt } => write!(f, "a frame belongs to attempt {attempt}"),
             Self::NoHead => f.write_str("a frame arrived before the head"),
             Self::HeadRepeated => f.write_str("the head arrived twice"),
             Self::Gap { expected, offset } => write!(f, "bytes {expected} to {offset} are missing"),
@@ -130,31 +130,31 @@
     }
 }
 
-impl error::Error for AnswerFault {}
+impl error::Error for AnswerError {}
 
 /// A validator of one attempt's answer, which takes the frames in the order of their arrival.
 #[derive(Debug, Clone)]
-pub struct AnswerCheck {
+pub struct AnswerValidator {
     attempt: AttemptId,
     has_head: bool,
     next_offset: u64,
     has_ended: bool,
     // Set from a resume until the first new byte: only then may bytes or the head be repeated.
     may_overlap: bool,
-    fault: Option<AnswerFault>,
+    error: Option<AnswerError>,
 }
 
-impl AnswerCheck {
+impl AnswerValidator {
     /// Creates the validator of an attempt's answer.
     #[must_use]
-    pub fn open(attempt: AttemptId) -> Self {
+    pub fn new(attempt: AttemptId) -> Self {
         Self {
             attempt,
             has_head: false,
             next_offset: 0,
             has_ended: false,
             may_overlap: false,
-            fault: None,
+            error: None,
         }
     }
 
@@ -163,13 +163,13 @@
     /// # Errors
     ///
     /// Returns the error, and the same error for every later frame: an answer never recovers from an invalid frame.
-    pub fn accept(&mut self, frame: Frame) -> Result<Accepted, AnswerFault> {
-        if let Some(fault) = self.fault {
-            return Err(fault);
+    pub fn accept(&mut self, frame: Frame) -> Result<Accepted, AnswerError> {
+        if let Some(error) = self.error {
+            return Err(error);
         }
         let checked = self.check(frame);
-        if let Err(fault) = checked {
-            self.fault = Some(fault);
+        if let Err(error) = checked {
+            self.error = Some(error);
         }
         checked
     }
@@ -178,19 +178,19 @@
     ///
     /// # Errors
     ///
-    /// Returns the error found earlier, or [`AnswerFault::NoEnd`] if the answer is incomplete.
-    pub fn close(&self) -> Result<(), AnswerFault> {
-        match self.fault {
-            Some(fault) => Err(fault),
-            None if !self.has_ended => Err(AnswerFault::NoEnd),
+    /// Returns the error found earlier, or [`AnswerError::NoEnd`] if the answer is incomplete.
+    pub fn close(&self) -> Result<(), AnswerError> {
+        match self.error {
+            Some(error) => Err(error),
+            None if !self.has_ended => Err(AnswerError::NoEnd),
             None => Ok(()),
         }
     }
 
     /// Returns whether the answer is complete.
     #[must_use]
-    pub fn is_whole(&self) -> bool {
-        self.has_ended && self.fault.is_none()
+    pub fn is_complete(&self) -> bool {
+        self.has_ended && self.error.is_none()
     }
 
     /// Returns whether the head has arrived.
@@ -210,44 +210,44 @@
         self.may_overlap = true;
     }
 
-    fn check(&mut self, frame: Frame) -> Result<Accepted, AnswerFault> {
+    fn check(&mut self, frame: Frame) -> Result<Accepted, AnswerError> {
         let attempt = frame.attempt();
         if attempt != self.attempt {
-            return Err(AnswerFault::Crossed { attempt });
+            return Err(AnswerError::WrongAttempt { attempt });
         }
         if self.has_ended {
-            return Err(AnswerFault::AfterEnd);
+            return Err(AnswerError::AfterEnd);
         }
         match frame {
             Frame::Head { .. } => self.check_head(),
-            _ if !self.has_head => Err(AnswerFault::NoHead),
+            _ if !self.has_head => Err(AnswerError::NoHead),
             Frame::Chunk { offset, len, .. } => self.check_chunk(offset, len),
             Frame::End { total, .. } => self.check_end(total),
         }
     }
 
-    fn check_head(&mut self) -> Result<Accepted, AnswerFault> {
+    fn check_head(&mut self) -> Result<Accepted, AnswerError> {
         if !self.has_head {
             self.has_head = true;
             return Ok(Accepted::Head);
         }
         if self.may_overlap {
-            return Ok(Accepted::Nothing);
+            return Ok(Accepted::Duplicate);
         }
-        Err(AnswerFault::HeadRepeated)
+        Err(AnswerError::HeadRepeated)
     }
 
-    fn check_chunk(&mut self, offset: u64, len: u64) -> Result<Accepted, AnswerFault> {
+    fn check_chunk(&mut self, offset: u64, len: u64) -> Result<Accepted, AnswerError> {
         let expected = self.next_offset;
-        let end = offset.checked_add(len).ok_or(AnswerFault::BadLength)?;
+        let end = offset.checked_add(len).ok_or(AnswerError::BadLength)?;
         if offset > expected {
-            return Err(AnswerFault::Gap { expected, offset });
+            return Err(AnswerError::Gap { expected, offset });
         }
         if offset < expected && !self.may_overlap {
-            return Err(AnswerFault::Repeated { expected, offset });
+            return Err(AnswerError::Repeated { expected, offset });
         }
         if end <= expected {
-            return Ok(Accepted::Nothing);
+            return Ok(Accepted::Duplicate);
         }
         self.may_overlap = false;
         self.next_offset = end;
@@ -257,16 +257,16 @@
         })
     }
 
-    fn check_end(&mut self, total: u64) -> Result<Accepted, AnswerFault> {
+    fn check_end(&mut self, total: u64) -> Result<Accepted, AnswerError> {
         let expected = self.next_offset;
         if total > expected {
-            return Err(AnswerFault::Gap {
+            return Err(AnswerError::Gap {
                 expected,
                 offset: total,
             });
         }
         if total < expected {
-            return Err(AnswerFault::BadLength);
+            return Err(AnswerError::BadLength);
         }
         self.has_ended = true;
         Ok(Accepted::End)
--- a/crates/outcome/src/attempt.rs
+++ b/crates/outcome/src/attempt.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use crate::{
-    ids::{Holder, Incarnation, SidecarId},
+    ids::{GrantId, Incarnation, SidecarId},
     outcome::{Outcome, Reason},
-    retry::Tried,
+    retry::FinishedAttempt,
     run::Verdict,
 };
 
@@ -19,13 +19,13 @@
     /// Offers have been sent or are about to be sent, and none is granted.
     Offered,
     /// A sidecar has granted an offer; no part of the request has been sent.
-    Granted(Holder),
+    Granted(GrantId),
     /// The request has been sent, at least in part.
-    Bound(Holder),
+    Bound(GrantId),
     /// The head of the answer has been passed to the caller.
-    HeadSeen(Holder),
+    HeadPassed(GrantId),
     /// Bytes of the answer's body have been passed to the caller.
-    Streaming(Holder),
+    Streaming(GrantId),
     /// The attempt has its final outcome.
     Done(Outcome),
 }
@@ -43,7 +43,7 @@
         retry_after: Duration,
     },
     /// A sidecar grants an offer.
-    Granted(Holder),
+    Granted(GrantId),
     /// The bind is about to be sent; must be applied before its first byte is written.
     BindSent,
     /// The exchange with a sidecar broke off.
@@ -68,7 +68,7 @@
     },
     /// The end of the answer is valid.
     End,
-    /// The answer is invalid; see [`crate::AnswerFault::reason`].
+    /// The answer is invalid; see [`crate::AnswerError::reason`].
     AnswerBroken(Reason),
     /// The caller disconnected.
     CallerGone,
@@ -94,28 +94,28 @@
     /// Every offer has been answered: make further offers, or apply [`Event::GiveUp`].
     OfferMore,
     /// Bind the request to this grant, and withdraw the other offers.
-    Bind(Holder),
+    Bind(GrantId),
     /// Release this grant, which came too late.
-    Release(Holder),
+    Release(GrantId),
     /// Pass the frame to the caller.
     Pass,
     /// Ask this sidecar for the state of the run, and apply [`Event::Verdict`] or [`Event::AskFailed`].
-    Ask(Holder),
+    Ask(GrantId),
     /// Fetch the rest of the answer from this sidecar, from this offset.
     Resume {
         /// Grant to which the run belongs.
-        holder: Holder,
+        grant: GrantId,
         /// Number of body bytes that the caller already has.
         offset: u64,
         /// Whether the caller already has the head.
         has_head: bool,
     },
     /// Report this final outcome to the caller immediately.
-    Settle {
+    Finish {
         /// The final outcome.
         outcome: Outcome,
         /// Run to cancel because nobody waits for it any more.
-        cancel: Option<Holder>,
+        cancel: Option<GrantId>,
     },
 }
 
@@ -131,14 +131,14 @@
 
 impl Default for Attempt {
     fn default() -> Self {
-        Self::open()
+        Self::new()
     }
 }
 
 impl Attempt {
     /// Creates an attempt without offers.
     #[must_use]
-    pub fn open() -> Self {
+    pub fn new() -> Self {
         Self {
             state: AttemptState::Offered,
             open_offers: 0,
@@ -173,9 +173,9 @@
     ///
     /// `attempts` is the number of attempts at the request so far, including this one.
     #[must_use]
-    pub fn tried(&self, is_idempotent: bool, attempts: u32) -> Option<Tried> {
+    pub fn finished(&self, is_idempotent: bool, attempts: u32) -> Option<FinishedAttempt> {
         let outcome = self.outcome()?;
-        Some(Tried {
+        Some(FinishedAttempt {
             outcome,
             is_idempotent,
             answer_started: self.has_head,
@@ -186,13 +186,13 @@
     /// Applies an event and returns the next action.
     ///
     /// Events that are not valid in the current state (late, repeated or forged) are ignored.
-    pub fn on(&mut self, event: Event) -> Step {
+    pub fn apply(&mut self, event: Event) -> Step {
         match self.state {
             AttemptState::Offered => self.on_offered(event),
-            AttemptState::Granted(holder) => self.on_granted(holder, event),
-            AttemptState::Bound(holder)
-            | AttemptState::HeadSeen(holder)
-            | AttemptState::Streaming(holder) => self.on_bound(holder, event),
+            AttemptState::Granted(grant) => self.on_granted(grant, event),
+            AttemptState::Bound(grant)
+            | AttemptState::HeadPassed(grant)
+            | AttemptState::Streaming(grant) => self.on_bound(grant, event),
             AttemptState::Done(_) => release_late_grant(event),
         }
     }
@@ -204,23 +204,23 @@
                 Step::Wait
             }
             Event::OfferRefused { .. } | Event::LinkLost(_) => self.offer_answered(),
-            Event::Granted(holder) => {
+            Event::Granted(grant) => {
                 self.open_offers = self.open_offers.saturating_sub(1);
-                self.state = AttemptState::Granted(holder);
-                Step::Bind(holder)
+                self.state = AttemptState::Granted(grant);
+                Step::Bind(grant)
             }
             other => self.finish_unbound(other, None),
         }
     }
 
-    fn on_granted(&mut self, holder: Holder, event: Event) -> Step {
+    fn on_granted(&mut self, grant: GrantId, event: Event) -> Step {
         match event {
             Event::BindSent => {
-                self.state = AttemptState::Bound(holder);
+                self.state = AttemptState::Bound(grant);
                 Step::Wait
             }
-            Event::Granted(other) if other != holder => Step::Release(other),
-            Event::LinkLost(sidecar) if sidecar == holder.sidecar => {
+            Event::Granted(other) if other != grant => Step::Release(other),
+            Event::LinkLost(sidecar) if sidecar == grant.sidecar => {
                 // Nothing was sent, so only the grant is lost and the other offers are still valid.
                 self.state = AttemptState::Offered;
                 self.offer_more_or_wait()
@@ -229,7 +229,7 @@
                 self.open_offers = self.open_offers.saturating_sub(1);
                 Step::Wait
             }
-            other => self.finish_unbound(other, Some(holder)),
+            other => self.finish_unbound(other, Some(grant)),
         }
     }
 
@@ -247,7 +247,7 @@
     }
 
     /// Ends an attempt whose bind was never sent, which proves that the request did not run.
-    fn finish_unbound(&mut self, event: Event, cancel: Option<Holder>) -> Step {
+    fn finish_unbound(&mut self, event: Event, cancel: Option<GrantId>) -> Step {
         let Some((reason, retry_after)) = given_up(event) else {
             return Step::Wait;
         };
@@ -260,61 +260,61 @@
         )
     }
 
-    fn on_bound(&mut self, holder: Holder, event: Event) -> Step {
+    fn on_bound(&mut self, grant: GrantId, event: Event) -> Step {
         match event {
-            Event::Granted(other) if other != holder => Step::Release(other),
-            Event::LinkLost(sidecar) if sidecar == holder.sidecar => {
+            Event::Granted(other) if other != grant => Step::Release(other),
+            Event::LinkLost(sidecar) if sidecar == grant.sidecar => {
                 self.asked = true;
-                Step::Ask(holder)
+                Step::Ask(grant)
             }
             Event::Verdict {
                 incarnation,
                 verdict,
-            } => self.on_verdict(holder, incarnation, verdict),
-            Event::AskFailed => self.finish_unknown(Reason::SidecarLost, Some(holder)),
-            Event::ResumeRefused => self.finish_unknown(Reason::AnswerTruncated, Some(holder)),
-            Event::Head => self.on_head(holder),
-            Event::Chunk { bytes } => self.on_chunk(holder, bytes),
-            Event::End => self.on_end(holder),
-            Event::AnswerBroken(reason) => self.finish_unknown(reason, Some(holder)),
+            } => self.on_verdict(grant, incarnation, verdict),
+            Event::AskFailed => self.finish_unknown(Reason::SidecarLost, Some(grant)),
+            Event::ResumeRefused => self.finish_unknown(Reason::AnswerTruncated, Some(grant)),
+            Event::Head => self.on_head(grant),
+            Event::Chunk { bytes } => self.on_chunk(grant, bytes),
+            Event::End => self.on_end(grant),
+            Event::AnswerBroken(reason) => self.finish_unknown(reason, Some(grant)),
             other => match given_up(other) {
                 // The sidecar could still be asked for proof, but the caller gets its final answer without delay.
-                Some((reason, _)) => self.finish_unknown(reason, Some(holder)),
+                Some((reason, _)) => self.finish_unknown(reason, Some(grant)),
                 None => Step::Wait,
             },
         }
     }
 
-    fn on_head(&mut self, holder: Holder) -> Step {
+    fn on_head(&mut self, grant: GrantId) -> Step {
         if self.has_head {
             return Step::Wait;
         }
         self.asked = false;
         self.has_head = true;
-        self.state = AttemptState::HeadSeen(holder);
+        self.state = AttemptState::HeadPassed(grant);
         Step::Pass
     }
 
-    fn on_chunk(&mut self, holder: Holder, bytes: u64) -> Step {
+    fn on_chunk(&mut self, grant: GrantId, bytes: u64) -> Step {
         if !self.has_head {
             return Step::Wait;
         }
         self.asked = false;
         self.passed_bytes += bytes;
-        self.state = AttemptState::Streaming(holder);
+        self.state = AttemptState::Streaming(grant);
         Step::Pass
     }
 
-    fn on_end(&mut self, holder: Holder) -> Step {
+    fn on_end(&mut self, grant: GrantId) -> Step {
         if !self.has_head {
             // An end without a head is not a complete answer.
-            return self.finish_unknown(Reason::AnswerTruncated, Some(holder));
+            return self.finish_unknown(Reason::AnswerTruncated, Some(grant));
         }
         self.finish(Outcome::Completed, None)
     }
 
-    fn on_verdict(&mut self, holder: Holder, incarnation: Incarnation, verdict: Verdict) -> Step {
-        if incarnation != holder.incarnation {
+    fn on_verdict(&mut self, grant: GrantId, incarnation: Incarnation, verdict: Verdict) -> Step {
+        if incarnation != grant.incarnation {
             // A restarted sidecar has no record of the runs of its previous incarnations.
             return self.finish_unknown(Reason::SidecarLost, None);
         }
@@ -342,24 +342,24 @@
             Verdict::Running { .. } | Verdict::Completed { .. } if self.asked => {
                 self.asked = false;
                 Step::Resume {
-                    holder,
+                    grant,
                     offset: self.passed_bytes,
                     has_head,
                 }
             }
             Verdict::Running { .. } | Verdict::Completed { .. } => Step::Wait,
             Verdict::Failed { reason } => self.finish_unknown(reason, None),
-            Verdict::Unknown => self.finish_unknown(Reason::VerdictForgotten, Some(holder)),
+            Verdict::Unknown => self.finish_unknown(Reason::VerdictForgotten, Some(grant)),
         }
     }
 
-    fn finish_unknown(&mut self, reason: Reason, cancel: Option<Holder>) -> Step {
+    fn finish_unknown(&mut self, reason: Reason, cancel: Option<GrantId>) -> Step {
         self.finish(Outcome::Unknown { reason }, cancel)
     }
 
-    fn finish(&mut self, outcome: Outcome, cancel: Option<Holder>) -> Step {
+    fn finish(&mut self, outcome: Outcome, cancel: Option<GrantId>) -> Step {
         self.state = AttemptState::Done(outcome);
-        Step::Settle { outcome, cancel }
+        Step::Finish { outcome, cancel }
     }
 }
 
@@ -378,7 +378,7 @@
 
 fn release_late_grant(event: Event) -> Step {
     match event {
-        Event::Granted(holder) => Step::Release(holder),
+        Event::Granted(grant) => Step::Release(grant),
         _ => Step::Wait,
     }
 }
--- a/crates/outcome/src/ids.rs
+++ b/crates/outcome/src/ids.rs
@@ -19,7 +19,7 @@
 
 /// A grant's fleet-wide identity, which also identifies the run that holds an idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Holder {
+pub struct GrantId {
     /// Sidecar that granted.
     pub sidecar: SidecarId,
     /// Incarnation of that sidecar when it granted.
--- a/crates/outcome/src/keys.rs
+++ b/crates/outcome/src/keys.rs
@@ -2,7 +2,7 @@
 //!
 //! Control applies the table's methods from its log, in the log's order and with the log's time, so that every replica
 //! holds the same state. For the same reason the rules passed in must come from the replicated configuration, and no method
-//! reads a clock or uses randomness. The work of every method except [`KeyTable::holder_lost`] and the sweeps is bounded.
+//! reads a clock or uses randomness. The work of every method except [`KeyTable::mark_holder_lost`] and the sweeps is bounded.
 //!
 //! A key is kept until `keep_finished_ms` after its run ended. A running key whose holder is lost has an unknown outcome; it
 //! is not granted again until `keep_unknown_ms` after it was claimed, long after a caller would still retry.
@@ -13,7 +13,7 @@
 use sha2::{Digest, Sha256};
 
 use crate::{
-    ids::{Holder, Incarnation, SidecarId, TeamId},
+    ids::{GrantId, Incarnation, SidecarId, TeamId},
     outcome::Reason,
 };
 
@@ -155,7 +155,7 @@
 /// The table's record of one key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 struct KeyRecord {
-    holder: Holder,
+    holder: GrantId,
     fingerprint: u64,
     claimed_ms: u64,
     state: KeyState,
@@ -174,7 +174,7 @@
         }
     }
 
-    fn answer(&self, holder: Holder, fingerprint: u64) -> ClaimAnswer {
+    fn answer(&self, holder: GrantId, fingerprint: u64) -> ClaimAnswer {
         if self.fingerprint != fingerprint {
             return ClaimAnswer::Conflict;
         }
@@ -212,7 +212,7 @@
 impl KeyTable {
     /// Creates an empty table.
     #[must_use]
-    pub fn open() -> Self {
+    pub fn new() -> Self {
         Self::default()
     }
 
@@ -236,7 +236,7 @@
         rules: &KeyRules,
         team: &str,
         key: KeyDigest,
-        holder: Holder,
+        holder: GrantId,
         fingerprint: u64,
         now_ms: u64,
     ) -> ClaimAnswer {
@@ -272,7 +272,7 @@
         &mut self,
         team: &str,
         key: KeyDigest,
-        holder: Holder,
+        holder: GrantId,
         outcome: KeyOutcome,
         now_ms: u64,
     ) -> bool {
@@ -302,7 +302,7 @@
     /// Only the sidecar that holds the claim may release it, after it has withdrawn the run: the release proves that the
     /// request did not run and never will. The sidecar releases the key before it tells the entry "not run", so that a retry
     /// finds the key free. A holder that was presumed lost can still give that proof.
-    pub fn release(&mut self, team: &str, key: KeyDigest, holder: Holder, now_ms: u64) -> bool {
+    pub fn release(&mut self, team: &str, key: KeyDigest, holder: GrantId, now_ms: u64) -> bool {
         let now_ms = self.advance_clock(now_ms);
         let Some(record) = self.record_held_by(team, key, holder) else {
             return false;
@@ -324,7 +324,7 @@
     /// Records that every incarnation of a sidecar below `incarnation` is gone, and returns the number of affected keys.
     ///
     /// The outcome of their runs is unknown from now on; the keys are not granted again before they expire.
-    pub fn holder_lost(
+    pub fn mark_holder_lost(
         &mut self,
         sidecar: SidecarId,
         incarnation: Incarnation,
@@ -383,7 +383,7 @@
         &mut self,
         team: &str,
         key: KeyDigest,
-        holder: Holder,
+        holder: GrantId,
     ) -> Option<&mut KeyRecord> {
         let record = self.teams.get_mut(team)?.records.get_mut(&key)?;
         (record.holder == holder).then_some(record)
--- a/crates/outcome/src/lib.rs
+++ b/crates/outcome/src/lib.rs
@@ -17,10 +17,10 @@
 pub mod retry;
 pub mod run;
 
-pub use answer::{Accepted, AnswerCheck, AnswerFault, Frame};
+pub use answer::{Accepted, AnswerError, AnswerValidator, Frame};
 pub use attempt::{Attempt, AttemptState, Event, Step};
-pub use ids::{AttemptId, ClaimId, Holder, Incarnation, SidecarId, TeamId, sidecar_id};
+pub use ids::{AttemptId, ClaimId, GrantId, Incarnation, SidecarId, TeamId, sidecar_id};
 pub use outcome::{Outcome, Reason};
-pub use replay::{AckPacer, ReplayBuffer, ReplayFault};
-pub use retry::{Retry, RetryBudgets, RetryRules, Tried};
+pub use replay::{AckPacer, ReplayBuffer, ReplayError};
+pub use retry::{FinishedAttempt, RetryBudgets, RetryDecision, RetryRules};
 pub use run::{Run, RunEvent, RunState, RunTable, Verdict};
--- a/crates/outcome/src/outcome.rs
+++ b/crates/outcome/src/outcome.rs
@@ -151,7 +151,7 @@
     /// An entry never retries a refusal that is due to load (`queue_full`, `shed`, `over_limit`): it has already offered the
     /// request more and more widely in the pool, and a retry would add to an overload.
     #[must_use]
-    pub fn is_of_place(self) -> bool {
+    pub fn may_succeed_elsewhere(self) -> bool {
         match self {
             Self::StaleConfig
             | Self::Leaving
--- a/crates/outcome/src/replay.rs
+++ b/crates/outcome/src/replay.rs
@@ -12,7 +12,7 @@
 /// A model's stream with about 200 bytes per token and 13 tokens/s can continue for 50 seconds while its entry reconnects. A
 /// plain service's long answer moves 128 KiB in a round trip of 3 ms, about 40 MB/s. With 64 slots in use the buffers of a
 /// sidecar take at most 8 MiB.
-pub const DEFAULT_BOUND_BYTES: usize = 128 * 1024;
+pub const DEFAULT_CAPACITY_BYTES: usize = 128 * 1024;
 
 /// Number of acknowledgements that the entry sends per full buffer.
 ///
@@ -28,11 +28,11 @@
 }
 
 impl AckPacer {
-    /// Creates the pacer of an answer whose sidecar buffers up to `bound_bytes`.
+    /// Creates the pacer of an answer whose sidecar buffers up to `capacity_bytes`.
     #[must_use]
-    pub fn open(bound_bytes: usize) -> Self {
+    pub fn new(capacity_bytes: usize) -> Self {
         Self {
-            every_bytes: (bound_bytes as u64 / ACKS_PER_BUFFER).max(1),
+            every_bytes: (capacity_bytes as u64 / ACKS_PER_BUFFER).max(1),
             acked: 0,
         }
     }
@@ -51,7 +51,7 @@
 
 /// The error for an offset that a replay buffer can't serve.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReplayFault {
+pub enum ReplayError {
     /// The entry has acknowledged these bytes, so they were dropped.
     Gone {
         /// First offset still held.
@@ -64,7 +64,7 @@
     },
 }
 
-impl fmt::Display for ReplayFault {
+impl fmt::Display for ReplayError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Gone { start } => write!(f, "bytes before offset {start} are no longer buffered"),
@@ -73,14 +73,14 @@
     }
 }
 
-impl error::Error for ReplayFault {}
+impl error::Error for ReplayError {}
 
 /// A bounded buffer of the unacknowledged bytes of one answer.
 #[derive(Debug)]
 pub struct ReplayBuffer {
     bytes: VecDeque<u8>,
     start: u64,
-    bound_bytes: usize,
+    capacity_bytes: usize,
     total: Option<u64>,
 }
 
@@ -91,12 +91,15 @@
     ///
     /// Panics if the limit is zero, as no byte could pass.
     #[must_use]
-    pub fn open(bound_bytes: usize) -> Self {
-        assert!(bound_bytes > 0, "a replay buffer holds at least one byte");
+    pub fn new(capacity_bytes: usize) -> Self {
+        assert!(
+            capacity_bytes > 0,
+            "a replay buffer holds at least one byte"
+        );
         Self {
             bytes: VecDeque::new(),
             start: 0,
-            bound_bytes,
+            capacity_bytes,
             total: None,
         }
     }
@@ -135,7 +138,7 @@
     /// Returns how many bytes may be pushed before the next acknowledgement.
     #[must_use]
     pub fn room_bytes(&self) -> usize {
-        self.bound_bytes - self.bytes.len()
+        self.capacity_bytes - self.bytes.len()
     }
 
     /// Returns the first offset that is still held.
@@ -156,11 +159,11 @@
     ///
     /// # Errors
     ///
-    /// Returns [`ReplayFault::Ahead`] for bytes that were never sent; nothing is dropped.
-    pub fn ack(&mut self, offset: u64) -> Result<(), ReplayFault> {
+    /// Returns [`ReplayError::Ahead`] for bytes that were never sent; nothing is dropped.
+    pub fn ack(&mut self, offset: u64) -> Result<(), ReplayError> {
         let end = self.end_offset();
         if offset > end {
-            return Err(ReplayFault::Ahead { end });
+            return Err(ReplayError::Ahead { end });
         }
         let dropped = buffered_len(offset.saturating_sub(self.start));
         self.bytes.drain(..dropped);
@@ -172,14 +175,14 @@
     ///
     /// # Errors
     ///
-    /// Returns [`ReplayFault`] if the offset is not held. The offset after the last byte gives empty slices.
-    pub fn read_from(&self, offset: u64, max_bytes: usize) -> Result<(&[u8], &[u8]), ReplayFault> {
+    /// Returns [`ReplayError`] if the offset is not held. The offset after the last byte gives empty slices.
+    pub fn read_from(&self, offset: u64, max_bytes: usize) -> Result<(&[u8], &[u8]), ReplayError> {
         if offset < self.start {
-            return Err(ReplayFault::Gone { start: self.start });
+            return Err(ReplayError::Gone { start: self.start });
         }
         let end = self.end_offset();
         if offset > end {
-            return Err(ReplayFault::Ahead { end });
+            return Err(ReplayError::Ahead { end });
         }
         let skip = buffered_len(offset - self.start);
         let (first, second) = self.bytes.as_slices();
--- a/crates/outcome/src/retry.rs
+++ b/crates/outcome/src/retry.rs
@@ -54,7 +54,7 @@
 
 /// A finished attempt, as input to the retry decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Tried {
+pub struct FinishedAttempt {
     /// How the attempt ended.
     pub outcome: Outcome,
     /// Whether the request may run more than once.
@@ -65,21 +65,21 @@
     pub attempts: u32,
 }
 
-impl Tried {
+impl FinishedAttempt {
     /// Returns whether another attempt is safe and may succeed, regardless of budgets and the deadline.
     #[must_use]
-    pub fn is_repeatable(&self) -> bool {
+    pub fn is_retryable(&self) -> bool {
         let Some(reason) = self.outcome.reason() else {
             return false;
         };
         let is_safe = self.outcome.is_not_run() || (self.is_idempotent && !self.answer_started);
-        is_safe && reason.is_of_place()
+        is_safe && reason.may_succeed_elsewhere()
     }
 }
 
 /// What follows a finished attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Retry {
+pub enum RetryDecision {
     /// Make another attempt after this delay.
     After(Duration),
     /// Report this outcome to the caller now.
@@ -126,7 +126,7 @@
 impl RetryBudgets {
     /// Creates full budgets.
     #[must_use]
-    pub fn open(rules: RetryRules) -> Self {
+    pub fn new(rules: RetryRules) -> Self {
         Self {
             rules,
             entry: TokenBucket::full(rules.entry_burst_retries),
@@ -135,7 +135,7 @@
     }
 
     /// Refills the budgets for a first attempt of this team; must be called once for each request.
-    pub fn first_try(&mut self, team: &str) {
+    pub fn record_first_attempt(&mut self, team: &str) {
         let permille = self.rules.retry_permille;
         self.entry.refill(permille);
         self.team(team).refill(permille);
@@ -152,24 +152,24 @@
     pub fn decide(
         &mut self,
         team: &str,
-        tried: &Tried,
+        finished: &FinishedAttempt,
         now: Duration,
         deadline: Duration,
         rng: &mut impl Rng,
-    ) -> Retry {
-        if tried.attempts >= self.rules.max_attempts || !tried.is_repeatable() {
-            return Retry::Final(tried.outcome);
+    ) -> RetryDecision {
+        if finished.attempts >= self.rules.max_attempts || !finished.is_retryable() {
+            return RetryDecision::Final(finished.outcome);
         }
-        let delay = self.delay(tried.attempts, rng);
+        let delay = self.delay(finished.attempts, rng);
         if now + delay + self.rules.min_attempt > deadline {
-            return Retry::Final(tried.outcome);
+            return RetryDecision::Final(finished.outcome);
         }
         if !self.entry.has_token() || !self.team(team).has_token() {
-            return Retry::Final(tried.outcome);
+            return RetryDecision::Final(finished.outcome);
         }
         self.entry.take_token();
         self.team(team).take_token();
-        Retry::After(delay)
+        RetryDecision::After(delay)
     }
 
     /// Returns a delay drawn uniformly between zero and a limit that doubles with each attempt ("full jitter").
--- a/crates/outcome/src/run.rs
+++ b/crates/outcome/src/run.rs
@@ -120,7 +120,7 @@
 impl Run {
     /// Creates a run for a grant; a request that must not be repeated needs its key claimed before the hand-over.
     #[must_use]
-    pub fn open(needs_key: bool) -> Self {
+    pub fn new(needs_key: bool) -> Self {
         Self {
             state: RunState::Granted,
             needs_key,
@@ -139,7 +139,7 @@
     ///
     /// Returns [`RunError`] and leaves the state unchanged if the state does not allow the event; in particular, a run that
     /// was withdrawn or whose key is not claimed can't be handed over.
-    pub fn on(&mut self, event: RunEvent) -> Result<RunState, RunError> {
+    pub fn apply(&mut self, event: RunEvent) -> Result<RunState, RunError> {
         let next = match (self.state, event) {
             (RunState::Granted, RunEvent::Bound) => RunState::Bound,
             (RunState::Bound, RunEvent::KeyClaimed) if self.needs_key => RunState::KeyClaimed,
@@ -207,14 +207,14 @@
 
 /// The limits on remembering ended runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RunMemory {
+pub struct RunRetention {
     /// Maximum number of ended runs that are remembered.
     pub max_ended: usize,
     /// How long an ended run is remembered.
     pub keep: Duration,
 }
 
-impl Default for RunMemory {
+impl Default for RunRetention {
     /// Remembers 4,096 runs for two minutes.
     ///
     /// An entry asks within seconds of a break; two minutes also cover the usual length of a network partition between
@@ -231,7 +231,7 @@
 /// The runs of one incarnation of a sidecar.
 #[derive(Debug)]
 pub struct RunTable {
-    memory: RunMemory,
+    retention: RunRetention,
     next_claim: ClaimId,
     live: HashMap<ClaimId, Run>,
     ended: HashMap<ClaimId, Verdict>,
@@ -241,9 +241,9 @@
 impl RunTable {
     /// Creates an empty table.
     #[must_use]
-    pub fn open(memory: RunMemory) -> Self {
+    pub fn new(retention: RunRetention) -> Self {
         Self {
-            memory,
+            retention,
             next_claim: 1,
             live: HashMap::new(),
             ended: HashMap::new(),
@@ -255,7 +255,7 @@
     pub fn grant(&mut self, needs_key: bool) -> ClaimId {
         let claim = self.next_claim;
         self.next_claim += 1;
-        self.live.insert(claim, Run::open(needs_key));
+        self.live.insert(claim, Run::new(needs_key));
         claim
     }
 
@@ -282,7 +282,7 @@
     /// # Errors
     ///
     /// Returns [`RunError`] if the run is not live or its state does not allow the event.
-    pub fn on(
+    pub fn apply(
         &mut self,
         claim: ClaimId,
         event: RunEvent,
@@ -296,7 +296,7 @@
                 .map(|verdict| RunState::Ended(*verdict));
             return Err(RunError { state });
         };
-        let state = run.on(event)?;
+        let state = run.apply(event)?;
         self.remember_if_ended(claim, state, now);
         Ok(state)
     }
@@ -327,8 +327,8 @@
 
     fn forget_expired(&mut self, now: Duration) {
         while let Some((ended_at, claim)) = self.ended_order.front().copied() {
-            let is_old = now.saturating_sub(ended_at) > self.memory.keep;
-            if !is_old && self.ended_order.len() <= self.memory.max_ended {
+            let is_old = now.saturating_sub(ended_at) > self.retention.keep;
+            if !is_old && self.ended_order.len() <= self.retention.max_ended {
                 return;
             }
             self.ended_order.pop_front();
--- a/crates/outcome/tests/answers.rs
+++ b/crates/outcome/tests/answers.rs
@@ -2,7 +2,7 @@
 
 use hinge_cases::cases;
 use hinge_outcome::{
-    Accepted, AckPacer, AnswerCheck, AnswerFault, Frame, Reason, ReplayBuffer, ReplayFault,
+    Accepted, AckPacer, AnswerError, AnswerValidator, Frame, Reason, ReplayBuffer, ReplayError,
 };
 use quickcheck::{Gen, QuickCheck, TestResult};
 
@@ -75,7 +75,7 @@
         }
         mutate(&mut list, &mut resumes, kind, usize::from(at));
     }
-    let mut check = AnswerCheck::open(ATTEMPT);
+    let mut check = AnswerValidator::new(ATTEMPT);
     let mut passed = Vec::new();
     for (index, (frame, bytes)) in list.iter().enumerate() {
         if resumes.contains(&index) {
@@ -89,16 +89,18 @@
             Err(_) => break,
         }
     }
-    let is_whole = check.close().is_ok();
+    let is_complete = check.close().is_ok();
     TestResult::from_bool(
-        BODY.starts_with(&passed) && is_whole == check.is_whole() && (!is_whole || passed == BODY),
+        BODY.starts_with(&passed)
+            && is_complete == check.is_complete()
+            && (!is_complete || passed == BODY),
     )
 }
 
 /// Pushes, acknowledges and reads in arbitrary order; the whole body arrives, and the buffer stays within its limit.
 fn replay_is_complete(bound: u8, steps: Vec<u8>) -> bool {
     let bound = usize::from(bound % 16) + 1;
-    let mut buffer = ReplayBuffer::open(bound);
+    let mut buffer = ReplayBuffer::new(bound);
     let (mut sent, mut received) = (0, Vec::new());
     for step in steps.into_iter().chain((0..=255).cycle().take(2048)) {
         let got = received.len() as u64;
@@ -119,26 +121,26 @@
     received == BODY && buffer.end() == BODY.len() as u64
 }
 
-fn fault((frames, want): (&[Frame], AnswerFault)) {
-    let mut check = AnswerCheck::open(ATTEMPT);
-    let faults: Vec<_> = frames
+fn error((frames, want): (&[Frame], AnswerError)) {
+    let mut check = AnswerValidator::new(ATTEMPT);
+    let errors: Vec<_> = frames
         .iter()
         .filter_map(|frame| check.accept(*frame).err())
         .collect();
-    assert_eq!(faults, [want]);
+    assert_eq!(errors, [want]);
     assert_eq!(check.close(), Err(want));
 }
 
-cases! { fault:
-    a_frame_of_another_attempt => (&[HEAD, Frame::Head { attempt: 9 }], AnswerFault::Crossed { attempt: 9 }),
-    no_head => (&[chunk(0, 1)], AnswerFault::NoHead),
-    two_heads => (&[HEAD, HEAD], AnswerFault::HeadRepeated),
-    a_gap => (&[HEAD, chunk(0, 2), chunk(3, 1)], AnswerFault::Gap { expected: 2, offset: 3 }),
-    a_repeat => (&[HEAD, chunk(0, 2), chunk(1, 4)], AnswerFault::Repeated { expected: 2, offset: 1 }),
-    an_early_end => (&[HEAD, chunk(0, 2), end(3)], AnswerFault::Gap { expected: 2, offset: 3 }),
-    a_short_end => (&[HEAD, chunk(0, 2), end(1)], AnswerFault::BadLength),
-    an_overflow => (&[HEAD, chunk(0, 2), chunk(u64::MAX, 2)], AnswerFault::BadLength),
-    a_frame_after_the_end => (&[HEAD, end(0), chunk(0, 1)], AnswerFault::AfterEnd),
+cases! { error:
+    a_frame_of_another_attempt => (&[HEAD, Frame::Head { attempt: 9 }], AnswerError::WrongAttempt { attempt: 9 }),
+    no_head => (&[chunk(0, 1)], AnswerError::NoHead),
+    two_heads => (&[HEAD, HEAD], AnswerError::HeadRepeated),
+    a_gap => (&[HEAD, chunk(0, 2), chunk(3, 1)], AnswerError::Gap { expected: 2, offset: 3 }),
+    a_repeat => (&[HEAD, chunk(0, 2), chunk(1, 4)], AnswerError::Repeated { expected: 2, offset: 1 }),
+    an_early_end => (&[HEAD, chunk(0, 2), end(3)], AnswerError::Gap { expected: 2, offset: 3 }),
+    a_short_end => (&[HEAD, chunk(0, 2), end(1)], AnswerError::BadLength),
+    an_overflow => (&[HEAD, chunk(0, 2), chunk(u64::MAX, 2)], AnswerError::BadLength),
+    a_frame_after_the_end => (&[HEAD, end(0), chunk(0, 1)], AnswerError::AfterEnd),
 }
 
 cases! {
@@ -149,28 +151,28 @@
         checker(500).quickcheck(replay_is_complete as fn(u8, Vec<u8>) -> bool);
     }
     an_overlap_is_trimmed_only_when_resumed => {
-        let mut check = AnswerCheck::open(ATTEMPT);
+        let mut check = AnswerValidator::new(ATTEMPT);
         assert_eq!(check.accept(HEAD), Ok(Accepted::Head));
         assert_eq!(check.accept(chunk(0, 5)), Ok(Accepted::Chunk { skip: 0, pass: 5 }));
         assert_eq!(check.resume_offset(), 5);
         check.resume();
-        assert_eq!(check.accept(HEAD), Ok(Accepted::Nothing));
-        assert_eq!(check.accept(chunk(1, 2)), Ok(Accepted::Nothing));
+        assert_eq!(check.accept(HEAD), Ok(Accepted::Duplicate));
+        assert_eq!(check.accept(chunk(1, 2)), Ok(Accepted::Duplicate));
         assert_eq!(check.accept(chunk(3, 4)), Ok(Accepted::Chunk { skip: 2, pass: 2 }));
-        let fault = check.accept(chunk(6, 4)).expect_err("the resume is over");
-        assert_eq!(fault.reason(), Reason::AnswerGarbled);
+        let error = check.accept(chunk(6, 4)).expect_err("the resume is over");
+        assert_eq!(error.reason(), Reason::AnswerGarbled);
     }
     acknowledgements_are_paced => {
-        let mut pacer = AckPacer::open(40);
+        let mut pacer = AckPacer::new(40);
         let due: Vec<_> = [9, 10, 19, 25, 34, 35].into_iter().filter_map(|passed| pacer.due(passed)).collect();
         assert_eq!(due, [10, 25, 35]);
     }
     acknowledged_bytes_are_gone => {
-        let mut buffer = ReplayBuffer::open(4);
+        let mut buffer = ReplayBuffer::new(4);
         assert_eq!(buffer.push(b"abcdef"), 4);
-        assert_eq!(buffer.ack(5), Err(ReplayFault::Ahead { end: 4 }));
+        assert_eq!(buffer.ack(5), Err(ReplayError::Ahead { end: 4 }));
         assert_eq!((buffer.ack(3), buffer.room_bytes()), (Ok(()), 3));
-        assert_eq!(buffer.read_from(2, 9), Err(ReplayFault::Gone { start: 3 }));
-        assert_eq!(buffer.read_from(5, 9), Err(ReplayFault::Ahead { end: 4 }));
+        assert_eq!(buffer.read_from(2, 9), Err(ReplayError::Gone { start: 3 }));
+        assert_eq!(buffer.read_from(5, 9), Err(ReplayError::Ahead { end: 4 }));
     }
 }
--- a/crates/outcome/tests/retries_and_keys.rs
+++ b/crates/outcome/tests/retries_and_keys.rs
@@ -4,7 +4,7 @@
 
 use hinge_cases::cases;
 use hinge_outcome::{
-    Holder, Outcome, Reason, Retry, RetryBudgets, RetryRules, Tried,
+    FinishedAttempt, GrantId, Outcome, Reason, RetryBudgets, RetryDecision, RetryRules,
     keys::{ClaimAnswer, KeyOutcome, KeyRules, KeyTable, key_digest as key, request_fingerprint},
 };
 use quickcheck::{Gen, QuickCheck};
@@ -25,8 +25,8 @@
     }
 }
 
-fn tried(outcome: Outcome, is_idempotent: bool, answer_started: bool) -> Tried {
-    Tried {
+fn finished(outcome: Outcome, is_idempotent: bool, answer_started: bool) -> FinishedAttempt {
+    FinishedAttempt {
         outcome,
         is_idempotent,
         answer_started,
@@ -34,12 +34,12 @@
     }
 }
 
-fn repeatable((tried, want): (Tried, bool)) {
-    assert_eq!(tried.is_repeatable(), want);
-    let mut budgets = RetryBudgets::open(RetryRules::default());
+fn retryable((finished, want): (FinishedAttempt, bool)) {
+    assert_eq!(finished.is_retryable(), want);
+    let mut budgets = RetryBudgets::new(RetryRules::default());
     let mut rng = StdRng::seed_from_u64(1);
-    let retry = budgets.decide("a", &tried, Duration::ZERO, FAR, &mut rng);
-    assert_eq!(retry == Retry::Final(tried.outcome), !want);
+    let retry = budgets.decide("a", &finished, Duration::ZERO, FAR, &mut rng);
+    assert_eq!(retry == RetryDecision::Final(finished.outcome), !want);
 }
 
 /// Returns a `QuickCheck` runner with a fixed seed, so that every run tests the same cases.
@@ -49,13 +49,13 @@
         .tests(tests)
 }
 
-cases! { repeatable:
-    a_proven_not_run_attempt_is_repeated => (tried(LEAVING, false, false), true),
-    an_unknown_idempotent_one_is_repeated => (tried(FAILED, true, false), true),
-    an_unknown_non_idempotent_one_is_not_repeated => (tried(FAILED, false, false), false),
-    a_started_answer_is_not_repeated => (tried(FAILED, true, true), false),
-    a_refusal_due_to_load_is_not_repeated => (tried(SHED, true, false), false),
-    a_completed_one_is_not_repeated => (tried(Outcome::Completed, true, false), false),
+cases! { retryable:
+    a_proven_not_run_attempt_is_repeated => (finished(LEAVING, false, false), true),
+    an_unknown_idempotent_one_is_repeated => (finished(FAILED, true, false), true),
+    an_unknown_non_idempotent_one_is_not_repeated => (finished(FAILED, false, false), false),
+    a_started_answer_is_not_repeated => (finished(FAILED, true, true), false),
+    a_refusal_due_to_load_is_not_repeated => (finished(SHED, true, false), false),
+    a_completed_one_is_not_repeated => (finished(Outcome::Completed, true, false), false),
 }
 
 /// Retries stay within a fraction of the first attempts plus a burst, for the entry and for each team.
@@ -65,21 +65,21 @@
         team_burst_retries: 2,
         ..RetryRules::default()
     };
-    let mut budgets = RetryBudgets::open(rules);
+    let mut budgets = RetryBudgets::new(rules);
     let mut rng = StdRng::seed_from_u64(seed);
     let mut counts = HashMap::<Box<str>, (u32, u32)>::new();
     for (team, is_first) in teams.into_iter().cycle().take(3000) {
         let team: Box<str> = format!("team-{}", team % 3).into();
         let count = counts.entry(team.clone()).or_default();
         if is_first {
-            budgets.first_try(&team);
+            budgets.record_first_attempt(&team);
             count.0 += 1;
         }
-        let tried = tried(LEAVING, false, false);
-        match budgets.decide(&team, &tried, Duration::ZERO, FAR, &mut rng) {
-            Retry::After(delay) if delay > rules.base_delay => return false,
-            Retry::After(_) => count.1 += 1,
-            Retry::Final(_) => {}
+        let finished = finished(LEAVING, false, false);
+        match budgets.decide(&team, &finished, Duration::ZERO, FAR, &mut rng) {
+            RetryDecision::After(delay) if delay > rules.base_delay => return false,
+            RetryDecision::After(_) => count.1 += 1,
+            RetryDecision::Final(_) => {}
         }
     }
     let within = |(first, retries): (u32, u32), burst: u32| {
@@ -99,8 +99,8 @@
     reserved_keys_per_team: 1,
 };
 
-fn holder(claim: u64) -> Holder {
-    Holder {
+fn holder(claim: u64) -> GrantId {
+    GrantId {
         sidecar: claim % 2,
         incarnation: 1,
         claim,
@@ -115,7 +115,7 @@
         keep_finished_ms: u64::MAX,
         ..RULES
     };
-    let mut table = KeyTable::open();
+    let mut table = KeyTable::new();
     let mut owner = None;
     let mut is_over = false;
     for (now_ms, (kind, claim)) in steps.into_iter().enumerate() {
@@ -140,7 +140,7 @@
                 }
                 is_over = true;
             }
-            4 => is_over |= table.holder_lost(holder.sidecar, 2, now_ms) > 0,
+            4 => is_over |= table.mark_holder_lost(holder.sidecar, 2, now_ms) > 0,
             _ => {}
         }
     }
@@ -149,7 +149,7 @@
 
 /// The same steps give the same state, a snapshot restores it, and the length stays within the limits.
 fn replicas_agree(steps: Vec<(u8, u8, u8, u8)>) -> bool {
-    let (mut left, mut right) = (KeyTable::open(), KeyTable::open());
+    let (mut left, mut right) = (KeyTable::new(), KeyTable::new());
     for (index, (kind, team, name, wait)) in steps.into_iter().enumerate() {
         let apply = |table: &mut KeyTable| {
             let (team, key) = (format!("team-{}", team % 2), key(&format!("{}", name % 8)));
@@ -173,10 +173,10 @@
         checker(300).quickcheck(budget_holds as fn(u64, Vec<(u8, bool)>) -> bool);
     }
     no_retry_exceeds_the_deadline => {
-        let mut budgets = RetryBudgets::open(RetryRules::default());
+        let mut budgets = RetryBudgets::new(RetryRules::default());
         let (now, deadline) = (Duration::from_millis(960), Duration::from_secs(1));
-        let retry = budgets.decide("a", &tried(LEAVING, true, false), now, deadline, &mut StdRng::seed_from_u64(1));
-        assert_eq!(retry, Retry::Final(LEAVING));
+        let retry = budgets.decide("a", &finished(LEAVING, true, false), now, deadline, &mut StdRng::seed_from_u64(1));
+        assert_eq!(retry, RetryDecision::Final(LEAVING));
     }
     a_key_is_granted_once => {
         checker(20_000).quickcheck(one_grant_per_lifetime as fn(Vec<(u8, u8)>) -> bool);
@@ -185,7 +185,7 @@
         checker(300).quickcheck(replicas_agree as fn(Vec<(u8, u8, u8, u8)>) -> bool);
     }
     a_duplicate_claim_returns_the_known_state => {
-        let mut table = KeyTable::open();
+        let mut table = KeyTable::new();
         let mut claim = |holder, print, now_ms| table.claim(&RULES, "a", key("k"), holder, print, now_ms);
         assert_eq!(claim(holder(1), 1, 5), ClaimAnswer::Granted);
         assert_eq!(claim(holder(1), 1, 6), ClaimAnswer::Granted);
@@ -198,15 +198,15 @@
         assert_eq!(table.claim(&RULES, "a", key("k"), holder(3), 1, 110), ClaimAnswer::Granted);
     }
     a_lost_holders_key_stays_claimed_until_it_expires => {
-        let mut table = KeyTable::open();
+        let mut table = KeyTable::new();
         table.claim(&RULES, "a", key("k"), holder(1), 1, 0);
-        assert_eq!(table.holder_lost(1, 2, 10), 1);
+        assert_eq!(table.mark_holder_lost(1, 2, 10), 1);
         let unknown = ClaimAnswer::Finished { outcome: KeyOutcome::Unknown };
         assert_eq!(table.claim(&RULES, "a", key("k"), holder(2), 1, 9_999), unknown);
         assert_eq!(table.claim(&RULES, "a", key("k"), holder(2), 1, 10_000), ClaimAnswer::Granted);
     }
     a_released_key_is_granted_only_to_another_holder => {
-        let mut table = KeyTable::open();
+        let mut table = KeyTable::new();
         table.claim(&RULES, "a", key("k"), holder(1), 1, 0);
         assert!(table.release("a", key("k"), holder(1), 1));
         assert_eq!(table.claim(&RULES, "a", key("k"), holder(1), 1, 2), ClaimAnswer::Withdrawn);
@@ -214,7 +214,7 @@
         assert!(!table.release("a", key("k"), holder(1), 4));
     }
     a_flood_of_keys_affects_only_its_own_team => {
-        let mut table = KeyTable::open();
+        let mut table = KeyTable::new();
         let mut claim = |team: &str, name: &str, now_ms| table.claim(&RULES, team, key(name), holder(1), 1, now_ms);
         let full = ClaimAnswer::Full { retry_after_ms: 1000 };
         let flood: Vec<_> = ["1", "2", "3", "4"].iter().map(|name| claim("big", name, 0)).collect();
--- a/crates/outcome/tests/state_machines.rs
+++ b/crates/outcome/tests/state_machines.rs
@@ -4,16 +4,16 @@
 
 use hinge_cases::cases;
 use hinge_outcome::{
-    Attempt, AttemptState, Event, Holder, Outcome, Reason, Run, RunEvent, RunState, RunTable, Step,
-    Verdict, run::RunMemory, sidecar_id,
+    Attempt, AttemptState, Event, GrantId, Outcome, Reason, Run, RunEvent, RunState, RunTable,
+    Step, Verdict, run::RunRetention, sidecar_id,
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 const NO_WAIT: Duration = Duration::ZERO;
-const HOLDER: Holder = holder(1, 1);
+const GRANT: GrantId = grant_id(1, 1);
 
-const fn holder(sidecar: u64, incarnation: u64) -> Holder {
-    Holder {
+const fn grant_id(sidecar: u64, incarnation: u64) -> GrantId {
+    GrantId {
         sidecar,
         incarnation,
         claim: 7,
@@ -69,8 +69,8 @@
         let events = [
             Event::OfferSent,
             refused(reason),
-            Event::Granted(holder(small, small)),
-            Event::Granted(HOLDER),
+            Event::Granted(grant_id(small, small)),
+            Event::Granted(GRANT),
             Event::BindSent,
             Event::LinkLost(small),
             reported,
@@ -95,16 +95,16 @@
 
 /// Applies the events and tracks separately what was sent, passed on and proven, then checks the outcome against that.
 fn outcome_is_proven(events: Vec<AnyEvent>) -> bool {
-    let mut attempt = Attempt::open();
+    let mut attempt = Attempt::new();
     let (mut bound, mut head, mut settled) = (None, false, None);
     for AnyEvent(event) in events {
         let before = attempt.state();
-        let step = attempt.on(event);
+        let step = attempt.apply(event);
         if let (Event::BindSent, AttemptState::Granted(to)) = (event, before) {
             bound = Some(to);
         }
         head |= event == Event::Head && step == Step::Pass;
-        let Step::Settle { outcome, .. } = step else {
+        let Step::Finish { outcome, .. } = step else {
             let is_quiet = settled.is_none() || matches!(step, Step::Wait | Step::Release(_));
             if !is_quiet || settled != attempt.outcome() {
                 return false;
@@ -120,9 +120,9 @@
         };
         let repeats = |idempotent| {
             attempt
-                .tried(idempotent, 1)
+                .finished(idempotent, 1)
                 .expect("an outcome")
-                .is_repeatable()
+                .is_retryable()
         };
         let may_repeat = outcome.is_not_run() || !head;
         if !is_proven
@@ -137,7 +137,7 @@
     true
 }
 
-fn is_proof_of_not_run(event: Event, to: Holder) -> bool {
+fn is_proof_of_not_run(event: Event, to: GrantId) -> bool {
     matches!(event, Event::Verdict { incarnation, verdict: Verdict::NeverHandedOver { .. } } if incarnation == to.incarnation)
 }
 
@@ -164,13 +164,13 @@
 
 /// Checks that "never handed over" is never reported after a hand-over or followed by one; `None` asks the run.
 fn never_handed_over_is_final(needs_key: bool, events: Vec<AnyRunEvent>) -> bool {
-    let mut run = Run::open(needs_key);
+    let mut run = Run::new(needs_key);
     let (mut handed_over, mut claimed, mut withdrawn) = (false, false, false);
     for AnyRunEvent(event) in events {
         match event {
             None => withdrawn |= matches!(run.ask(), Verdict::NeverHandedOver { .. }),
             Some(event) => {
-                let done = run.on(event).is_ok();
+                let done = run.apply(event).is_ok();
                 claimed |= done && event == RunEvent::KeyClaimed;
                 handed_over |= done && event == RunEvent::HandedOver;
             }
@@ -183,19 +183,19 @@
     true
 }
 
-/// Returns an attempt that is bound to [`HOLDER`].
+/// Returns an attempt that is bound to [`GRANT`].
 fn bound() -> Attempt {
-    let mut attempt = Attempt::open();
-    for event in [Event::OfferSent, Event::Granted(HOLDER), Event::BindSent] {
-        attempt.on(event);
+    let mut attempt = Attempt::new();
+    for event in [Event::OfferSent, Event::Granted(GRANT), Event::BindSent] {
+        attempt.apply(event);
     }
     attempt
 }
 
 fn verdict_after_break((reported, want): (Event, Option<Outcome>)) {
     let mut attempt = bound();
-    assert_eq!(attempt.on(Event::LinkLost(1)), Step::Ask(HOLDER));
-    attempt.on(reported);
+    assert_eq!(attempt.apply(Event::LinkLost(1)), Step::Ask(GRANT));
+    attempt.apply(reported);
     assert_eq!(attempt.outcome(), want);
 }
 
@@ -230,34 +230,34 @@
     }
     an_answer_completes_despite_a_break_and_a_lost_end => {
         let mut attempt = bound();
-        assert_eq!(attempt.on(Event::Head), Step::Pass);
-        assert_eq!(attempt.on(Event::Chunk { bytes: 4 }), Step::Pass);
-        attempt.on(Event::LinkLost(1));
-        let resume = Step::Resume { holder: HOLDER, offset: 4, has_head: true };
-        assert_eq!(attempt.on(verdict(1, Verdict::Completed { answer_bytes: 9 })), resume);
-        attempt.on(Event::Chunk { bytes: 5 });
-        attempt.on(Event::LinkLost(1));
-        attempt.on(verdict(1, Verdict::Completed { answer_bytes: 9 }));
+        assert_eq!(attempt.apply(Event::Head), Step::Pass);
+        assert_eq!(attempt.apply(Event::Chunk { bytes: 4 }), Step::Pass);
+        attempt.apply(Event::LinkLost(1));
+        let resume = Step::Resume { grant: GRANT, offset: 4, has_head: true };
+        assert_eq!(attempt.apply(verdict(1, Verdict::Completed { answer_bytes: 9 })), resume);
+        attempt.apply(Event::Chunk { bytes: 5 });
+        attempt.apply(Event::LinkLost(1));
+        attempt.apply(verdict(1, Verdict::Completed { answer_bytes: 9 }));
         assert_eq!(attempt.outcome(), Some(Outcome::Completed));
     }
     a_late_grant_is_released => {
-        let late = holder(2, 4);
-        assert_eq!(bound().on(Event::Granted(late)), Step::Release(late));
+        let late = grant_id(2, 4);
+        assert_eq!(bound().apply(Event::Granted(late)), Step::Release(late));
     }
     a_lost_grant_leaves_the_other_offers => {
-        let mut attempt = Attempt::open();
-        for event in [Event::OfferSent, Event::OfferSent, Event::Granted(HOLDER)] {
-            attempt.on(event);
+        let mut attempt = Attempt::new();
+        for event in [Event::OfferSent, Event::OfferSent, Event::Granted(GRANT)] {
+            attempt.apply(event);
         }
-        assert_eq!(attempt.on(Event::LinkLost(1)), Step::Wait);
-        assert_eq!(attempt.on(refused(Reason::Leaving)), Step::OfferMore);
+        assert_eq!(attempt.apply(Event::LinkLost(1)), Step::Wait);
+        assert_eq!(attempt.apply(refused(Reason::Leaving)), Step::OfferMore);
     }
     a_forgotten_run_is_reported_as_unknown => {
-        let mut table = RunTable::open(RunMemory { max_ended: 2, keep: Duration::from_secs(10) });
+        let mut table = RunTable::new(RunRetention { max_ended: 2, keep: Duration::from_secs(10) });
         let given_up = given_up(Reason::Leaving);
         let claims: Vec<_> = (0..3).map(|_| table.grant(false)).collect();
         for claim in &claims {
-            let ended = table.on(*claim, given_up, Duration::from_secs(1));
+            let ended = table.apply(*claim, given_up, Duration::from_secs(1));
             assert_eq!(ended, Ok(RunState::Ended(never(Reason::Leaving))));
         }
         assert_eq!(table.ask(claims[0], Duration::from_secs(2)), Verdict::Unknown);
@@ -266,10 +266,10 @@
         assert_eq!((table.live_len(), table.ended_len()), (0, 0));
     }
     a_bind_after_the_run_is_withdrawn_is_refused => {
-        let mut table = RunTable::open(RunMemory::default());
+        let mut table = RunTable::new(RunRetention::default());
         let claim = table.grant(false);
         assert_eq!(table.ask(claim, NO_WAIT), never(Reason::SidecarLost));
-        let late = table.on(claim, RunEvent::Bound, NO_WAIT).expect_err("the run is withdrawn");
+        let late = table.apply(claim, RunEvent::Bound, NO_WAIT).expect_err("the run is withdrawn");
         assert_eq!(late.state, Some(RunState::Ended(never(Reason::SidecarLost))));
     }
     serialized_names_are_stable => {
--- a/crates/sidecar/src/answer.rs
+++ b/crates/sidecar/src/answer.rs
@@ -63,7 +63,7 @@
             request_id,
             state: Mutex::new(AnswerState {
                 head: None,
-                buffer: ReplayBuffer::open(replay_bytes.max(1)),
+                buffer: ReplayBuffer::new(replay_bytes.max(1)),
                 sent_offset: 0,
                 last_frame: None,
                 reader: 0,
--- a/crates/sidecar/src/dispatch.rs
+++ b/crates/sidecar/src/dispatch.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use hinge_fair::{Class, FreeSlots, Limits, Offer, Picked, Queue};
-use hinge_outcome::run::RunMemory;
+use hinge_outcome::run::RunRetention;
 use hinge_outcome::{ClaimId, Reason, RunEvent, RunState, RunTable, Verdict};
 use hinge_placement::slots::{Availability, Demand, EngineReport, SlotRules, Slots};
 use hinge_schema::messages::NotRunReason;
@@ -51,7 +51,7 @@
         Self {
             slots: Slots::new(with_common_slot(rules)),
             queue: Queue::new(limits),
-            runs: RunTable::open(RunMemory::default()),
+            runs: RunTable::new(RunRetention::default()),
             tracked: HashMap::new(),
             by_request: HashMap::new(),
             by_claim: HashMap::new(),
@@ -177,7 +177,7 @@
         event: RunEvent,
         now: Duration,
     ) -> Result<RunState, Verdict> {
-        match self.runs.on(claim, event, now) {
+        match self.runs.apply(claim, event, now) {
             Ok(state) => Ok(state),
             Err(error) => match error.state {
                 Some(RunState::Ended(verdict)) => Err(verdict),
--- a/crates/sidecar/src/settings.rs
+++ b/crates/sidecar/src/settings.rs
@@ -113,7 +113,7 @@
             body_timeout: Duration::from_secs(30),
             max_body_bytes: 32 << 20,
             resume_window: Duration::from_secs(20),
-            replay_bytes: hinge_outcome::replay::DEFAULT_BOUND_BYTES,
+            replay_bytes: hinge_outcome::replay::DEFAULT_CAPACITY_BYTES,
             // With the replay bound of 128 KiB this is 8 MiB at most.
             max_kept_answers: 64,
             connect_timeout: Duration::from_secs(1),
--- a/crates/state/src/keys.rs
+++ b/crates/state/src/keys.rs
@@ -1,7 +1,7 @@
 //! Brings claims of idempotency keys from their messages to the key table and back.
 
 use hinge_outcome::keys::{ClaimAnswer, KeyOutcome as EndedAs, KeyRules, KeyTable, key_digest};
-use hinge_outcome::{Holder, sidecar_id};
+use hinge_outcome::{GrantId, sidecar_id};
 use hinge_schema::messages::{
     ClaimBatchReply, ClaimKey, ClaimReply, ClaimVerdict, FinishKey, KeyOutcome,
 };
@@ -51,8 +51,8 @@
     table.finish(&end.team, key, holder, outcome, now_ms);
 }
 
-fn holder(sidecar: &str, incarnation: u64, claim: u64) -> Holder {
-    Holder {
+fn holder(sidecar: &str, incarnation: u64, claim: u64) -> GrantId {
+    GrantId {
         sidecar: sidecar_id(sidecar),
         incarnation,
         claim,
--- a/crates/state/src/state.rs
+++ b/crates/state/src/state.rs
@@ -63,7 +63,7 @@
             applied_index: 0,
             now_ms: 0,
             changes: Changes::default(),
-            keys: KeyTable::open(),
+            keys: KeyTable::new(),
             orders: Orders::default(),
             drains: BTreeMap::new(),
             control: BTreeMap::new(),
@@ -111,7 +111,7 @@
             } => {
                 let now_ms = self.advance(now_ms);
                 self.keys
-                    .holder_lost(sidecar_id(&sidecar), incarnation, now_ms);
+                    .mark_holder_lost(sidecar_id(&sidecar), incarnation, now_ms);
                 Reply::Done
             }
             Command::Sweep { now_ms } => {
