--- a/crates/link/src/auth.rs
+++ b/crates/link/src/auth.rs
@@ -1,4 +1,4 @@
-//! Proves that a peer knows the cluster key.
+//! Authentication between peers by the cluster key.
 
 use std::fmt;
 use std::fmt::Write;
@@ -13,19 +13,20 @@
 
 const SCHEME: &str = "Bearer ";
 
-/// Holds the key that all processes of one cluster share.
+/// The key that all processes of one cluster share.
 ///
-/// The key itself never travels or prints: peers send a hash that is bound to this purpose. The hash is as good as the key for
-/// anyone who reads the traffic, so the network between instances must be trusted or encrypted below us.
+/// The key itself is never sent or printed: peers send a hash that is derived for this purpose only. Anyone who reads the
+/// traffic can use the hash in place of the key, so the network between instances must be trusted or encrypted at a lower
+/// layer.
 #[derive(Clone)]
 pub struct ClusterKey {
     header: Arc<str>,
-    /// Both ends of every link hold the key, so what it opened is counted beside it.
+    /// Both ends of every connection hold the key, so the counters of its connections are kept with it.
     traffic: Traffic,
 }
 
 impl ClusterKey {
-    /// Derives the peers' proof from the contents of the key file.
+    /// Derives the value that peers send as proof from the contents of the key file.
     #[must_use]
     pub fn derive(secret: &[u8]) -> Self {
         let mut hash = Sha256::new();
@@ -44,13 +45,13 @@
         }
     }
 
-    /// Returns the key with other counts for the links that it opens.
+    /// Replaces the counters of the connections that the key authenticates.
     #[must_use]
     pub fn with_traffic(self, traffic: Traffic) -> Self {
         Self { traffic, ..self }
     }
 
-    /// Returns the counts of the links that this key and its clones open.
+    /// Returns the counters of the connections that this key and its clones authenticate.
     #[must_use]
     pub fn traffic(&self) -> &Traffic {
         &self.traffic
@@ -62,14 +63,14 @@
         &self.header
     }
 
-    /// Returns whether the headers prove that the sender knows the key.
+    /// Returns whether the `authorization` header proves that the sender knows the key.
     #[must_use]
     pub fn is_proved_by(&self, headers: &HeaderMap) -> bool {
         let value = headers.get(AUTHORIZATION);
         value.is_some_and(|value| self.is_proof(value.as_bytes()))
     }
 
-    /// Returns whether a text proves that its sender knows the key.
+    /// Returns whether `text` equals [`Self::header_value`], compared in constant time.
     #[must_use]
     pub fn is_proof(&self, text: &[u8]) -> bool {
         text.ct_eq(self.header.as_bytes()).into()
--- a/crates/link/src/client.rs
+++ b/crates/link/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls other processes of the fleet.
+//! The client for calls and exchanges with other processes of the fleet.
 
 use std::error::Error;
 use std::fmt;
@@ -20,43 +20,43 @@
 use crate::auth::ClusterKey;
 use crate::codec::{CodecError, decode, encode};
 use crate::counted::CountedConnector;
-use crate::frames::{FrameReader, FrameSender, metered_frame_body};
-use crate::traffic::{Class, Direction, Meter};
+use crate::frames::{FrameReader, FrameSender, counted_frame_body};
+use crate::traffic::{Class, Direction, MessageCounter};
 
 pub(crate) const MESSAGE_TYPE: &str = "application/msgpack";
 
-/// Longest message of a call, in bytes; a whole configuration of 1,500 teams is below 1 MB.
+/// Maximum length of a call's message, in bytes; a full configuration with 1,500 teams is below 1 MB.
 pub(crate) const MAX_MESSAGE_BYTES: usize = 16 << 20;
 
-/// Longest wait for a TCP connection: regions are tens of milliseconds apart, and a silent instance must not hold a call.
+/// Timeout of a TCP connect: regions are tens of milliseconds apart, and an unresponsive instance must not hold up a call.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How often an exchange without traffic is probed, so that a silent partition is noticed.
+/// Interval of probes on a connection without traffic, which detect a silent network partition.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How long a probe may stay unanswered.
+/// How long a probe may remain unanswered before the connection is closed.
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long an unused connection is kept; it bounds the connections of an entry to the sidecars that it used lately.
+/// How long an idle connection is kept, which limits an entry's connections to the sidecars that it has used recently.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Says why a call has no answer.
+/// The reason why a call has no answer.
 #[derive(Debug)]
 pub enum CallError {
     /// No connection was made, so the message was not sent.
     NotSent(Box<dyn Error + Send + Sync>),
-    /// The connection broke after the message may have been sent.
+    /// The connection was lost after the message may have been sent.
     Lost(Box<dyn Error + Send + Sync>),
-    /// The answer did not come in time; the message may have been sent.
+    /// The answer did not arrive in time; the message may have been sent.
     TimedOut,
-    /// The peer answered with another status than 200.
+    /// The peer answered with a status other than 200.
     Status(StatusCode),
     /// A message could not be encoded or decoded.
     Codec(CodecError),
 }
 
 impl CallError {
-    /// Returns whether the peer certainly never saw the message.
+    /// Returns whether it is certain that the peer did not receive the message.
     #[must_use]
     pub fn is_not_sent(&self) -> bool {
         matches!(self, Self::NotSent(_))
@@ -77,16 +77,16 @@
 
 impl Error for CallError {}
 
-/// Holds both directions of an exchange.
+/// The client's end of an open exchange.
 #[derive(Debug)]
 pub struct Exchange {
-    /// Frames to the peer.
+    /// Sender of frames to the peer.
     pub sender: FrameSender,
-    /// Frames from the peer.
+    /// Reader of frames from the peer.
     pub reader: FrameReader<Incoming>,
 }
 
-/// Calls other processes over shared HTTP/2 connections, one for each address.
+/// A client that calls other processes over shared HTTP/2 connections, one for each address.
 #[derive(Debug, Clone)]
 pub struct Client {
     http: HttpClient<CountedConnector, BoxBody<Bytes, std::convert::Infallible>>,
@@ -94,7 +94,7 @@
 }
 
 impl Client {
-    /// Creates a client that proves the cluster key.
+    /// Creates a client that authenticates with the cluster key.
     #[must_use]
     pub fn new(key: ClusterKey) -> Self {
         let mut connector = HttpConnector::new();
@@ -129,13 +129,13 @@
     {
         let message = encode(message).map_err(CallError::Codec)?;
         let (traffic, class) = (self.key.traffic(), Class::of_path(path));
-        traffic.note_message(class, Direction::Sent, message.len());
+        traffic.record_message(class, Direction::Sent, message.len());
         let body = Full::new(Bytes::from(message)).boxed();
-        let request = self.request(address, path, body)?;
-        let answer = timeout(wait, self.finish(request))
+        let request = self.build_request(address, path, body)?;
+        let answer = timeout(wait, self.read_answer(request))
             .await
             .map_err(|_elapsed| CallError::TimedOut)??;
-        traffic.note_message(class, Direction::Received, answer.len());
+        traffic.record_message(class, Direction::Received, answer.len());
         decode(&answer).map_err(CallError::Codec)
     }
 
@@ -153,7 +153,7 @@
         self.open_frames(address, path, wait, |_sender| ()).await
     }
 
-    /// Opens an exchange with a first message, which goes out with the opening and not a round trip later.
+    /// Opens an exchange and sends a first message with the opening request, which saves a round trip.
     ///
     /// # Errors
     ///
@@ -161,7 +161,7 @@
     ///
     /// # Panics
     ///
-    /// Panics when the message has no MessagePack form, which no generated message lacks.
+    /// Panics when the message can't be represented in MessagePack, which every generated message can.
     pub async fn open_with<T: Serialize>(
         &self,
         address: &str,
@@ -184,22 +184,23 @@
         send_first: impl FnOnce(&FrameSender),
     ) -> Result<Exchange, CallError> {
         let traffic = self.key.traffic();
-        let (sender, body) = metered_frame_body(Meter::new(traffic, Direction::Sent, path));
+        let (sender, body) =
+            counted_frame_body(MessageCounter::new(traffic, Direction::Sent, path));
         send_first(&sender);
-        let request = self.request(address, path, body.boxed())?;
-        match timeout(wait, self.start(request)).await {
+        let request = self.build_request(address, path, body.boxed())?;
+        match timeout(wait, self.send_request(request)).await {
             Ok(incoming) => Ok(Exchange {
                 sender,
-                reader: FrameReader::metered(
+                reader: FrameReader::counted(
                     incoming?,
-                    Meter::new(traffic, Direction::Received, path),
+                    MessageCounter::new(traffic, Direction::Received, path),
                 ),
             }),
             Err(_elapsed) => Err(CallError::TimedOut),
         }
     }
 
-    fn request(
+    fn build_request(
         &self,
         address: &str,
         path: &str,
@@ -214,7 +215,7 @@
             .map_err(|cause| CallError::NotSent(cause.into()))
     }
 
-    async fn start(
+    async fn send_request(
         &self,
         request: Request<BoxBody<Bytes, std::convert::Infallible>>,
     ) -> Result<Incoming, CallError> {
@@ -231,11 +232,11 @@
         }
     }
 
-    async fn finish(
+    async fn read_answer(
         &self,
         request: Request<BoxBody<Bytes, std::convert::Infallible>>,
     ) -> Result<Bytes, CallError> {
-        let body = self.start(request).await?;
+        let body = self.send_request(request).await?;
         let whole = Limited::new(body, MAX_MESSAGE_BYTES).collect().await;
         Ok(whole.map_err(CallError::Lost)?.to_bytes())
     }
--- a/crates/link/src/codec.rs
+++ b/crates/link/src/codec.rs
@@ -1,4 +1,4 @@
-//! Encodes and decodes messages.
+//! MessagePack encoding of messages.
 
 use std::error::Error;
 use std::fmt;
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Says that a message could not be encoded or decoded.
+/// The error when a message can't be encoded or decoded.
 #[derive(Debug)]
 pub struct CodecError {
     cause: Box<dyn Error + Send + Sync>,
@@ -14,7 +14,7 @@
 
 impl fmt::Display for CodecError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "message is not valid: {}", self.cause)
+        write!(f, "invalid message: {}", self.cause)
     }
 }
 
@@ -28,18 +28,18 @@
 ///
 /// # Errors
 ///
-/// Returns an error when the type has no MessagePack form.
+/// Returns an error when the type can't be represented in MessagePack.
 pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>, CodecError> {
     rmp_serde::to_vec_named(message).map_err(|cause| CodecError {
         cause: cause.into(),
     })
 }
 
-/// Decodes a message; fields that this process does not know are skipped.
+/// Decodes a message, ignoring unknown fields.
 ///
 /// # Errors
 ///
-/// Returns an error when the bytes do not hold such a message.
+/// Returns an error when the bytes do not contain such a message.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, CodecError> {
     rmp_serde::from_slice(bytes).map_err(|cause| CodecError {
         cause: cause.into(),
--- a/crates/link/src/counted.rs
+++ b/crates/link/src/counted.rs
@@ -1,4 +1,4 @@
-//! Wraps TCP streams so that their bytes are counted.
+//! TCP streams that count their bytes, and the connector that opens them.
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -13,28 +13,28 @@
 use tokio::net::TcpStream;
 use tower_service::Service;
 
-use crate::traffic::{Direction, SocketCount, Traffic};
+use crate::traffic::{Direction, SocketCounter, Traffic};
 
-/// Counts what is read from and written to a TCP stream.
+/// A TCP stream that counts the bytes read and written.
 #[derive(Debug)]
-pub(crate) struct Counted {
+pub(crate) struct CountedStream {
     stream: TcpStream,
-    count: Arc<SocketCount>,
+    counter: Arc<SocketCounter>,
 }
 
-impl Counted {
-    pub(crate) fn new(stream: TcpStream, count: Arc<SocketCount>) -> Self {
-        Self { stream, count }
+impl CountedStream {
+    pub(crate) fn new(stream: TcpStream, counter: Arc<SocketCounter>) -> Self {
+        Self { stream, counter }
     }
 
-    fn note_written(&self, written: &Poll<io::Result<usize>>) {
+    fn record_written(&self, written: &Poll<io::Result<usize>>) {
         if let Poll::Ready(Ok(bytes)) = written {
-            self.count.note(Direction::Sent, *bytes);
+            self.counter.record(Direction::Sent, *bytes);
         }
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -42,20 +42,20 @@
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(cx, buf);
-        self.count
-            .note(Direction::Received, buf.filled().len() - before);
+        self.counter
+            .record(Direction::Received, buf.filled().len() - before);
         polled
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.note_written(&written);
+        self.record_written(&written);
         written
     }
 
@@ -65,7 +65,7 @@
         bufs: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.note_written(&written);
+        self.record_written(&written);
         written
     }
 
@@ -82,13 +82,13 @@
     }
 }
 
-impl Connection for Counted {
+impl Connection for CountedStream {
     fn connected(&self) -> Connected {
         self.stream.connected()
     }
 }
 
-/// Connects to peers; every connection counts from its first byte.
+/// A connector to peers whose connections are counted as peer traffic from the first byte.
 #[derive(Debug, Clone)]
 pub(crate) struct CountedConnector {
     http: HttpConnector,
@@ -102,7 +102,7 @@
 }
 
 impl Service<Uri> for CountedConnector {
-    type Response = TokioIo<Counted>;
+    type Response = TokioIo<CountedStream>;
     type Error = <HttpConnector as Service<Uri>>::Error;
     type Future = BoxFuture<'static, Result<Self::Response, Self::Error>>;
 
@@ -115,9 +115,9 @@
         let traffic = self.traffic.clone();
         Box::pin(async move {
             let stream = connecting.await?.into_inner();
-            let count = SocketCount::default();
-            count.attach(&traffic);
-            Ok(TokioIo::new(Counted::new(stream, Arc::new(count))))
+            let counter = SocketCounter::default();
+            counter.attach(&traffic);
+            Ok(TokioIo::new(CountedStream::new(stream, Arc::new(counter))))
         })
     }
 }
--- a/crates/link/src/frames.rs
+++ b/crates/link/src/frames.rs
@@ -1,4 +1,4 @@
-//! Splits a stream of bytes into length-delimited frames, and joins frames into one.
+//! Length-delimited frames over HTTP bodies.
 
 use std::error::Error;
 use std::fmt;
@@ -13,20 +13,21 @@
 use tokio::sync::mpsc;
 
 use crate::codec::{CodecError, decode};
-use crate::traffic::Meter;
+use crate::traffic::MessageCounter;
 
-/// Longest frame, in bytes; an answer's chunk is far shorter, and a peer that announces more is broken.
+/// Maximum length of a frame, in bytes; answer chunks are far shorter, so a longer announced length is a fault of the peer.
 const MAX_FRAME_BYTES: usize = 1 << 20;
 
+/// Size of the big-endian length prefix of a frame.
 const LENGTH_BYTES: usize = 4;
 
-/// Frames that wait for the connection before the sender has to wait; bounds memory for a slow peer.
-const WAITING_FRAMES: usize = 32;
+/// Number of frames buffered for the connection before the sender has to wait; limits memory for a slow peer.
+const QUEUED_FRAMES: usize = 32;
 
-/// Bytes that are joined into one HTTP/2 data frame; its default limit is 16 KiB.
-const JOINED_BYTES: usize = 16 * 1024;
+/// Size up to which frames are joined into one HTTP/2 data frame, whose default limit is 16 KiB.
+const JOIN_TARGET_BYTES: usize = 16 * 1024;
 
-/// Says that the other end no longer takes frames.
+/// The error when the other end no longer accepts frames.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Closed;
 
@@ -38,19 +39,19 @@
 
 impl Error for Closed {}
 
-/// Says why no further frame can be read.
+/// The reason why no further frame can be read.
 #[derive(Debug)]
 pub enum FrameError {
-    /// The connection broke, or the peer reset the exchange.
+    /// The connection was lost, or the peer reset the exchange.
     Broken(Box<dyn Error + Send + Sync>),
     /// The stream ended inside a frame.
     Truncated,
-    /// The peer announced a frame that is too long.
+    /// The peer announced a frame above the maximum length.
     TooLong {
         /// Announced length, in bytes.
         frame_bytes: usize,
     },
-    /// The frame does not hold a valid message.
+    /// The frame does not contain a valid message.
     Invalid(CodecError),
 }
 
@@ -61,7 +62,7 @@
             Self::Truncated => f.write_str("the exchange ended inside a frame"),
             Self::TooLong { frame_bytes } => write!(
                 f,
-                "a frame of {frame_bytes} bytes is longer than {MAX_FRAME_BYTES}"
+                "a frame of {frame_bytes} bytes exceeds the limit of {MAX_FRAME_BYTES}"
             ),
             Self::Invalid(cause) => write!(f, "a frame is not valid: {cause}"),
         }
@@ -70,28 +71,30 @@
 
 impl Error for FrameError {}
 
-/// Sends frames into one direction of an exchange; clones share the direction, which ends when the last is dropped.
+/// The sender of one direction of an exchange.
+///
+/// Clones send in the same direction, which ends when the last of them is dropped.
 #[derive(Debug, Clone)]
 pub struct FrameSender {
     frames: mpsc::Sender<Bytes>,
-    meter: Option<Meter>,
+    counter: Option<MessageCounter>,
 }
 
 impl FrameSender {
-    /// Sends one message, and waits while the peer is slow.
+    /// Sends one message, waiting while the peer is slow.
     ///
     /// # Errors
     ///
-    /// Returns [`Closed`] when the exchange is gone.
+    /// Returns [`Closed`] when the exchange is closed.
     ///
     /// # Panics
     ///
-    /// Panics when the message has no MessagePack form, which no generated message lacks.
+    /// Panics when the message can't be represented in MessagePack, which every generated message can.
     pub async fn send<T: Serialize + Sync>(&self, message: &T) -> Result<(), Closed> {
         let frame = to_frame(message);
         let frame_bytes = frame.len();
         self.frames.send(frame).await.map_err(|_closed| Closed)?;
-        self.note(frame_bytes);
+        self.record(frame_bytes);
         Ok(())
     }
 
@@ -99,29 +102,29 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Closed`] when the exchange is gone or the peer is too slow.
+    /// Returns [`Closed`] when the exchange is closed or the peer is too slow.
     ///
     /// # Panics
     ///
-    /// Panics when the message has no MessagePack form, which no generated message lacks.
+    /// Panics when the message can't be represented in MessagePack, which every generated message can.
     pub fn try_send<T: Serialize>(&self, message: &T) -> Result<(), Closed> {
         let frame = to_frame(message);
         let frame_bytes = frame.len();
         self.frames
             .try_send(frame)
             .map_err(|_full_or_closed| Closed)?;
-        self.note(frame_bytes);
+        self.record(frame_bytes);
         Ok(())
     }
 
-    /// Waits until the exchange is gone.
+    /// Waits until the exchange is closed.
     pub async fn closed(&self) {
         self.frames.closed().await;
     }
 
-    fn note(&self, frame_bytes: usize) {
-        if let Some(meter) = &self.meter {
-            meter.note(frame_bytes);
+    fn record(&self, frame_bytes: usize) {
+        if let Some(counter) = &self.counter {
+            counter.record(frame_bytes);
         }
     }
 }
@@ -137,26 +140,26 @@
     buf.freeze()
 }
 
-/// Creates a body and the sender that feeds it.
+/// Creates a body and the sender of its frames.
 #[must_use]
 pub fn frame_body() -> (FrameSender, FrameBody) {
-    body_with(None)
+    frame_body_with(None)
 }
 
-/// Creates a body and the sender that feeds it, whose messages are counted.
-pub(crate) fn metered_frame_body(meter: Meter) -> (FrameSender, FrameBody) {
-    body_with(Some(meter))
+/// Creates a body and the sender of its frames, whose messages are counted.
+pub(crate) fn counted_frame_body(counter: MessageCounter) -> (FrameSender, FrameBody) {
+    frame_body_with(Some(counter))
 }
 
-fn body_with(meter: Option<Meter>) -> (FrameSender, FrameBody) {
-    let (frames, receiver) = mpsc::channel(WAITING_FRAMES);
+fn frame_body_with(counter: Option<MessageCounter>) -> (FrameSender, FrameBody) {
+    let (frames, receiver) = mpsc::channel(QUEUED_FRAMES);
     (
-        FrameSender { frames, meter },
+        FrameSender { frames, counter },
         FrameBody { frames: receiver },
     )
 }
 
-/// Streams frames as an HTTP body.
+/// An HTTP body that streams frames.
 #[derive(Debug)]
 pub struct FrameBody {
     frames: mpsc::Receiver<Bytes>,
@@ -173,7 +176,7 @@
         let Some(first) = ready!(self.frames.poll_recv(cx)) else {
             return Poll::Ready(None);
         };
-        Poll::Ready(Some(Ok(Frame::data(join_waiting(first, &mut self.frames)))))
+        Poll::Ready(Some(Ok(Frame::data(join_queued(first, &mut self.frames)))))
     }
 
     fn size_hint(&self) -> SizeHint {
@@ -181,15 +184,15 @@
     }
 }
 
-/// Joins frames that already wait, so that a busy exchange costs one write for many frames.
-fn join_waiting(first: Bytes, frames: &mut mpsc::Receiver<Bytes>) -> Bytes {
+/// Joins the frames that are already queued, so that a busy exchange needs one write for many frames.
+fn join_queued(first: Bytes, frames: &mut mpsc::Receiver<Bytes>) -> Bytes {
     let Ok(second) = frames.try_recv() else {
         return first;
     };
-    let mut joined = BytesMut::with_capacity(JOINED_BYTES);
+    let mut joined = BytesMut::with_capacity(JOIN_TARGET_BYTES);
     joined.extend_from_slice(&first);
     joined.extend_from_slice(&second);
-    while joined.len() < JOINED_BYTES {
+    while joined.len() < JOIN_TARGET_BYTES {
         match frames.try_recv() {
             Ok(next) => joined.extend_from_slice(&next),
             Err(_empty_or_closed) => break,
@@ -198,12 +201,12 @@
     joined.freeze()
 }
 
-/// Reads frames from one direction of an exchange.
+/// The reader of one direction of an exchange.
 #[derive(Debug)]
 pub struct FrameReader<B> {
     body: B,
     buf: BytesMut,
-    meter: Option<Meter>,
+    counter: Option<MessageCounter>,
 }
 
 impl<B> FrameReader<B>
@@ -216,32 +219,32 @@
         Self {
             body,
             buf: BytesMut::new(),
-            meter: None,
+            counter: None,
         }
     }
 
     /// Wraps the body of a request or response, and counts its messages.
-    pub(crate) fn metered(body: B, meter: Meter) -> Self {
+    pub(crate) fn counted(body: B, counter: MessageCounter) -> Self {
         Self {
-            meter: Some(meter),
+            counter: Some(counter),
             ..Self::new(body)
         }
     }
 
-    /// Reads the next message; `None` when the peer ended the stream between two frames.
+    /// Reads the next message, or `None` when the peer ended the stream between two frames.
     ///
-    /// It may be dropped while it waits without losing bytes.
+    /// The future is cancel safe: no bytes are lost if it is dropped while it waits.
     ///
     /// # Errors
     ///
-    /// Returns a [`FrameError`] after which the exchange must be given up.
+    /// Returns a [`FrameError`], after which the exchange is no longer usable.
     pub async fn next<T: DeserializeOwned>(&mut self) -> Result<Option<T>, FrameError> {
         loop {
             if let Some(message) = self.buffered()? {
                 return Ok(Some(message));
             }
             match self.body.frame().await {
-                Some(Ok(frame)) => self.keep(frame),
+                Some(Ok(frame)) => self.append(frame),
                 Some(Err(cause)) => return Err(FrameError::Broken(cause.into())),
                 None if self.buf.is_empty() => return Ok(None),
                 None => return Err(FrameError::Truncated),
@@ -249,11 +252,11 @@
         }
     }
 
-    /// Takes a message that has arrived whole, without waiting.
+    /// Returns the next message if it is already buffered completely, without waiting.
     ///
     /// # Errors
     ///
-    /// Returns a [`FrameError`] after which the exchange must be given up.
+    /// Returns a [`FrameError`], after which the exchange is no longer usable.
     pub fn buffered<T: DeserializeOwned>(&mut self) -> Result<Option<T>, FrameError> {
         let Some(length) = self.buf.first_chunk::<LENGTH_BYTES>() else {
             return Ok(None);
@@ -268,13 +271,13 @@
         let message = decode(&self.buf[LENGTH_BYTES..LENGTH_BYTES + frame_bytes])
             .map_err(FrameError::Invalid)?;
         self.buf.advance(LENGTH_BYTES + frame_bytes);
-        if let Some(meter) = &self.meter {
-            meter.note(LENGTH_BYTES + frame_bytes);
+        if let Some(counter) = &self.counter {
+            counter.record(LENGTH_BYTES + frame_bytes);
         }
         Ok(Some(message))
     }
 
-    fn keep(&mut self, frame: Frame<Bytes>) {
+    fn append(&mut self, frame: Frame<Bytes>) {
         if let Ok(data) = frame.into_data() {
             self.buf.extend_from_slice(&data);
         }
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -1,7 +1,8 @@
-//! Carries messages between the fleet's processes: HTTP/2 over TCP, with `rmp-serde` bodies.
+//! Messaging between the fleet's processes over HTTP/2 with MessagePack bodies.
 //!
-//! Two shapes exist. A *call* is one message each way. An *exchange* is one HTTP request whose two bodies are streams of
-//! length-delimited frames. Both ends prove that they know the cluster key. [`Traffic`] counts the bytes.
+//! A *call* sends one message and gets one in return. An *exchange* is a bidirectional stream: one HTTP request whose request
+//! and response bodies are streams of length-delimited frames. The client proves with each request that it knows the
+//! cluster key. [`Traffic`] counts messages and bytes.
 
 mod auth;
 mod client;
--- a/crates/link/src/server.rs
+++ b/crates/link/src/server.rs
@@ -1,4 +1,4 @@
-//! Accepts connections, from peers and from callers, and serves them with a router.
+//! The server for connections from peers and from callers.
 
 use std::io;
 use std::net::SocketAddr;
@@ -22,20 +22,20 @@
 use crate::auth::ClusterKey;
 use crate::client::MAX_MESSAGE_BYTES;
 use crate::codec::{decode, encode};
-use crate::counted::Counted;
-use crate::frames::{FrameReader, FrameSender, metered_frame_body};
-use crate::traffic::{Class, Direction, Meter, SocketCount};
+use crate::counted::CountedStream;
+use crate::frames::{FrameReader, FrameSender, counted_frame_body};
+use crate::traffic::{Class, Direction, MessageCounter, SocketCounter};
 
-/// Bounds what one listener gives to its clients.
+/// The resource limits of one listener.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Connections that are open at once; further ones wait to be accepted.
+    /// Maximum number of open connections; further ones wait to be accepted.
     pub connections: usize,
-    /// Longest wait for the headers of an HTTP/1 request.
+    /// Timeout for the headers of an HTTP/1 request.
     pub header_timeout: Duration,
-    /// Longest headers, in bytes.
+    /// Maximum size of the headers, in bytes.
     pub header_bytes: usize,
-    /// HTTP/2 exchanges that one connection has open at once.
+    /// Maximum number of concurrent HTTP/2 streams on one connection.
     pub exchanges: u32,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// Binds listeners.
+/// The server of one listener; see [`Server::bind`].
 #[derive(Debug)]
 pub struct Server;
 
@@ -59,12 +59,17 @@
     ///
     /// # Errors
     ///
-    /// Returns the error of the system when the address can't be bound.
+    /// Returns the operating system's error when the address can't be bound.
     pub async fn bind(address: &str, router: Router, limits: Limits) -> io::Result<ServerHandle> {
         let listener = TcpListener::bind(address).await?;
         let local_address = listener.local_addr()?;
         let (stop, stopped) = watch::channel(false);
-        let task = tokio::spawn(accept_until(listener, router.into(), limits, stopped));
+        let task = tokio::spawn(accept_until_stopped(
+            listener,
+            router.into(),
+            limits,
+            stopped,
+        ));
         Ok(ServerHandle {
             local_address,
             stop,
@@ -73,7 +78,7 @@
     }
 }
 
-/// Holds a running server; dropping it leaves the server running until the process ends.
+/// A handle to a running server; if it is dropped, the server runs until the process ends.
 #[derive(Debug)]
 pub struct ServerHandle {
     local_address: SocketAddr,
@@ -82,13 +87,13 @@
 }
 
 impl ServerHandle {
-    /// Returns the address that was bound; useful after asking for port 0.
+    /// Returns the bound address, which includes the assigned port if port 0 was requested.
     #[must_use]
     pub fn local_address(&self) -> SocketAddr {
         self.local_address
     }
 
-    /// Stops accepting, lets open requests end, and returns whether all ended before the deadline.
+    /// Stops accepting, lets open requests finish, and returns whether all finished within the deadline.
     pub async fn stop(self, deadline: Duration) -> bool {
         self.stop.send_replace(true);
         let abort = self.task.abort_handle();
@@ -98,31 +103,31 @@
     }
 }
 
-async fn accept_until(
+async fn accept_until_stopped(
     listener: TcpListener,
     tree: Tree,
     limits: Limits,
     mut stopped: watch::Receiver<bool>,
 ) {
     let tree = Arc::new(tree);
-    let room = Arc::new(Semaphore::new(limits.connections));
+    let permits = Arc::new(Semaphore::new(limits.connections));
     let graceful = GracefulShutdown::new();
     loop {
         let accepted = tokio::select! {
-            accepted = accept_one(&listener, &room) => accepted,
+            accepted = accept_one(&listener, &permits) => accepted,
             () = stop_requested(&mut stopped) => break,
         };
-        // A failed accept concerns one connection (or a passing shortage of descriptors); the listener stays good.
+        // A failed accept concerns one connection or a temporary lack of file descriptors; the listener is still usable.
         let Ok((stream, remote, permit)) = accepted else {
             tokio::task::yield_now().await;
             continue;
         };
         let responder = Responder::new(Arc::clone(&tree), Some(Arc::new(remote)));
         let builder = builder(limits);
-        let count = Arc::new(SocketCount::default());
-        let stream = Counted::new(stream, Arc::clone(&count));
+        let counter = Arc::new(SocketCounter::default());
+        let stream = CountedStream::new(stream, Arc::clone(&counter));
         let service = service_fn(move |mut request: hyper::Request<Incoming>| {
-            request.extensions_mut().insert(Arc::clone(&count));
+            request.extensions_mut().insert(Arc::clone(&counter));
             responder.call(request)
         });
         let connection = builder
@@ -138,7 +143,7 @@
     graceful.shutdown().await;
 }
 
-/// Waits for a stop; a handle that was dropped without one never asks.
+/// Waits until a stop is requested; never returns if the handle is dropped without a request.
 async fn stop_requested(stopped: &mut watch::Receiver<bool>) {
     if stopped.wait_for(|stop| *stop).await.is_err() {
         std::future::pending::<()>().await;
@@ -147,9 +152,9 @@
 
 async fn accept_one(
     listener: &TcpListener,
-    room: &Arc<Semaphore>,
+    permits: &Arc<Semaphore>,
 ) -> io::Result<(TcpStream, SocketAddr, tokio::sync::OwnedSemaphorePermit)> {
-    let permit = Arc::clone(room)
+    let permit = Arc::clone(permits)
         .acquire_owned()
         .await
         .map_err(io::Error::other)?;
@@ -172,13 +177,13 @@
     builder
 }
 
-/// Serves one call from a peer: checks the key, decodes, answers.
+/// Serves one call from a peer: checks the key, decodes the message and sends the answer.
 ///
-/// The answer may be a status instead of a message, such as 503 from an instance that can't answer now.
+/// `answer` may return a status instead of a message, such as 503 from an instance that can't answer now.
 ///
 /// # Errors
 ///
-/// Returns an error only in viz's sense; every outcome is a response.
+/// Never returns an error: viz requires a `Result` from handlers, but every failure is a response.
 pub async fn unary<Q, A, F, R>(
     key: &ClusterKey,
     request: Request,
@@ -194,7 +199,7 @@
         return Ok(StatusCode::UNAUTHORIZED.into_response());
     }
     let class = Class::of_path(request.uri().path());
-    count_socket(key, &request);
+    count_as_peer(key, &request);
     let whole = Limited::new(request.into_body(), MAX_MESSAGE_BYTES)
         .collect()
         .await;
@@ -203,7 +208,7 @@
     };
     let whole = whole.to_bytes();
     key.traffic()
-        .note_message(class, Direction::Received, whole.len());
+        .record_message(class, Direction::Received, whole.len());
     let Ok(message) = decode(&whole) else {
         return Ok(StatusCode::BAD_REQUEST.into_response());
     };
@@ -215,20 +220,20 @@
     match encode(&answered) {
         Ok(bytes) => {
             key.traffic()
-                .note_message(class, Direction::Sent, bytes.len());
+                .record_message(class, Direction::Sent, bytes.len());
             Ok(bytes.into_response())
         }
         Err(_no_form) => Ok(StatusCode::INTERNAL_SERVER_ERROR.into_response()),
     }
 }
 
-/// Serves one exchange from a peer: checks the key, then runs the given task with both directions.
+/// Serves one exchange from a peer: checks the key, then spawns the given task with both directions.
 ///
-/// The task goes on when the exchange breaks; it notices by the reader or by [`FrameSender::closed`].
+/// The task is not cancelled when the exchange breaks; it learns of this from the reader or [`FrameSender::closed`].
 ///
 /// # Errors
 ///
-/// Returns an error only in viz's sense; every outcome is a response.
+/// Never returns an error: viz requires a `Result` from handlers, but every failure is a response.
 pub fn exchange<F, R>(key: &ClusterKey, request: Request, run: F) -> viz::Result<Response>
 where
     F: FnOnce(FrameReader<Body>, FrameSender) -> R + Send,
@@ -237,20 +242,21 @@
     if !key.is_proved_by(request.headers()) {
         return Ok(StatusCode::UNAUTHORIZED.into_response());
     }
-    count_socket(key, &request);
+    count_as_peer(key, &request);
     let path = request.uri().path();
-    let (sender, body) = metered_frame_body(Meter::new(key.traffic(), Direction::Sent, path));
-    let meter = Meter::new(key.traffic(), Direction::Received, path);
+    let (sender, body) =
+        counted_frame_body(MessageCounter::new(key.traffic(), Direction::Sent, path));
+    let counter = MessageCounter::new(key.traffic(), Direction::Received, path);
     tokio::spawn(run(
-        FrameReader::metered(request.into_body(), meter),
+        FrameReader::counted(request.into_body(), counter),
         sender,
     ));
     Ok(Response::new(Body::wrap(body)))
 }
 
-/// Counts the request's connection as a peer's: one that proves no key, such as a caller's, is not the fleet's own traffic.
-fn count_socket(key: &ClusterKey, request: &Request) {
-    if let Some(count) = request.extensions().get::<Arc<SocketCount>>() {
-        count.attach(key.traffic());
+/// Counts the connection of an authenticated request as a peer's; connections of callers are not the fleet's own traffic.
+fn count_as_peer(key: &ClusterKey, request: &Request) {
+    if let Some(counter) = request.extensions().get::<Arc<SocketCounter>>() {
+        counter.attach(key.traffic());
     }
 }
--- a/crates/link/src/traffic.rs
+++ b/crates/link/src/traffic.rs
@@ -1,9 +1,9 @@
-//! Counts the bytes and messages that a process exchanges with its peers.
+//! Counters of the bytes and messages that a process exchanges with its peers.
 //!
-//! Two counts exist side by side. At the *socket* every byte of a peer's connection counts: heads, framing, flow control and
-//! probes, so all but the headers of TCP and IP. Paths share connections there, so a second count, of *messages*, tells what
-//! the bodies were for. What an answer costs beyond its messages is left with the fleet's own traffic, so
-//! [`Traffic::control_bytes`] errs upwards.
+//! Traffic is counted at two levels. *Socket bytes* are all bytes on a peer's connections: HTTP headers, framing, flow
+//! control and keep-alive probes, which is everything but the TCP and IP headers. Calls to different paths share a
+//! connection, so *messages* are counted separately by class, which shows what the bodies were for. The overhead of an
+//! answer beyond its messages is counted as control traffic, so [`Traffic::control_bytes`] overestimates.
 
 use std::fmt;
 use std::sync::Arc;
@@ -12,31 +12,31 @@
 
 use prometheus_client::metrics::counter::Counter;
 
-/// Says what a message is for.
+/// The purpose of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Class {
     /// Announcements and renewals of leases.
     Announce,
-    /// Watches, with the changes of configuration and members that answer them.
+    /// Watches, and the configuration and membership changes that answer them.
     Watch,
-    /// Sums of service, and the totals that answer them.
+    /// Reports of the service that teams received, and the totals that answer them.
     Sums,
     /// Claims of idempotency keys.
     Claims,
     /// The replicated log.
     Raft,
-    /// Configuration between processes that met on the data path.
+    /// Configuration exchanged between peers on the data path.
     Config,
-    /// Offers, and the grants and refusals that answer them; a cancel or a question about a request, too.
+    /// Offers with the grants and refusals that answer them, cancellations, and queries for a request's verdict.
     Offer,
-    /// Requests that are bound, and their answers.
+    /// Bound requests and their answers.
     Answer,
     /// All other calls.
     Other,
 }
 
 impl Class {
-    /// Every class, in the order of its index.
+    /// Every class, in the order of the discriminants.
     pub const ALL: [Self; 9] = [
         Self::Announce,
         Self::Watch,
@@ -49,7 +49,7 @@
         Self::Other,
     ];
 
-    /// Returns the name for a metric's label.
+    /// Returns the value of the metric label.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Returns the class of a call's path; a forwarded call is in the class of the call.
+    /// Returns the class of a call by its path; a forwarded call has the class of the original call.
     #[must_use]
     pub fn of_path(path: &str) -> Self {
         let call = path.strip_prefix("/v1/").unwrap_or(path);
@@ -83,17 +83,17 @@
     }
 }
 
-/// Says which way bytes went.
+/// The direction of traffic.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Direction {
-    /// From this process.
+    /// Sent by this process.
     Sent,
-    /// To this process.
+    /// Received by this process.
     Received,
 }
 
 impl Direction {
-    /// Returns the name for a metric's label.
+    /// Returns the value of the metric label.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -103,28 +103,28 @@
     }
 }
 
-/// Names one count.
+/// The kind of a counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Count {
-    /// Bytes at the sockets.
+    /// Bytes on the sockets.
     SocketBytes,
     /// Messages of a class.
     Messages(Class),
-    /// Bytes of a class's messages, with the length of each frame.
+    /// Bytes of a class's messages, including the length prefix of frames.
     MessageBytes(Class),
 }
 
 #[derive(Debug, Default)]
-struct OneWay {
+struct DirectionCounters {
     socket_bytes: Counter,
     messages: [Counter; Class::ALL.len()],
     message_bytes: [Counter; Class::ALL.len()],
 }
 
-/// Holds the counts of one process; clones share them.
+/// The traffic counters of one process, shared by all clones.
 #[derive(Clone, Default)]
 pub struct Traffic {
-    ways: Arc<[OneWay; 2]>,
+    directions: Arc<[DirectionCounters; 2]>,
 }
 
 impl fmt::Debug for Traffic {
@@ -136,124 +136,125 @@
 }
 
 impl Traffic {
-    /// Builds the counts from counters that a registry gives out.
+    /// Creates traffic counters from the counters that `counter` returns, such as those of a metrics registry.
     #[must_use]
     pub fn with_counters(counter: impl Fn(Count, Direction) -> Counter) -> Self {
-        let way = |direction| OneWay {
+        let counters = |direction| DirectionCounters {
             socket_bytes: counter(Count::SocketBytes, direction),
             messages: Class::ALL.map(|class| counter(Count::Messages(class), direction)),
             message_bytes: Class::ALL.map(|class| counter(Count::MessageBytes(class), direction)),
         };
         Self {
-            ways: Arc::new([way(Direction::Sent), way(Direction::Received)]),
+            directions: Arc::new([counters(Direction::Sent), counters(Direction::Received)]),
         }
     }
 
-    /// Returns one count.
+    /// Returns the value of one counter.
     #[must_use]
     pub fn get(&self, count: Count, direction: Direction) -> u64 {
-        let way = self.way(direction);
+        let counters = self.counters(direction);
         match count {
-            Count::SocketBytes => way.socket_bytes.get(),
-            Count::Messages(class) => way.messages[class as usize].get(),
-            Count::MessageBytes(class) => way.message_bytes[class as usize].get(),
+            Count::SocketBytes => counters.socket_bytes.get(),
+            Count::Messages(class) => counters.messages[class as usize].get(),
+            Count::MessageBytes(class) => counters.message_bytes[class as usize].get(),
         }
     }
 
-    /// Returns the bytes both ways that served the fleet itself: all bytes at the sockets but the messages of answers.
+    /// Returns the bytes of control traffic in both directions: all socket bytes except the messages of answers.
     #[must_use]
     pub fn control_bytes(&self) -> u64 {
         let directions = [Direction::Sent, Direction::Received].into_iter();
         directions
             .map(|direction| {
                 let answers = self.get(Count::MessageBytes(Class::Answer), direction);
-                // An answer's messages are counted before they reach the socket.
+                // A message is counted before it is written to the socket, so the difference could be negative for a moment.
                 self.get(Count::SocketBytes, direction)
                     .saturating_sub(answers)
             })
             .sum()
     }
 
-    pub(crate) fn note_message(&self, class: Class, direction: Direction, bytes: usize) {
-        let way = self.way(direction);
-        way.messages[class as usize].inc();
-        way.message_bytes[class as usize].inc_by(bytes as u64);
+    pub(crate) fn record_message(&self, class: Class, direction: Direction, bytes: usize) {
+        let counters = self.counters(direction);
+        counters.messages[class as usize].inc();
+        counters.message_bytes[class as usize].inc_by(bytes as u64);
     }
 
-    fn note_socket(&self, direction: Direction, bytes: u64) {
-        self.way(direction).socket_bytes.inc_by(bytes);
+    fn record_socket_bytes(&self, direction: Direction, bytes: u64) {
+        self.counters(direction).socket_bytes.inc_by(bytes);
     }
 
-    fn way(&self, direction: Direction) -> &OneWay {
-        &self.ways[direction as usize]
+    fn counters(&self, direction: Direction) -> &DirectionCounters {
+        &self.directions[direction as usize]
     }
 }
 
-/// Counts the messages of one direction of an exchange.
+/// A counter of the messages in one direction of an exchange.
 ///
-/// The first message each way of an offer's exchange is the offer or its answer; all later ones belong to the bound request.
+/// On an offer's exchange, the first message in each direction is the offer or the reply to it; all later messages belong to
+/// the bound request and its answer.
 #[derive(Debug, Clone)]
-pub(crate) struct Meter {
+pub(crate) struct MessageCounter {
     traffic: Traffic,
     direction: Direction,
     first: Class,
-    has_begun: Arc<AtomicBool>,
+    has_counted_first: Arc<AtomicBool>,
 }
 
-impl Meter {
+impl MessageCounter {
     pub(crate) fn new(traffic: &Traffic, direction: Direction, path: &str) -> Self {
         Self {
             traffic: traffic.clone(),
             direction,
             first: Class::of_path(path),
-            has_begun: Arc::new(AtomicBool::new(false)),
+            has_counted_first: Arc::new(AtomicBool::new(false)),
         }
     }
 
-    pub(crate) fn note(&self, bytes: usize) {
+    pub(crate) fn record(&self, bytes: usize) {
         let class = match self.first {
-            Class::Offer if self.has_begun.swap(true, Ordering::Relaxed) => Class::Answer,
+            Class::Offer if self.has_counted_first.swap(true, Ordering::Relaxed) => Class::Answer,
             first => first,
         };
-        self.traffic.note_message(class, self.direction, bytes);
+        self.traffic.record_message(class, self.direction, bytes);
     }
 }
 
-/// Counts the bytes of one connection, which is a caller's until a peer on it has proved the cluster key.
+/// A byte counter of one connection, which counts as peer traffic only after the peer has proved the cluster key.
 #[derive(Debug, Default)]
-pub(crate) struct SocketCount {
+pub(crate) struct SocketCounter {
     traffic: OnceLock<Traffic>,
-    early: [AtomicU64; 2],
+    unattributed: [AtomicU64; 2],
 }
 
-impl SocketCount {
-    /// Makes the connection count as a peer's, with the bytes that it has moved already.
+impl SocketCounter {
+    /// Counts the connection as a peer's from now on, including the bytes that it has already transferred.
     pub(crate) fn attach(&self, traffic: &Traffic) {
         if self.traffic.get().is_some() || self.traffic.set(traffic.clone()).is_err() {
             return;
         }
-        self.move_early(traffic);
+        self.flush_unattributed(traffic);
     }
 
-    pub(crate) fn note(&self, direction: Direction, bytes: usize) {
+    pub(crate) fn record(&self, direction: Direction, bytes: usize) {
         if bytes == 0 {
             return;
         }
         if let Some(traffic) = self.traffic.get() {
-            traffic.note_socket(direction, bytes as u64);
+            traffic.record_socket_bytes(direction, bytes as u64);
             return;
         }
-        self.early[direction as usize].fetch_add(bytes as u64, Ordering::AcqRel);
-        // The connection may have been attached in between; whoever swaps the bytes out counts them.
+        self.unattributed[direction as usize].fetch_add(bytes as u64, Ordering::AcqRel);
+        // The connection may have been attached in the meantime; the thread that swaps out the bytes counts them.
         if let Some(traffic) = self.traffic.get() {
-            self.move_early(traffic);
+            self.flush_unattributed(traffic);
         }
     }
 
-    fn move_early(&self, traffic: &Traffic) {
+    fn flush_unattributed(&self, traffic: &Traffic) {
         for direction in [Direction::Sent, Direction::Received] {
-            let bytes = self.early[direction as usize].swap(0, Ordering::AcqRel);
-            traffic.note_socket(direction, bytes);
+            let bytes = self.unattributed[direction as usize].swap(0, Ordering::AcqRel);
+            traffic.record_socket_bytes(direction, bytes);
         }
     }
 }
--- a/crates/link/tests/exchange.rs
+++ b/crates/link/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Checks calls and exchanges over a real connection, and the frame reader over broken streams.
+//! Tests calls and exchanges over a real connection, and the frame reader with invalid streams.
 
 use std::time::Duration;
 
@@ -61,19 +61,19 @@
     a_peer_with_another_key_is_refused => {
         let server = Server::bind("127.0.0.1:0", router(&ClusterKey::derive(b"one")), Limits::default()).await.expect("a free port exists");
         let address = server.local_address().to_string();
-        let stranger = Client::new(ClusterKey::derive(b"two"));
-        let refused = stranger.call::<_, VerdictReply>(&address, "/ask", &question(), WAIT).await;
+        let other_key_client = Client::new(ClusterKey::derive(b"two"));
+        let refused = other_key_client.call::<_, VerdictReply>(&address, "/ask", &question(), WAIT).await;
         assert!(matches!(refused, Err(CallError::Status(status)) if status == 401));
-        assert!(matches!(stranger.open(&address, "/echo", WAIT).await, Err(CallError::Status(status)) if status == 401));
+        assert!(matches!(other_key_client.open(&address, "/echo", WAIT).await, Err(CallError::Status(status)) if status == 401));
     }
-    a_call_to_nobody_is_proved_not_sent => {
+    a_call_to_a_closed_port_is_reported_as_not_sent => {
         let server = Server::bind("127.0.0.1:0", Router::new(), Limits::default()).await.expect("a free port exists");
         let address = server.local_address().to_string();
         assert!(server.stop(WAIT).await);
         let error = Client::new(ClusterKey::derive(b"one")).call::<_, VerdictReply>(&address, "/ask", &question(), WAIT).await;
         assert!(error.expect_err("nobody listens").is_not_sent());
     }
-    a_server_goes_on_when_its_handle_is_dropped => {
+    a_server_keeps_running_when_its_handle_is_dropped => {
         let key = ClusterKey::derive(b"one");
         let server = Server::bind("127.0.0.1:0", router(&key), Limits::default()).await.expect("a free port exists");
         let address = server.local_address().to_string();
--- a/crates/link/tests/traffic.rs
+++ b/crates/link/tests/traffic.rs
@@ -1,4 +1,4 @@
-//! Checks the counts of bytes and messages against messages of known size.
+//! Tests the counters of bytes and messages with messages of known size.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// Returns an answer of about 20 KB, far more than a connection's heads and settings.
+/// Returns an answer of about 20 KB, far more than the overhead of HTTP headers and connection settings.
 fn answer() -> FetchedConfig {
     FetchedConfig {
         config: Some(ConfigDelta {
@@ -55,7 +55,7 @@
         })
 }
 
-/// Holds a server and a client that count apart from each other.
+/// A server's and a client's key, each with its own counters.
 struct Ends {
     address: String,
     at_server: ClusterKey,
@@ -73,10 +73,10 @@
     }
 }
 
-/// Waits until each end has counted what the other one has; both must be open, as a closed one reads nothing more.
-async fn until_settled(server: &Traffic, client: &Traffic) {
+/// Waits until both ends have counted the same bytes; both must be open, as a closed end reads nothing more.
+async fn wait_until_equal(server: &Traffic, client: &Traffic) {
     let bytes = |traffic: &Traffic, direction| traffic.get(Count::SocketBytes, direction);
-    let settled = async {
+    let equal = async {
         while BOTH
             .iter()
             .any(|way| bytes(server, *way) != bytes(client, other(*way)))
@@ -84,13 +84,13 @@
             tokio::task::yield_now().await;
         }
     };
-    tokio::time::timeout(WAIT, settled)
+    tokio::time::timeout(WAIT, equal)
         .await
         .expect("both ends count the same");
 }
 
 async_cases! { real
-    both_ends_count_a_call_alike => {
+    both_ends_count_the_same_for_a_call => {
         let ends = ends().await;
         let client = Client::new(ends.at_client.clone());
         let ask = FetchConfig { config_version: 7 };
@@ -107,7 +107,7 @@
             assert_eq!(traffic.get(Count::MessageBytes(class), Direction::Sent), sent);
             assert_eq!(traffic.get(Count::MessageBytes(class), Direction::Received), received);
         }
-        until_settled(at_server, at_client).await;
+        wait_until_equal(at_server, at_client).await;
         let socket_bytes = at_client.get(Count::SocketBytes, Direction::Received);
         assert!((answered_bytes..answered_bytes + 1_000).contains(&socket_bytes), "{socket_bytes}");
         assert!(at_client.control_bytes() >= asked_bytes + answered_bytes);
@@ -132,21 +132,21 @@
 
     a_connection_that_proves_no_key_is_not_counted => {
         let ends = ends().await;
-        let stranger = Client::new(ClusterKey::derive(b"two"));
+        let other_key_client = Client::new(ClusterKey::derive(b"two"));
         let ask = FetchConfig { config_version: 7 };
-        let refused = stranger.call::<_, FetchedConfig>(&ends.address, "/v1/config/fetch", &ask, WAIT).await;
+        let refused = other_key_client.call::<_, FetchedConfig>(&ends.address, "/v1/config/fetch", &ask, WAIT).await;
         assert!(matches!(refused, Err(CallError::Status(status)) if status == 401));
         assert_eq!(ends.at_server.traffic().control_bytes(), 0);
     }
 }
 
-fn is_of((path, class): (&str, Class)) {
+fn path_has_class((path, class): (&str, Class)) {
     assert_eq!(Class::of_path(path), class);
 }
 
-cases! { is_of:
+cases! { path_has_class:
     a_forwarded_announcement => ("/v1/forwarded/announce", Class::Announce),
-    a_relays_batch => ("/v1/announces", Class::Announce),
+    a_batch_of_announcements => ("/v1/announces", Class::Announce),
     a_push_of_the_configuration => ("/v1/config/push", Class::Config),
     a_resumed_answer => ("/v1/resume", Class::Answer),
     an_order => ("/v1/order", Class::Other),
