--- a/crates/admission/src/server.rs
+++ b/crates/admission/src/server.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use hinge_link::{ClusterKey, FrameReader, FrameSender, Limits, ServerHandle, exchange};
+use hinge_link::{ClusterKey, FrameReader, FrameSender, Limits, ServerHandle, serve_exchange};
 use hinge_schema::routing::{AskLoad, EngineLoad, TeamUse};
 use hinge_telemetry::info;
 use hinge_telemetry::log::Part;
@@ -218,14 +218,14 @@
     Router::new()
         .post(ASKS_PATH, move |request: Request| {
             let shared = Arc::clone(&slots_shared);
-            let response = exchange(&slots_key, request, |reader, sender| {
+            let response = serve_exchange(&slots_key, request, |reader, sender| {
                 session::serve(shared, reader, sender)
             });
             async move { response }
         })
         .post(LOAD_PATH, move |request: Request| {
             let shared = Arc::clone(&load_shared);
-            let response = exchange(&load_key, request, |reader, sender| {
+            let response = serve_exchange(&load_key, request, |reader, sender| {
                 stream_load(shared, reader, sender)
             });
             async move { response }
--- a/crates/control/src/operators.rs
+++ b/crates/control/src/operators.rs
@@ -61,7 +61,7 @@
     pub(crate) fn find(&self, headers: &HeaderMap) -> Option<&Operator> {
         self.operators
             .iter()
-            .find(|operator| operator.key.is_proved_by(headers))
+            .find(|operator| operator.key.authenticates(headers))
     }
 }
 
--- a/crates/control/src/route.rs
+++ b/crates/control/src/route.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, OnceLock};
 
-use hinge_link::{ClusterKey, unary};
+use hinge_link::{ClusterKey, serve_call};
 use http::StatusCode;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -35,7 +35,7 @@
             let Some(state) = state.get().cloned() else {
                 return Ok(StatusCode::SERVICE_UNAVAILABLE.into_response());
             };
-            unary(&key, request, |message| answer(state, message)).await
+            serve_call(&key, request, |message| answer(state, message)).await
         }
     })
 }
@@ -66,7 +66,7 @@
                 return Ok(StatusCode::SERVICE_UNAVAILABLE.into_response());
             };
             let key = operator.key.clone();
-            unary(&key, request, |message| answer(state, operator, message)).await
+            serve_call(&key, request, |message| answer(state, operator, message)).await
         }
     })
 }
--- a/crates/control/tests/roles/relay.rs
+++ b/crates/control/tests/roles/relay.rs
@@ -6,7 +6,7 @@
 use crate::fleet::{Fleet, SECRET, WAIT, announce, change, pause, peer_key, team, wait_for};
 use hinge_cases::async_cases;
 use hinge_control::{Relay, RelaySettings};
-use hinge_link::{Client, ClusterKey, Limits, Server, unary};
+use hinge_link::{Client, ClusterKey, Limits, Server, serve_call};
 use hinge_schema::messages::{
     Announce, Announced, AskOrders, AskStatus, ClaimBatch, ClaimBatchReply, ClaimKey, ClaimVerdict,
     Order, OrderKind, OrderReply, OrderState, OrderVerdict, Orders, OrdersReply, PlaceOrder,
@@ -141,7 +141,7 @@
         let router = Router::new().post("/v1/order", move |request: Request| {
             let (key, orders) = (key.clone(), Arc::clone(&orders));
             async move {
-                unary(&key, request, |order: Order| async move {
+                serve_call(&key, request, |order: Order| async move {
                     let reply = OrderReply { verdict: OrderVerdict::Done, highest_fence: order.fence, detail: "loaded".into() };
                     orders.lock().expect("the lock is not poisoned").push(order);
                     Ok(reply)
--- a/crates/ctl/tests/fake/mod.rs
+++ b/crates/ctl/tests/fake/mod.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
-use hinge_link::{ClusterKey, Limits, Server, ServerHandle, unary};
+use hinge_link::{ClusterKey, Limits, Server, ServerHandle, serve_call};
 use hinge_schema::messages::{
     Apply, ApplyReply, AskFolder, AskHistory, AskOrders, AskStatus, AskSuspects, AskUpgrades,
     ConfigFile, Drain, DrainReply, Drains, Folder, FolderReply, History, HistoryReply, Member,
@@ -202,7 +202,7 @@
         let instance = Arc::clone(&instance);
         let key = ClusterKey::derive(SECRET.as_bytes());
         async move {
-            unary(&key, request, |question| async move {
+            serve_call(&key, request, |question| async move {
                 answer(&instance, question)
             })
             .await
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -6,7 +6,7 @@
 
 use anyhow::{Context as _, Result, bail};
 use hinge_config::secret::Secret;
-use hinge_link::{Class, Client, ClusterKey, Count, Direction, Traffic};
+use hinge_link::{Client, ClusterKey, CounterKind, Direction, MessageClass, Traffic};
 use hinge_schema::messages::{Announce, Role};
 use hinge_schema::settings::Settings;
 use hinge_telemetry::admin::Admin;
@@ -155,15 +155,15 @@
         "peer_message_bytes",
         "Bytes of messages between processes of the fleet, by what they are for.",
     );
-    let labels = |class: Class, direction: Direction| {
+    let labels = |class: MessageClass, direction: Direction| {
         [("class", class.name()), ("direction", direction.name())]
     };
     Traffic::with_counters(|count, direction| match count {
-        Count::SocketBytes => sockets
+        CounterKind::SocketBytes => sockets
             .get_or_create(&[("direction", direction.name())])
             .clone(),
-        Count::Messages(class) => messages.get_or_create(&labels(class, direction)).clone(),
-        Count::MessageBytes(class) => bytes.get_or_create(&labels(class, direction)).clone(),
+        CounterKind::Messages(class) => messages.get_or_create(&labels(class, direction)).clone(),
+        CounterKind::MessageBytes(class) => bytes.get_or_create(&labels(class, direction)).clone(),
     })
 }
 
--- a/crates/entry/benches/stream.rs
+++ b/crates/entry/benches/stream.rs
@@ -12,7 +12,7 @@
 use hinge_config::folder;
 use hinge_entry::{Entry, EntrySettings};
 use hinge_link::{
-    Client, ClusterKey, FrameReader, FrameSender, Limits, Server, ServerHandle, exchange,
+    Client, ClusterKey, FrameReader, FrameSender, Limits, Server, ServerHandle, serve_exchange,
 };
 use hinge_member::Member;
 use hinge_schema::messages::{
@@ -97,7 +97,7 @@
 
 async fn sidecar() -> (ServerHandle, Process) {
     let router = Router::new().post("/v1/offer", |request: Request| async move {
-        exchange(&key(), request, answer)
+        serve_exchange(&key(), request, answer)
     });
     let server = Server::bind("127.0.0.1:0", router, Limits::default())
         .await
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -1,6 +1,6 @@
 //! HTTP routes for other processes of the fleet, which fetch and push configurations.
 
-use hinge_link::{ClusterKey, unary};
+use hinge_link::{ClusterKey, serve_call};
 use hinge_schema::messages::{ConfigDelta, FetchConfig, FetchedConfig};
 use viz::{Request, Router};
 
@@ -16,14 +16,14 @@
             let (key, member) = (fetch_key.clone(), fetch_member.clone());
             async move {
                 let fetch = |ask: FetchConfig| async move { Ok(member.fetched(&ask)) };
-                unary(&key, request, fetch).await
+                serve_call(&key, request, fetch).await
             }
         })
         .post("/v1/config/push", move |request: Request| {
             let (key, member) = (push_key.clone(), push_member.clone());
             async move {
                 let take = |delta: ConfigDelta| async move { Ok(push(&member, delta).await) };
-                unary(&key, request, take).await
+                serve_call(&key, request, take).await
             }
         })
 }
--- a/crates/entry/tests/entry/support.rs
+++ b/crates/entry/tests/entry/support.rs
@@ -7,7 +7,8 @@
 use hinge_config::folder;
 use hinge_entry::{Entry, EntrySettings};
 use hinge_link::{
-    Client, ClusterKey, FrameReader, FrameSender, Limits, Server, ServerHandle, exchange, unary,
+    Client, ClusterKey, FrameReader, FrameSender, Limits, Server, ServerHandle, serve_call,
+    serve_exchange,
 };
 use hinge_member::Member;
 use hinge_schema::messages::{
@@ -204,55 +205,54 @@
                 .expect("no test panicked while holding the lock")
                 .clone()
         };
-        let router =
-            Router::new()
-                .post("/v1/offer", move |request: viz::Request| {
-                    let session_sender = session_sender.clone();
-                    async move {
-                        exchange(&cluster_key(), request, |reader, sender| {
-                            accept_offer(reader, sender, session_sender)
-                        })
-                    }
-                })
-                .post("/v1/resume", move |request: viz::Request| {
-                    let resume_sender = resume_sender.clone();
-                    async move {
-                        exchange(&cluster_key(), request, |mut reader, sender| async move {
-                            if let Ok(Some(resume)) = reader.next::<Resume>().await {
-                                resume_sender
-                                    .send((resume, sender, reader))
-                                    .expect("the test waits for it");
-                            }
-                        })
-                    }
-                })
-                .post("/v1/verdict", move |request: viz::Request| {
-                    let reply = read(&verdict_reply);
-                    async move {
-                        unary(&cluster_key(), request, |_: AskVerdict| async { Ok(reply) }).await
-                    }
-                })
-                .post("/v1/cancel", move |request: viz::Request| {
-                    let (reply, cancel_sender) = (read(&cancel_reply), cancel_sender.clone());
-                    let record = |cancel: CancelRun| async move {
-                        cancel_sender
-                            .send(cancel)
-                            .map_err(|_gone| StatusCode::GONE)?;
+        let router = Router::new()
+            .post("/v1/offer", move |request: viz::Request| {
+                let session_sender = session_sender.clone();
+                async move {
+                    serve_exchange(&cluster_key(), request, |reader, sender| {
+                        accept_offer(reader, sender, session_sender)
+                    })
+                }
+            })
+            .post("/v1/resume", move |request: viz::Request| {
+                let resume_sender = resume_sender.clone();
+                async move {
+                    serve_exchange(&cluster_key(), request, |mut reader, sender| async move {
+                        if let Ok(Some(resume)) = reader.next::<Resume>().await {
+                            resume_sender
+                                .send((resume, sender, reader))
+                                .expect("the test waits for it");
+                        }
+                    })
+                }
+            })
+            .post("/v1/verdict", move |request: viz::Request| {
+                let reply = read(&verdict_reply);
+                async move {
+                    serve_call(&cluster_key(), request, |_: AskVerdict| async { Ok(reply) }).await
+                }
+            })
+            .post("/v1/cancel", move |request: viz::Request| {
+                let (reply, cancel_sender) = (read(&cancel_reply), cancel_sender.clone());
+                let record = |cancel: CancelRun| async move {
+                    cancel_sender
+                        .send(cancel)
+                        .map_err(|_gone| StatusCode::GONE)?;
+                    Ok(reply)
+                };
+                async move { serve_call(&cluster_key(), request, record).await }
+            })
+            .post("/v1/config/fetch", move |request: viz::Request| {
+                let reply = FetchedConfig {
+                    config: config.clone(),
+                };
+                async move {
+                    serve_call(&cluster_key(), request, |_: FetchConfig| async {
                         Ok(reply)
-                    };
-                    async move { unary(&cluster_key(), request, record).await }
-                })
-                .post("/v1/config/fetch", move |request: viz::Request| {
-                    let reply = FetchedConfig {
-                        config: config.clone(),
-                    };
-                    async move {
-                        unary(&cluster_key(), request, |_: FetchConfig| async {
-                            Ok(reply)
-                        })
-                        .await
-                    }
-                });
+                    })
+                    .await
+                }
+            });
         let server = Server::bind("127.0.0.1:0", router, Limits::default())
             .await
             .expect("a free port exists");
--- a/crates/gateway/src/neighbours.rs
+++ b/crates/gateway/src/neighbours.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use futures::future::join_all;
-use hinge_link::{Client, ClusterKey, unary};
+use hinge_link::{Client, ClusterKey, serve_call};
 use hinge_schema::routing::{RoutesUpdate, WatchRoutes};
 use hinge_telemetry::info;
 use hinge_telemetry::log::Part;
@@ -113,7 +113,7 @@
         let (key, held) = (key.clone(), Arc::clone(&held));
         async move {
             let answer = async |question: WatchRoutes| Ok(held.newer_than(&question));
-            unary(&key, request, answer).await
+            serve_call(&key, request, answer).await
         }
     };
     Router::new()
--- a/crates/gateway/src/takeover.rs
+++ b/crates/gateway/src/takeover.rs
@@ -101,5 +101,5 @@
     let mut line = vec![0; key.header_value().len() + 1];
     stream.read_exact(&mut line).await?;
     let proof = line.strip_suffix(b"\n");
-    Ok(proof.is_some_and(|proof| key.is_proof(proof)))
+    Ok(proof.is_some_and(|proof| key.matches_header_value(proof)))
 }
--- a/crates/link/src/auth.rs
+++ b/crates/link/src/auth.rs
@@ -65,14 +65,14 @@
 
     /// Returns whether the `authorization` header proves that the sender knows the key.
     #[must_use]
-    pub fn is_proved_by(&self, headers: &HeaderMap) -> bool {
+    pub fn authenticates(&self, headers: &HeaderMap) -> bool {
         let value = headers.get(AUTHORIZATION);
-        value.is_some_and(|value| self.is_proof(value.as_bytes()))
+        value.is_some_and(|value| self.matches_header_value(value.as_bytes()))
     }
 
     /// Returns whether `text` equals [`Self::header_value`], compared in constant time.
     #[must_use]
-    pub fn is_proof(&self, text: &[u8]) -> bool {
+    pub fn matches_header_value(&self, text: &[u8]) -> bool {
         text.ct_eq(self.header.as_bytes()).into()
     }
 }
--- a/crates/link/src/client.rs
+++ b/crates/link/src/client.rs
@@ -21,7 +21,7 @@
 use crate::codec::{CodecError, decode, encode};
 use crate::counted::CountedConnector;
 use crate::frames::{FrameReader, FrameSender, counted_frame_body};
-use crate::traffic::{Class, Direction, MessageCounter};
+use crate::traffic::{Direction, MessageClass, MessageCounter};
 
 pub(crate) const MESSAGE_TYPE: &str = "application/msgpack";
 
@@ -128,7 +128,7 @@
         A: DeserializeOwned,
     {
         let message = encode(message).map_err(CallError::Codec)?;
-        let (traffic, class) = (self.key.traffic(), Class::of_path(path));
+        let (traffic, class) = (self.key.traffic(), MessageClass::of_path(path));
         traffic.record_message(class, Direction::Sent, message.len());
         let body = Full::new(Bytes::from(message)).boxed();
         let request = self.build_request(address, path, body)?;
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -16,5 +16,5 @@
 pub use client::{CallError, Client, Exchange};
 pub use codec::{CodecError, decode, encode};
 pub use frames::{Closed, FrameError, FrameReader, FrameSender, frame_body};
-pub use server::{Limits, Server, ServerHandle, exchange, unary};
-pub use traffic::{Class, Count, Direction, Traffic};
+pub use server::{Limits, Server, ServerHandle, serve_call, serve_exchange};
+pub use traffic::{CounterKind, Direction, MessageClass, Traffic};
--- a/crates/link/src/server.rs
+++ b/crates/link/src/server.rs
@@ -24,7 +24,7 @@
 use crate::codec::{decode, encode};
 use crate::counted::CountedStream;
 use crate::frames::{FrameReader, FrameSender, counted_frame_body};
-use crate::traffic::{Class, Direction, MessageCounter, SocketCounter};
+use crate::traffic::{Direction, MessageClass, MessageCounter, SocketCounter};
 
 /// The resource limits of one listener.
 #[derive(Debug, Clone, Copy)]
@@ -184,7 +184,7 @@
 /// # Errors
 ///
 /// Never returns an error: viz requires a `Result` from handlers, but every failure is a response.
-pub async fn unary<Q, A, F, R>(
+pub async fn serve_call<Q, A, F, R>(
     key: &ClusterKey,
     request: Request,
     answer: F,
@@ -195,10 +195,10 @@
     F: FnOnce(Q) -> R + Send,
     R: Future<Output = Result<A, StatusCode>> + Send,
 {
-    if !key.is_proved_by(request.headers()) {
+    if !key.authenticates(request.headers()) {
         return Ok(StatusCode::UNAUTHORIZED.into_response());
     }
-    let class = Class::of_path(request.uri().path());
+    let class = MessageClass::of_path(request.uri().path());
     count_as_peer(key, &request);
     let whole = Limited::new(request.into_body(), MAX_MESSAGE_BYTES)
         .collect()
@@ -234,12 +234,12 @@
 /// # Errors
 ///
 /// Never returns an error: viz requires a `Result` from handlers, but every failure is a response.
-pub fn exchange<F, R>(key: &ClusterKey, request: Request, run: F) -> viz::Result<Response>
+pub fn serve_exchange<F, R>(key: &ClusterKey, request: Request, run: F) -> viz::Result<Response>
 where
     F: FnOnce(FrameReader<Body>, FrameSender) -> R + Send,
     R: Future<Output = ()> + Send + 'static,
 {
-    if !key.is_proved_by(request.headers()) {
+    if !key.authenticates(request.headers()) {
         return Ok(StatusCode::UNAUTHORIZED.into_response());
     }
     count_as_peer(key, &request);
--- a/crates/link/src/traffic.rs
+++ b/crates/link/src/traffic.rs
@@ -14,7 +14,7 @@
 
 /// The purpose of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Class {
+pub enum MessageClass {
     /// Announcements and renewals of leases.
     Announce,
     /// Watches, and the configuration and membership changes that answer them.
@@ -35,7 +35,7 @@
     Other,
 }
 
-impl Class {
+impl MessageClass {
     /// Every class, in the order of the discriminants.
     pub const ALL: [Self; 9] = [
         Self::Announce,
@@ -105,20 +105,20 @@
 
 /// The kind of a counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Count {
+pub enum CounterKind {
     /// Bytes on the sockets.
     SocketBytes,
     /// Messages of a class.
-    Messages(Class),
+    Messages(MessageClass),
     /// Bytes of a class's messages, including the length prefix of frames.
-    MessageBytes(Class),
+    MessageBytes(MessageClass),
 }
 
 #[derive(Debug, Default)]
 struct DirectionCounters {
     socket_bytes: Counter,
-    messages: [Counter; Class::ALL.len()],
-    message_bytes: [Counter; Class::ALL.len()],
+    messages: [Counter; MessageClass::ALL.len()],
+    message_bytes: [Counter; MessageClass::ALL.len()],
 }
 
 /// The traffic counters of one process, shared by all clones.
@@ -138,11 +138,13 @@
 impl Traffic {
     /// Creates traffic counters from the counters that `counter` returns, such as those of a metrics registry.
     #[must_use]
-    pub fn with_counters(counter: impl Fn(Count, Direction) -> Counter) -> Self {
+    pub fn with_counters(counter: impl Fn(CounterKind, Direction) -> Counter) -> Self {
         let counters = |direction| DirectionCounters {
-            socket_bytes: counter(Count::SocketBytes, direction),
-            messages: Class::ALL.map(|class| counter(Count::Messages(class), direction)),
-            message_bytes: Class::ALL.map(|class| counter(Count::MessageBytes(class), direction)),
+            socket_bytes: counter(CounterKind::SocketBytes, direction),
+            messages: MessageClass::ALL
+                .map(|class| counter(CounterKind::Messages(class), direction)),
+            message_bytes: MessageClass::ALL
+                .map(|class| counter(CounterKind::MessageBytes(class), direction)),
         };
         Self {
             directions: Arc::new([counters(Direction::Sent), counters(Direction::Received)]),
@@ -151,12 +153,12 @@
 
     /// Returns the value of one counter.
     #[must_use]
-    pub fn get(&self, count: Count, direction: Direction) -> u64 {
+    pub fn get(&self, count: CounterKind, direction: Direction) -> u64 {
         let counters = self.counters(direction);
         match count {
-            Count::SocketBytes => counters.socket_bytes.get(),
-            Count::Messages(class) => counters.messages[class as usize].get(),
-            Count::MessageBytes(class) => counters.message_bytes[class as usize].get(),
+            CounterKind::SocketBytes => counters.socket_bytes.get(),
+            CounterKind::Messages(class) => counters.messages[class as usize].get(),
+            CounterKind::MessageBytes(class) => counters.message_bytes[class as usize].get(),
         }
     }
 
@@ -166,15 +168,15 @@
         let directions = [Direction::Sent, Direction::Received].into_iter();
         directions
             .map(|direction| {
-                let answers = self.get(Count::MessageBytes(Class::Answer), direction);
+                let answers = self.get(CounterKind::MessageBytes(MessageClass::Answer), direction);
                 // A message is counted before it is written to the socket, so the difference could be negative for a moment.
-                self.get(Count::SocketBytes, direction)
+                self.get(CounterKind::SocketBytes, direction)
                     .saturating_sub(answers)
             })
             .sum()
     }
 
-    pub(crate) fn record_message(&self, class: Class, direction: Direction, bytes: usize) {
+    pub(crate) fn record_message(&self, class: MessageClass, direction: Direction, bytes: usize) {
         let counters = self.counters(direction);
         counters.messages[class as usize].inc();
         counters.message_bytes[class as usize].inc_by(bytes as u64);
@@ -197,7 +199,7 @@
 pub(crate) struct MessageCounter {
     traffic: Traffic,
     direction: Direction,
-    first: Class,
+    first: MessageClass,
     has_counted_first: Arc<AtomicBool>,
 }
 
@@ -206,14 +208,16 @@
         Self {
             traffic: traffic.clone(),
             direction,
-            first: Class::of_path(path),
+            first: MessageClass::of_path(path),
             has_counted_first: Arc::new(AtomicBool::new(false)),
         }
     }
 
     pub(crate) fn record(&self, bytes: usize) {
         let class = match self.first {
-            Class::Offer if self.has_counted_first.swap(true, Ordering::Relaxed) => Class::Answer,
+            MessageClass::Offer if self.has_counted_first.swap(true, Ordering::Relaxed) => {
+                MessageClass::Answer
+            }
             first => first,
         };
         self.traffic.record_message(class, self.direction, bytes);
--- a/crates/link/tests/exchange.rs
+++ b/crates/link/tests/exchange.rs
@@ -5,7 +5,8 @@
 use bytes::Bytes;
 use hinge_cases::{async_cases, cases};
 use hinge_link::{
-    CallError, Client, ClusterKey, FrameError, FrameReader, Limits, Server, encode, exchange, unary,
+    CallError, Client, ClusterKey, FrameError, FrameReader, Limits, Server, encode, serve_call,
+    serve_exchange,
 };
 use hinge_schema::messages::{AskVerdict, Cancel, FetchConfig, Verdict, VerdictReply};
 use http_body_util::Full;
@@ -19,12 +20,12 @@
     Router::new()
         .post("/ask", move |request: Request| {
             let key = for_ask.clone();
-            async move { unary(&key, request, answer).await }
+            async move { serve_call(&key, request, answer).await }
         })
         .post("/echo", move |request: Request| {
             let key = for_echo.clone();
             async move {
-                exchange(&key, request, |mut reader, sender| async move {
+                serve_exchange(&key, request, |mut reader, sender| async move {
                     while let Ok(Some(message)) = reader.next::<Cancel>().await {
                         if sender.send(&message).await.is_err() {
                             break;
--- a/crates/link/tests/traffic.rs
+++ b/crates/link/tests/traffic.rs
@@ -4,8 +4,8 @@
 
 use hinge_cases::{async_cases, cases};
 use hinge_link::{
-    CallError, Class, Client, ClusterKey, Count, Direction, Limits, Server, Traffic, encode,
-    exchange, unary,
+    CallError, Client, ClusterKey, CounterKind, Direction, Limits, MessageClass, Server, Traffic,
+    encode, serve_call, serve_exchange,
 };
 use hinge_schema::messages::{Cancel, ConfigDelta, FetchConfig, FetchedConfig};
 use viz::{Request, Router};
@@ -39,12 +39,12 @@
     Router::new()
         .post("/v1/config/fetch", move |request: Request| {
             let key = for_fetch.clone();
-            async move { unary(&key, request, |_: FetchConfig| async { Ok(answer()) }).await }
+            async move { serve_call(&key, request, |_: FetchConfig| async { Ok(answer()) }).await }
         })
         .post("/v1/offer", move |request: Request| {
             let key = for_offer.clone();
             async move {
-                exchange(&key, request, |mut reader, sender| async move {
+                serve_exchange(&key, request, |mut reader, sender| async move {
                     while let Ok(Some(message)) = reader.next::<Cancel>().await {
                         if sender.send(&message).await.is_err() {
                             break;
@@ -75,7 +75,7 @@
 
 /// Waits until both ends have counted the same bytes; both must be open, as a closed end reads nothing more.
 async fn wait_until_equal(server: &Traffic, client: &Traffic) {
-    let bytes = |traffic: &Traffic, direction| traffic.get(Count::SocketBytes, direction);
+    let bytes = |traffic: &Traffic, direction| traffic.get(CounterKind::SocketBytes, direction);
     let equal = async {
         while BOTH
             .iter()
@@ -100,15 +100,15 @@
         let asked_bytes = 3 * encode(&ask).expect("it encodes").len() as u64;
         let answered_bytes = 3 * encode(&answer()).expect("it encodes").len() as u64;
         let (at_server, at_client) = (ends.at_server.traffic(), ends.at_client.traffic());
-        let class = Class::Config;
+        let class = MessageClass::Config;
         for (traffic, sent, received) in [(at_client, asked_bytes, answered_bytes), (at_server, answered_bytes, asked_bytes)] {
-            assert_eq!(traffic.get(Count::Messages(class), Direction::Sent), 3);
-            assert_eq!(traffic.get(Count::Messages(class), Direction::Received), 3);
-            assert_eq!(traffic.get(Count::MessageBytes(class), Direction::Sent), sent);
-            assert_eq!(traffic.get(Count::MessageBytes(class), Direction::Received), received);
+            assert_eq!(traffic.get(CounterKind::Messages(class), Direction::Sent), 3);
+            assert_eq!(traffic.get(CounterKind::Messages(class), Direction::Received), 3);
+            assert_eq!(traffic.get(CounterKind::MessageBytes(class), Direction::Sent), sent);
+            assert_eq!(traffic.get(CounterKind::MessageBytes(class), Direction::Received), received);
         }
         wait_until_equal(at_server, at_client).await;
-        let socket_bytes = at_client.get(Count::SocketBytes, Direction::Received);
+        let socket_bytes = at_client.get(CounterKind::SocketBytes, Direction::Received);
         assert!((answered_bytes..answered_bytes + 1_000).contains(&socket_bytes), "{socket_bytes}");
         assert!(at_client.control_bytes() >= asked_bytes + answered_bytes);
     }
@@ -124,8 +124,8 @@
         let frame_bytes = 4 + encode(&Cancel { request_id: 0 }).expect("it encodes").len() as u64;
         for traffic in [ends.at_client.traffic(), ends.at_server.traffic()] {
             for way in BOTH {
-                assert_eq!(traffic.get(Count::MessageBytes(Class::Offer), way), frame_bytes);
-                assert_eq!(traffic.get(Count::MessageBytes(Class::Answer), way), 4 * frame_bytes);
+                assert_eq!(traffic.get(CounterKind::MessageBytes(MessageClass::Offer), way), frame_bytes);
+                assert_eq!(traffic.get(CounterKind::MessageBytes(MessageClass::Answer), way), 4 * frame_bytes);
             }
         }
     }
@@ -140,14 +140,14 @@
     }
 }
 
-fn path_has_class((path, class): (&str, Class)) {
-    assert_eq!(Class::of_path(path), class);
+fn path_has_class((path, class): (&str, MessageClass)) {
+    assert_eq!(MessageClass::of_path(path), class);
 }
 
 cases! { path_has_class:
-    a_forwarded_announcement => ("/v1/forwarded/announce", Class::Announce),
-    a_batch_of_announcements => ("/v1/announces", Class::Announce),
-    a_push_of_the_configuration => ("/v1/config/push", Class::Config),
-    a_resumed_answer => ("/v1/resume", Class::Answer),
-    an_order => ("/v1/order", Class::Other),
+    a_forwarded_announcement => ("/v1/forwarded/announce", MessageClass::Announce),
+    a_batch_of_announcements => ("/v1/announces", MessageClass::Announce),
+    a_push_of_the_configuration => ("/v1/config/push", MessageClass::Config),
+    a_resumed_answer => ("/v1/resume", MessageClass::Answer),
+    an_order => ("/v1/order", MessageClass::Other),
 }
--- a/crates/member/tests/announce.rs
+++ b/crates/member/tests/announce.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use hinge_cases::async_cases;
-use hinge_link::{Client, ClusterKey, Limits, Server, ServerHandle, unary};
+use hinge_link::{Client, ClusterKey, Limits, Server, ServerHandle, serve_call};
 use hinge_member::Member;
 use hinge_schema::messages::{Announce, Announced, Role};
 use tokio::sync::{Semaphore, watch};
@@ -34,7 +34,7 @@
         let router = Router::new().post("/v1/announce", move |request: Request| {
             let (kept, held) = (kept.clone(), Arc::clone(&held));
             async move {
-                unary(&key(), request, |announce: Announce| async move {
+                serve_call(&key(), request, |announce: Announce| async move {
                     let has_run = announce.running == Some(1);
                     kept.send_modify(|all: &mut Vec<Announce>| all.push(announce));
                     if has_run {
--- a/crates/member/tests/learn.rs
+++ b/crates/member/tests/learn.rs
@@ -6,7 +6,7 @@
 
 use hinge_cases::{async_cases, cases};
 use hinge_config::folder;
-use hinge_link::{Client, ClusterKey, Limits, Server, unary};
+use hinge_link::{Client, ClusterKey, Limits, Server, serve_call};
 use hinge_member::{Learned, Member, MemberList};
 use hinge_schema::messages::FetchedConfig;
 use hinge_schema::messages::{Announce, ConfigDelta, ConfigFile, FetchConfig, MembersDelta, Role};
@@ -133,7 +133,7 @@
     let key = key.clone();
     Router::new().post("/v1/config/fetch", move |request: Request| {
         let key = key.clone();
-        async move { unary(&key, request, fetched).await }
+        async move { serve_call(&key, request, fetched).await }
     })
 }
 
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use hinge_link::{Client, ClusterKey, Limits, Server, ServerHandle, exchange, unary};
+use hinge_link::{Client, ClusterKey, Limits, Server, ServerHandle, serve_call, serve_exchange};
 use hinge_member::Member;
 use hinge_placement::EngineReport;
 use hinge_schema::messages::{
@@ -224,7 +224,7 @@
         .post("/v1/offer", move |request: Request| {
             let (shared, key) = offers.clone();
             async move {
-                exchange(&key, request, |reader, sender| {
+                serve_exchange(&key, request, |reader, sender| {
                     crate::exchange::serve(shared, reader, sender)
                 })
             }
@@ -232,7 +232,7 @@
         .post("/v1/resume", move |request: Request| {
             let (shared, key) = resumes.clone();
             async move {
-                exchange(&key, request, |reader, sender| {
+                serve_exchange(&key, request, |reader, sender| {
                     resume::serve(shared, reader, sender)
                 })
             }
@@ -240,7 +240,7 @@
         .post("/v1/verdict", move |request: Request| {
             let (shared, key) = verdicts.clone();
             async move {
-                unary(
+                serve_call(
                     &key,
                     request,
                     |ask| async move { Ok(verdict(&shared, &ask)) },
@@ -251,7 +251,7 @@
         .post("/v1/cancel", move |request: Request| {
             let (shared, key) = cancels.clone();
             async move {
-                unary(
+                serve_call(
                     &key,
                     request,
                     |run| async move { Ok(cancel(&shared, &run)) },
@@ -262,7 +262,7 @@
         .post("/v1/order", move |request: Request| {
             let (shared, key) = orders.clone();
             async move {
-                unary(&key, request, |order: Order| async move {
+                serve_call(&key, request, |order: Order| async move {
                     Ok::<OrderReply, _>(order::execute(&shared, &order).await)
                 })
                 .await
@@ -271,7 +271,7 @@
         .post("/v1/config/fetch", move |request: Request| {
             let (shared, key) = fetches.clone();
             async move {
-                unary(&key, request, |ask: FetchConfig| async move {
+                serve_call(&key, request, |ask: FetchConfig| async move {
                     Ok::<FetchedConfig, _>(shared.member.fetched(&ask))
                 })
                 .await
@@ -280,7 +280,7 @@
         .post("/v1/config/push", move |request: Request| {
             let (shared, key) = pushes.clone();
             async move {
-                unary(&key, request, |delta: ConfigDelta| async move {
+                serve_call(&key, request, |delta: ConfigDelta| async move {
                     Ok::<FetchedConfig, _>(apply_pushed_config(&shared, delta).await)
                 })
                 .await
--- a/crates/sidecar/tests/sidecar/orders.rs
+++ b/crates/sidecar/tests/sidecar/orders.rs
@@ -5,7 +5,7 @@
 use hinge_cases::async_cases;
 use hinge_config::held::Applied;
 use hinge_fakes::stand_in::{Fault, StandInSettings};
-use hinge_link::{Client, Limits, Server, ServerHandle, unary};
+use hinge_link::{Client, Limits, Server, ServerHandle, serve_call};
 use hinge_member::Member;
 use hinge_schema::messages::{
     Announce, Announced, ClaimBatch, ClaimBatchReply, ClaimKey, ClaimReply, ClaimVerdict,
@@ -36,7 +36,7 @@
             .post("/v1/announce", move |request: Request| {
                 let announces = announces.clone();
                 async move {
-                    unary(&key(), request, |announce: Announce| async move {
+                    serve_call(&key(), request, |announce: Announce| async move {
                         announces.send_modify(|kept| kept.push(announce));
                         Ok(announced())
                     })
@@ -44,7 +44,7 @@
                 }
             })
             .post("/v1/claims", |request: Request| async move {
-                unary(&key(), request, |batch: ClaimBatch| async move {
+                serve_call(&key(), request, |batch: ClaimBatch| async move {
                     Ok(claimed(&batch))
                 })
                 .await
@@ -52,7 +52,7 @@
             .post("/v1/sums", move |request: Request| {
                 let sender = sender.clone();
                 async move {
-                    unary(&key(), request, |report: ServiceReport| async move {
+                    serve_call(&key(), request, |report: ServiceReport| async move {
                         let totals = totals(&report);
                         if !report.sums.is_empty() {
                             sender.send_replace(Some(report));
