--- a/crates/entry/src/bound.rs
+++ b/crates/entry/src/bound.rs
@@ -330,14 +330,16 @@
     ///
     /// Returns `None` when the answer is resumed.
     async fn recover(&mut self) -> Option<AnswerPart> {
-        self.attempt.apply(Event::LinkLost(self.holder.sidecar));
+        self.attempt
+            .apply(Event::ExchangeBroken(self.holder.sidecar));
         self.guard.mark_lost();
         // The rest of a body can't be sent on another exchange, so such a run can't be resumed, only proved not to have begun.
         let has_body_left = self.body_sender.take().is_some();
         while self.verdict_calls < self.shared.settings.max_verdict_calls {
             self.verdict_calls += 1;
             if self.verdict_calls > 1 {
-                self.attempt.apply(Event::LinkLost(self.holder.sidecar));
+                self.attempt
+                    .apply(Event::ExchangeBroken(self.holder.sidecar));
                 sleep(self.verdict_retry_delay()).await;
             }
             let Some(reply) = self.ask_verdict().await else {
@@ -357,7 +359,7 @@
         let event = if self.has_answer_started() {
             Event::ResumeRefused
         } else {
-            Event::AskFailed
+            Event::VerdictUnavailable
         };
         Some(AnswerPart::Settled(self.settle(event)))
     }
--- a/crates/entry/src/offers.rs
+++ b/crates/entry/src/offers.rs
@@ -222,7 +222,7 @@
             OfferEnd::Lost(sidecar) => {
                 self.best_refusal.has_lost_offer = true;
                 self.request.observe(sidecar, Sample::Failed);
-                Ok(attempt.apply(Event::LinkLost(sidecar)))
+                Ok(attempt.apply(Event::ExchangeBroken(sidecar)))
             }
         }
     }
--- a/crates/link/src/traffic.rs
+++ b/crates/link/src/traffic.rs
@@ -232,7 +232,7 @@
 }
 
 impl SocketCounter {
-    /// Counts the connection as a peer's from now on, including the bytes that it has already transferred.
+    /// Counts the connection as a peer's, including the bytes that it has already transferred.
     pub(crate) fn attach(&self, traffic: &Traffic) {
         if self.traffic.get().is_some() || self.traffic.set(traffic.clone()).is_err() {
             return;
--- a/crates/outcome/src/attempt.rs
+++ b/crates/outcome/src/attempt.rs
@@ -47,7 +47,7 @@
     /// The bind is about to be sent; must be applied before its first byte is written.
     BindSent,
     /// The exchange with a sidecar broke off.
-    LinkLost(SidecarId),
+    ExchangeBroken(SidecarId),
     /// The sidecar reports the state of the run, on the exchange itself or when asked after a break.
     Verdict {
         /// Incarnation of the sidecar that reports.
@@ -56,7 +56,7 @@
         verdict: Verdict,
     },
     /// The sidecar could not be asked for its verdict, and the entry stops trying.
-    AskFailed,
+    VerdictUnavailable,
     /// The sidecar can no longer send the rest of the answer.
     ResumeRefused,
     /// The head of the answer is valid and can be passed to the caller.
@@ -71,7 +71,7 @@
     /// The answer is invalid; see [`crate::AnswerError::reason`].
     AnswerBroken(Reason),
     /// The caller disconnected.
-    CallerGone,
+    CallerDisconnected,
     /// The caller's deadline passed.
     Deadline {
         /// How long the caller should wait before a retry, if the request did not run.
@@ -99,8 +99,8 @@
     Release(GrantId),
     /// Pass the frame to the caller.
     Pass,
-    /// Ask this sidecar for the state of the run, and apply [`Event::Verdict`] or [`Event::AskFailed`].
-    Ask(GrantId),
+    /// Ask this sidecar for the state of the run, and apply [`Event::Verdict`] or [`Event::VerdictUnavailable`].
+    AskVerdict(GrantId),
     /// Fetch the rest of the answer from this sidecar, from this offset.
     Resume {
         /// Grant to which the run belongs.
@@ -126,7 +126,7 @@
     open_offers: u32,
     passed_bytes: u64,
     has_head: bool,
-    asked: bool,
+    has_asked: bool,
 }
 
 impl Default for Attempt {
@@ -144,7 +144,7 @@
             open_offers: 0,
             passed_bytes: 0,
             has_head: false,
-            asked: false,
+            has_asked: false,
         }
     }
 
@@ -203,7 +203,7 @@
                 self.open_offers += 1;
                 Step::Wait
             }
-            Event::OfferRefused { .. } | Event::LinkLost(_) => self.offer_answered(),
+            Event::OfferRefused { .. } | Event::ExchangeBroken(_) => self.offer_answered(),
             Event::Granted(grant) => {
                 self.open_offers = self.open_offers.saturating_sub(1);
                 self.state = AttemptState::Granted(grant);
@@ -220,12 +220,12 @@
                 Step::Wait
             }
             Event::Granted(other) if other != grant => Step::Release(other),
-            Event::LinkLost(sidecar) if sidecar == grant.sidecar => {
+            Event::ExchangeBroken(sidecar) if sidecar == grant.sidecar => {
                 // Nothing was sent, so only the grant is lost and the other offers are still valid.
                 self.state = AttemptState::Offered;
                 self.offer_more_or_wait()
             }
-            Event::OfferRefused { .. } | Event::LinkLost(_) => {
+            Event::OfferRefused { .. } | Event::ExchangeBroken(_) => {
                 self.open_offers = self.open_offers.saturating_sub(1);
                 Step::Wait
             }
@@ -263,15 +263,15 @@
     fn on_bound(&mut self, grant: GrantId, event: Event) -> Step {
         match event {
             Event::Granted(other) if other != grant => Step::Release(other),
-            Event::LinkLost(sidecar) if sidecar == grant.sidecar => {
-                self.asked = true;
-                Step::Ask(grant)
+            Event::ExchangeBroken(sidecar) if sidecar == grant.sidecar => {
+                self.has_asked = true;
+                Step::AskVerdict(grant)
             }
             Event::Verdict {
                 incarnation,
                 verdict,
             } => self.on_verdict(grant, incarnation, verdict),
-            Event::AskFailed => self.finish_unknown(Reason::SidecarLost, Some(grant)),
+            Event::VerdictUnavailable => self.finish_unknown(Reason::SidecarLost, Some(grant)),
             Event::ResumeRefused => self.finish_unknown(Reason::AnswerTruncated, Some(grant)),
             Event::Head => self.on_head(grant),
             Event::Chunk { bytes } => self.on_chunk(grant, bytes),
@@ -289,7 +289,7 @@
         if self.has_head {
             return Step::Wait;
         }
-        self.asked = false;
+        self.has_asked = false;
         self.has_head = true;
         self.state = AttemptState::HeadPassed(grant);
         Step::Pass
@@ -299,7 +299,7 @@
         if !self.has_head {
             return Step::Wait;
         }
-        self.asked = false;
+        self.has_asked = false;
         self.passed_bytes += bytes;
         self.state = AttemptState::Streaming(grant);
         Step::Pass
@@ -339,8 +339,8 @@
             {
                 self.finish(Outcome::Completed, None)
             }
-            Verdict::Running { .. } | Verdict::Completed { .. } if self.asked => {
-                self.asked = false;
+            Verdict::Running { .. } | Verdict::Completed { .. } if self.has_asked => {
+                self.has_asked = false;
                 Step::Resume {
                     grant,
                     offset: self.passed_bytes,
@@ -366,7 +366,7 @@
 /// Returns the reason and the retry delay if the entry or the caller gives up with this event.
 fn given_up(event: Event) -> Option<(Reason, Duration)> {
     match event {
-        Event::CallerGone => Some((Reason::Cancelled, Duration::ZERO)),
+        Event::CallerDisconnected => Some((Reason::Cancelled, Duration::ZERO)),
         Event::Deadline { retry_after } => Some((Reason::Deadline, retry_after)),
         Event::GiveUp {
             reason,
--- a/crates/outcome/src/outcome.rs
+++ b/crates/outcome/src/outcome.rs
@@ -134,7 +134,7 @@
     GrantExpired = "grant_expired",
     /// The endpoint failed after the hand-over.
     EndpointFailed = "endpoint_failed",
-    /// The endpoint sent nothing within its time limit.
+    /// The endpoint stopped sending and timed out.
     EndpointTimeout = "endpoint_timeout",
     /// The answer ended early, or the rest of it can no longer be fetched.
     AnswerTruncated = "answer_truncated",
--- a/crates/outcome/src/run.rs
+++ b/crates/outcome/src/run.rs
@@ -182,7 +182,7 @@
     /// Returns what the sidecar knows, and withdraws a run whose request has not arrived completely.
     ///
     /// A run whose whole request has arrived continues: the entry resumes it, and no work is lost.
-    pub fn ask(&mut self) -> Verdict {
+    pub fn verdict_or_withdraw(&mut self) -> Verdict {
         if self.state == RunState::Granted {
             self.state = RunState::Ended(Verdict::NeverHandedOver {
                 reason: Reason::SidecarLost,
@@ -192,7 +192,7 @@
         self.verdict()
     }
 
-    /// Returns what the sidecar knows, without the promise that [`Run::ask`] gives to entries.
+    /// Returns what the sidecar knows, without the promise that [`Run::verdict_or_withdraw`] gives to entries.
     #[must_use]
     pub fn verdict(&self) -> Verdict {
         match self.state {
@@ -301,15 +301,15 @@
         Ok(state)
     }
 
-    /// Returns what is known about a run, for an entry whose exchange broke; see [`Run::ask`].
+    /// Returns what is known about a run, for an entry whose exchange broke; see [`Run::verdict_or_withdraw`].
     ///
     /// Returns [`Verdict::Unknown`] for a run that is no longer remembered.
-    pub fn ask(&mut self, claim: ClaimId, now: Duration) -> Verdict {
+    pub fn verdict_or_withdraw(&mut self, claim: ClaimId, now: Duration) -> Verdict {
         self.forget_expired(now);
         let Some(run) = self.live.get_mut(&claim) else {
             return self.ended.get(&claim).copied().unwrap_or(Verdict::Unknown);
         };
-        let verdict = run.ask();
+        let verdict = run.verdict_or_withdraw();
         let state = run.state();
         self.remember_if_ended(claim, state, now);
         verdict
--- a/crates/outcome/tests/retries_and_keys.rs
+++ b/crates/outcome/tests/retries_and_keys.rs
@@ -15,7 +15,7 @@
 const FAILED: Outcome = Outcome::Unknown {
     reason: Reason::EndpointFailed,
 };
-const FAR: Duration = Duration::from_mins(1);
+const FAR_DEADLINE: Duration = Duration::from_mins(1);
 
 const fn not_run(reason: Reason) -> Outcome {
     let retry_after = Duration::from_secs(2);
@@ -38,7 +38,7 @@
     assert_eq!(finished.is_retryable(), want);
     let mut budgets = RetryBudgets::new(RetryRules::default());
     let mut rng = StdRng::seed_from_u64(1);
-    let retry = budgets.decide("a", &finished, Duration::ZERO, FAR, &mut rng);
+    let retry = budgets.decide("a", &finished, Duration::ZERO, FAR_DEADLINE, &mut rng);
     assert_eq!(retry == RetryDecision::Final(finished.outcome), !want);
 }
 
@@ -76,7 +76,7 @@
             count.0 += 1;
         }
         let finished = finished(LEAVING, false, false);
-        match budgets.decide(&team, &finished, Duration::ZERO, FAR, &mut rng) {
+        match budgets.decide(&team, &finished, Duration::ZERO, FAR_DEADLINE, &mut rng) {
             RetryDecision::After(delay) if delay > rules.base_delay => return false,
             RetryDecision::After(_) => count.1 += 1,
             RetryDecision::Final(_) => {}
--- a/crates/outcome/tests/state_machines.rs
+++ b/crates/outcome/tests/state_machines.rs
@@ -20,7 +20,7 @@
     }
 }
 
-fn never(reason: Reason) -> Verdict {
+fn never_handed_over(reason: Reason) -> Verdict {
     Verdict::NeverHandedOver {
         reason,
         retry_after: NO_WAIT,
@@ -34,7 +34,7 @@
     }
 }
 
-fn refused(reason: Reason) -> Event {
+fn offer_refused(reason: Reason) -> Event {
     let retry_after = NO_WAIT;
     Event::OfferRefused {
         reason,
@@ -59,7 +59,7 @@
         let (small, answer_bytes) = (u64::arbitrary(g) % 3, u64::arbitrary(g) % 5);
         let (bytes, retry_after) = (answer_bytes, NO_WAIT);
         let verdicts = [
-            never(reason),
+            never_handed_over(reason),
             Verdict::Running { answer_bytes },
             Verdict::Completed { answer_bytes },
             Verdict::Failed { reason },
@@ -68,21 +68,21 @@
         let reported = verdict(small, *g.choose(&verdicts).expect("verdicts"));
         let events = [
             Event::OfferSent,
-            refused(reason),
+            offer_refused(reason),
             Event::Granted(grant_id(small, small)),
             Event::Granted(GRANT),
             Event::BindSent,
-            Event::LinkLost(small),
+            Event::ExchangeBroken(small),
             reported,
             reported,
-            Event::AskFailed,
+            Event::VerdictUnavailable,
             Event::ResumeRefused,
             Event::Head,
             Event::Chunk { bytes },
             Event::Chunk { bytes },
             Event::End,
             Event::AnswerBroken(reason),
-            Event::CallerGone,
+            Event::CallerDisconnected,
             Event::Deadline { retry_after },
             Event::GiveUp {
                 reason,
@@ -168,7 +168,9 @@
     let (mut handed_over, mut claimed, mut withdrawn) = (false, false, false);
     for AnyRunEvent(event) in events {
         match event {
-            None => withdrawn |= matches!(run.ask(), Verdict::NeverHandedOver { .. }),
+            None => {
+                withdrawn |= matches!(run.verdict_or_withdraw(), Verdict::NeverHandedOver { .. })
+            }
             Some(event) => {
                 let done = run.apply(event).is_ok();
                 claimed |= done && event == RunEvent::KeyClaimed;
@@ -194,7 +196,10 @@
 
 fn verdict_after_break((reported, want): (Event, Option<Outcome>)) {
     let mut attempt = bound();
-    assert_eq!(attempt.apply(Event::LinkLost(1)), Step::Ask(GRANT));
+    assert_eq!(
+        attempt.apply(Event::ExchangeBroken(1)),
+        Step::AskVerdict(GRANT)
+    );
     attempt.apply(reported);
     assert_eq!(attempt.outcome(), want);
 }
@@ -215,9 +220,9 @@
 }
 
 cases! { verdict_after_break:
-    the_same_incarnation_can_prove_not_run => (verdict(1, never(Reason::Leaving)), Some(NOT_RUN_LEAVING)),
-    another_incarnation_proves_nothing => (verdict(2, never(Reason::Leaving)), Some(UNKNOWN_SIDECAR_LOST)),
-    a_verdict_that_cannot_be_fetched_is_unknown => (Event::AskFailed, Some(UNKNOWN_SIDECAR_LOST)),
+    the_same_incarnation_can_prove_not_run => (verdict(1, never_handed_over(Reason::Leaving)), Some(NOT_RUN_LEAVING)),
+    another_incarnation_proves_nothing => (verdict(2, never_handed_over(Reason::Leaving)), Some(UNKNOWN_SIDECAR_LOST)),
+    a_verdict_that_cannot_be_fetched_is_unknown => (Event::VerdictUnavailable, Some(UNKNOWN_SIDECAR_LOST)),
     a_running_run_is_resumed => (verdict(1, Verdict::Running { answer_bytes: 0 }), None),
 }
 
@@ -232,11 +237,11 @@
         let mut attempt = bound();
         assert_eq!(attempt.apply(Event::Head), Step::Pass);
         assert_eq!(attempt.apply(Event::Chunk { bytes: 4 }), Step::Pass);
-        attempt.apply(Event::LinkLost(1));
+        attempt.apply(Event::ExchangeBroken(1));
         let resume = Step::Resume { grant: GRANT, offset: 4, has_head: true };
         assert_eq!(attempt.apply(verdict(1, Verdict::Completed { answer_bytes: 9 })), resume);
         attempt.apply(Event::Chunk { bytes: 5 });
-        attempt.apply(Event::LinkLost(1));
+        attempt.apply(Event::ExchangeBroken(1));
         attempt.apply(verdict(1, Verdict::Completed { answer_bytes: 9 }));
         assert_eq!(attempt.outcome(), Some(Outcome::Completed));
     }
@@ -249,8 +254,8 @@
         for event in [Event::OfferSent, Event::OfferSent, Event::Granted(GRANT)] {
             attempt.apply(event);
         }
-        assert_eq!(attempt.apply(Event::LinkLost(1)), Step::Wait);
-        assert_eq!(attempt.apply(refused(Reason::Leaving)), Step::OfferMore);
+        assert_eq!(attempt.apply(Event::ExchangeBroken(1)), Step::Wait);
+        assert_eq!(attempt.apply(offer_refused(Reason::Leaving)), Step::OfferMore);
     }
     a_forgotten_run_is_reported_as_unknown => {
         let mut table = RunTable::new(RunRetention { max_ended: 2, keep: Duration::from_secs(10) });
@@ -258,19 +263,19 @@
         let claims: Vec<_> = (0..3).map(|_| table.grant(false)).collect();
         for claim in &claims {
             let ended = table.apply(*claim, given_up, Duration::from_secs(1));
-            assert_eq!(ended, Ok(RunState::Ended(never(Reason::Leaving))));
+            assert_eq!(ended, Ok(RunState::Ended(never_handed_over(Reason::Leaving))));
         }
-        assert_eq!(table.ask(claims[0], Duration::from_secs(2)), Verdict::Unknown);
-        assert_eq!(table.ask(claims[2], Duration::from_secs(11)), never(Reason::Leaving));
-        assert_eq!(table.ask(claims[2], Duration::from_secs(12)), Verdict::Unknown);
+        assert_eq!(table.verdict_or_withdraw(claims[0], Duration::from_secs(2)), Verdict::Unknown);
+        assert_eq!(table.verdict_or_withdraw(claims[2], Duration::from_secs(11)), never_handed_over(Reason::Leaving));
+        assert_eq!(table.verdict_or_withdraw(claims[2], Duration::from_secs(12)), Verdict::Unknown);
         assert_eq!((table.live_len(), table.ended_len()), (0, 0));
     }
     a_bind_after_the_run_is_withdrawn_is_refused => {
         let mut table = RunTable::new(RunRetention::default());
         let claim = table.grant(false);
-        assert_eq!(table.ask(claim, NO_WAIT), never(Reason::SidecarLost));
+        assert_eq!(table.verdict_or_withdraw(claim, NO_WAIT), never_handed_over(Reason::SidecarLost));
         let late = table.apply(claim, RunEvent::Bound, NO_WAIT).expect_err("the run is withdrawn");
-        assert_eq!(late.state, Some(RunState::Ended(never(Reason::SidecarLost))));
+        assert_eq!(late.state, Some(RunState::Ended(never_handed_over(Reason::SidecarLost))));
     }
     serialized_names_are_stable => {
         for reason in Reason::ALL {
--- a/crates/sidecar/src/dispatch.rs
+++ b/crates/sidecar/src/dispatch.rs
@@ -244,7 +244,7 @@
     /// would get its prompts processed for free. When the endpoint fails, only what has streamed is charged.
     pub fn cancel(&mut self, claim: ClaimId, now: Duration) -> Verdict {
         let Some(offer_id) = self.by_claim.get(&claim).copied() else {
-            return self.runs.ask(claim, now);
+            return self.runs.verdict_or_withdraw(claim, now);
         };
         let tracked = self.tracked.get(&offer_id);
         let cost_so_far = tracked.map_or(0, |tracked| tracked.cost_so_far(now));
@@ -259,7 +259,7 @@
 
     /// Returns the verdict of a run; asking withdraws a grant whose whole request has not arrived.
     pub fn ask_verdict(&mut self, claim: ClaimId, now: Duration) -> Verdict {
-        let verdict = self.runs.ask(claim, now);
+        let verdict = self.runs.verdict_or_withdraw(claim, now);
         if !matches!(verdict, Verdict::NeverHandedOver { .. }) {
             return verdict;
         }
