--- a/crates/outcome/tests/state_machines.rs
+++ b/crates/outcome/tests/state_machines.rs
@@ -165,20 +165,18 @@
 /// Checks that "never handed over" is never reported after a hand-over or followed by one; `None` asks the run.
 fn never_handed_over_is_final(needs_key: bool, events: Vec<AnyRunEvent>) -> bool {
     let mut run = Run::new(needs_key);
-    let (mut handed_over, mut claimed, mut withdrawn) = (false, false, false);
+    let (mut handed_over, mut claimed, mut denied) = (false, false, false);
     for AnyRunEvent(event) in events {
         match event {
-            None => {
-                withdrawn |= matches!(run.verdict_or_withdraw(), Verdict::NeverHandedOver { .. })
-            }
+            None => denied |= matches!(run.verdict_or_withdraw(), Verdict::NeverHandedOver { .. }),
             Some(event) => {
                 let done = run.apply(event).is_ok();
                 claimed |= done && event == RunEvent::KeyClaimed;
                 handed_over |= done && event == RunEvent::HandedOver;
             }
         }
-        withdrawn |= matches!(run.verdict(), Verdict::NeverHandedOver { .. });
-        if handed_over && (withdrawn || needs_key != claimed) {
+        denied |= matches!(run.verdict(), Verdict::NeverHandedOver { .. });
+        if handed_over && (denied || needs_key != claimed) {
             return false;
         }
     }
