--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -1,4 +1,4 @@
-//! Holds the body of an answer to a caller.
+//! The body of an answer to a caller.
 
 use std::fmt;
 use std::pin::Pin;
@@ -13,10 +13,10 @@
 #[cfg(test)]
 mod tests;
 
-/// Pieces that wait for a slow caller; beyond them its endpoint is not read.
-const WAITING_PIECES: usize = 8;
+/// Chunks buffered for a slow caller; when the buffer is full, the endpoint's connection is not read.
+const MAX_BUFFERED_CHUNKS: usize = 8;
 
-/// Says that an answer breaks off; the caller's connection is closed without the end of the answer.
+/// The error of an answer that breaks off: the caller's connection is closed before the end of the answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct BrokenOff;
 
@@ -28,73 +28,73 @@
 
 impl std::error::Error for BrokenOff {}
 
-/// Holds what a sender of pieces says.
+/// A message from the sender of chunks to the body.
 #[derive(Debug)]
-enum Word {
-    Piece(Bytes),
+enum Message {
+    Chunk(Bytes),
     End,
     Broken(BrokenOff),
 }
 
-/// Says that the caller has left.
+/// The error of sending to a caller that has disconnected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct CallerLeft;
 
-/// Sends the pieces of an answer. One that is dropped before [`PieceSender::end`] breaks the answer off, whatever made it so.
+/// Sends the chunks of an answer; dropping it before [`ChunkSender::end`] breaks the answer off, whatever the cause.
 #[derive(Debug)]
-pub(crate) struct PieceSender {
-    words: mpsc::Sender<Word>,
+pub(crate) struct ChunkSender {
+    messages: mpsc::Sender<Message>,
 }
 
-impl PieceSender {
-    /// Sends a piece, and waits while the caller is slow.
-    pub(crate) async fn send(&self, piece: Bytes) -> Result<(), CallerLeft> {
-        self.say(Word::Piece(piece)).await
+impl ChunkSender {
+    /// Sends a chunk, and waits while the caller's buffer is full.
+    pub(crate) async fn send(&self, chunk: Bytes) -> Result<(), CallerLeft> {
+        self.send_message(Message::Chunk(chunk)).await
     }
 
-    /// Ends the answer, which is complete.
+    /// Ends a complete answer.
     pub(crate) async fn end(self) -> Result<(), CallerLeft> {
-        self.say(Word::End).await
+        self.send_message(Message::End).await
     }
 
     /// Breaks the answer off.
     pub(crate) async fn break_off(self) -> Result<(), CallerLeft> {
-        self.say(Word::Broken(BrokenOff)).await
+        self.send_message(Message::Broken(BrokenOff)).await
     }
 
-    /// Waits until the caller has left.
+    /// Waits until the caller has disconnected.
     pub(crate) async fn closed(&self) {
-        self.words.closed().await;
+        self.messages.closed().await;
     }
 
-    async fn say(&self, word: Word) -> Result<(), CallerLeft> {
-        let said = self.words.send(word).await;
-        said.map_err(|_receiver_is_gone| CallerLeft)
+    async fn send_message(&self, message: Message) -> Result<(), CallerLeft> {
+        let sent = self.messages.send(message).await;
+        sent.map_err(|_receiver_is_gone| CallerLeft)
     }
 }
 
-/// Holds a whole answer, or receives its pieces from a task here or from another gateway.
+/// An answer's body: whole, or received in chunks from a local task or from another gateway.
 #[derive(Debug)]
 pub(crate) enum AnswerBody {
     Whole(Bytes),
-    Pieces(Pieces),
+    Chunks(Chunks),
     HandedOff(HandedOff),
 }
 
-/// Receives the pieces of an answer.
+/// Receives the chunks of an answer.
 #[derive(Debug)]
-pub(crate) struct Pieces {
-    words: mpsc::Receiver<Word>,
-    /// The break that was received, and is told at the next poll.
+pub(crate) struct Chunks {
+    messages: mpsc::Receiver<Message>,
+    /// An error that was received and is returned at the next poll.
     broken: Option<BrokenOff>,
     has_ended: bool,
 }
 
-impl Pieces {
-    /// Returns the next piece; a break only after what came before it could be written.
+impl Chunks {
+    /// Returns the next chunk, or an error once the chunks before it could be written.
     ///
-    /// The server drops what it has not written yet when a body breaks, and writes it when a body has nothing more for
-    /// now. Pieces and a break may come at once, and the pieces are good.
+    /// The HTTP server discards unwritten data when a body fails, and flushes it when a body is pending. Chunks and an error may
+    /// arrive together, and the chunks are valid, so the body is pending once before it returns the error.
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BrokenOff>>> {
         if let Some(broken) = self.broken.take() {
             return Poll::Ready(Some(Err(broken)));
@@ -102,14 +102,14 @@
         if self.has_ended {
             return Poll::Ready(None);
         }
-        let word = ready!(self.words.poll_recv(cx));
-        match word.unwrap_or(Word::Broken(BrokenOff)) {
-            Word::Piece(piece) => Poll::Ready(Some(Ok(piece))),
-            Word::End => {
+        let message = ready!(self.messages.poll_recv(cx));
+        match message.unwrap_or(Message::Broken(BrokenOff)) {
+            Message::Chunk(chunk) => Poll::Ready(Some(Ok(chunk))),
+            Message::End => {
                 self.has_ended = true;
                 Poll::Ready(None)
             }
-            Word::Broken(broken) => {
+            Message::Broken(broken) => {
                 self.has_ended = true;
                 self.broken = Some(broken);
                 cx.waker().wake_by_ref();
@@ -120,15 +120,15 @@
 }
 
 impl AnswerBody {
-    /// Returns a body with the sender of its pieces.
-    pub(crate) fn pieces() -> (PieceSender, Self) {
-        let (sender, words) = mpsc::channel(WAITING_PIECES);
-        let pieces = Pieces {
-            words,
+    /// Returns a chunked body with its sender.
+    pub(crate) fn chunks() -> (ChunkSender, Self) {
+        let (sender, messages) = mpsc::channel(MAX_BUFFERED_CHUNKS);
+        let chunks = Chunks {
+            messages,
             broken: None,
             has_ended: false,
         };
-        (PieceSender { words: sender }, Self::Pieces(pieces))
+        (ChunkSender { messages: sender }, Self::Chunks(chunks))
     }
 }
 
@@ -143,9 +143,9 @@
         match &mut *self {
             Self::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
             Self::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
-            Self::Pieces(pieces) => pieces
+            Self::Chunks(chunks) => chunks
                 .poll(cx)
-                .map(|piece| piece.map(|piece| piece.map(Frame::data))),
+                .map(|chunk| chunk.map(|chunk| chunk.map(Frame::data))),
             Self::HandedOff(handed_off) => handed_off.poll(cx),
         }
     }
@@ -153,7 +153,7 @@
     fn is_end_stream(&self) -> bool {
         match self {
             Self::Whole(bytes) => bytes.is_empty(),
-            Self::Pieces(_) => false,
+            Self::Chunks(_) => false,
             Self::HandedOff(handed_off) => handed_off.is_end_stream(),
         }
     }
@@ -161,7 +161,7 @@
     fn size_hint(&self) -> SizeHint {
         match self {
             Self::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
-            Self::Pieces(_) => SizeHint::default(),
+            Self::Chunks(_) => SizeHint::default(),
             Self::HandedOff(handed_off) => handed_off.size_hint(),
         }
     }
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -1,4 +1,4 @@
-//! Follows control for routes and endpoints.
+//! Receives routes and endpoints from control by long polling.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,46 +17,46 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep};
 
-use crate::fleet::Held;
-use crate::neighbours::Neighbours;
+use crate::peer_updates::PeerUpdates;
+use crate::routing_state::RoutingState;
 
-/// Longest wait of one watch. An answer without changes shows that the instance still knows a leader, so the wait bounds
-/// how long a gateway follows one that has lost touch.
-const WATCH: Duration = Duration::from_millis(600);
+/// Longest wait of one long poll. An answer without changes shows that the control instance still knows a leader, so this bounds
+/// how long a gateway follows an instance that has lost contact with the leader.
+const WATCH_WAIT: Duration = Duration::from_millis(600);
 
-/// What a call may take beyond the wait of its watch.
-const MARGIN: Duration = Duration::from_millis(300);
+/// Time that a call may take beyond the wait of its long poll.
+const CALL_MARGIN: Duration = Duration::from_millis(300);
 
-/// Wait after a failure at every instance that was asked; an election takes a second or two.
-const RETRY: Duration = Duration::from_millis(100);
+/// Delay after every queried instance has failed; an election takes a second or two.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Least time between two lines about control, while no instance answers.
-const TELL_EVERY: Duration = Duration::from_secs(1);
+/// Minimum interval between log lines while no control instance answers.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Follows control until the task is aborted.
+/// Long-polls control until the task is aborted.
 pub(crate) async fn run(
     client: Client,
     instance: Box<str>,
     peer_address: SocketAddr,
     seeds: watch::Receiver<Vec<Box<str>>>,
-    held: Arc<Held>,
+    routing: Arc<RoutingState>,
     readiness: Arc<Readiness>,
     table_age_ms: Gauge,
 ) {
     let mut targets = ControlInstances::new(&seeds.borrow(), rand::random::<u32>() as usize);
-    let mut neighbours = Neighbours::new();
-    let mut told_at = Instant::now();
+    let mut peer_updates = PeerUpdates::new();
+    let mut logged_at = Instant::now();
     loop {
         let was_followed = targets.is_following();
-        let question = question(&instance, &peer_address, &held);
-        let to_ask = targets.to_query();
-        held.control.store(Arc::new(to_ask.to_vec()));
-        let asked = ask_any(&client, &question, &to_ask);
-        let learned = neighbours.learn(&client, &held, &question);
-        let (asked, ()) = futures::join!(asked, learned);
-        let without = held.age();
+        let query = current_query(&instance, &peer_address, &routing);
+        let to_query = targets.to_query();
+        routing.control.store(Arc::new(to_query.to_vec()));
+        let queried = query_any(&client, &query, &to_query);
+        let fetched = peer_updates.fetch(&client, &routing, &query);
+        let (queried, ()) = futures::join!(queried, fetched);
+        let without = routing.age();
         table_age_ms.set(i64::try_from(without.as_millis()).unwrap_or(i64::MAX));
-        match asked {
+        match queried {
             Ok((address, update)) => {
                 if !was_followed {
                     info!(
@@ -67,20 +67,22 @@
                     );
                 }
                 targets.record_answer(&address, &update.control, &seeds.borrow());
-                held.known_control.store(Arc::new(targets.known().to_vec()));
-                neighbours.named(update.gateways.clone());
-                let has_table = held.take_in(update);
-                held.confirm();
+                routing
+                    .known_control
+                    .store(Arc::new(targets.known().to_vec()));
+                peer_updates.set_addresses(update.gateways.clone());
+                let has_table = routing.apply(update);
+                routing.confirm();
                 if has_table {
                     readiness.clear(Reason::NoConfig);
                 } else {
-                    sleep(RETRY).await;
+                    sleep(RETRY_DELAY).await;
                 }
             }
             Err(cause) => {
                 targets.record_failure(&seeds.borrow());
-                if was_followed || told_at.elapsed() >= TELL_EVERY {
-                    told_at = Instant::now();
+                if was_followed || logged_at.elapsed() >= LOG_INTERVAL {
+                    logged_at = Instant::now();
                     warn!(
                         Part::Gateway,
                         if was_followed {
@@ -90,43 +92,43 @@
                         },
                         cause = cause,
                         without_ms = without.as_millis(),
-                        table = held.current().table_number()
+                        table = routing.current().table_number()
                     );
                 }
                 if !was_followed {
-                    sleep(RETRY).await;
+                    sleep(RETRY_DELAY).await;
                 }
             }
         }
     }
 }
 
-/// Returns the question for what is newer than what is held.
-fn question(instance: &str, peer_address: &SocketAddr, held: &Held) -> WatchRoutes {
-    let fleet = held.current();
+/// Returns the query for everything newer than the current state.
+fn current_query(instance: &str, peer_address: &SocketAddr, routing: &RoutingState) -> WatchRoutes {
+    let snapshot = routing.current();
     WatchRoutes {
         instance: instance.into(),
         peer_address: Some(peer_address.to_string().into()),
-        table_number: fleet.table_number(),
-        endpoints_version: fleet.endpoints_version(),
-        suspects_version: Some(held.suspects.version()),
-        wait_ms: u64::try_from(WATCH.as_millis()).unwrap_or(u64::MAX),
+        table_number: snapshot.table_number(),
+        endpoints_version: snapshot.endpoints_version(),
+        suspects_version: Some(routing.suspects.version()),
+        wait_ms: u64::try_from(WATCH_WAIT.as_millis()).unwrap_or(u64::MAX),
     }
 }
 
-/// Asks some instances at once, and returns the first answer with its address, or why the last one failed.
-async fn ask_any(
+/// Queries several instances concurrently, and returns the first answer with its address, or the last failure.
+async fn query_any(
     client: &Client,
-    question: &WatchRoutes,
+    query: &WatchRoutes,
     addresses: &[Address],
 ) -> Result<(Address, RoutesUpdate), String> {
-    let asked = addresses.iter().map(|address| async move {
-        let answered = client.call(address, WATCH_ROUTES_PATH, question, WATCH + MARGIN);
+    let queries = addresses.iter().map(|address| async move {
+        let answered = client.call(address, WATCH_ROUTES_PATH, query, WATCH_WAIT + CALL_MARGIN);
         (address.clone(), answered.await)
     });
-    let mut asked: FuturesUnordered<_> = asked.collect();
-    let mut last = "no instance is known".to_owned();
-    while let Some((address, answered)) = asked.next().await {
+    let mut queries: FuturesUnordered<_> = queries.collect();
+    let mut last = "no control instance is known".to_owned();
+    while let Some((address, answered)) = queries.next().await {
         match answered {
             Ok(update) => return Ok((address, update)),
             Err(cause) => last = format!("{address}: {cause}"),
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -30,36 +30,36 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::admit::Ways;
-use crate::apart::Apart;
+use crate::admission::AdmissionAccess;
 use crate::connections::Connections;
+use crate::dedicated_thread::DedicatedThread;
 use crate::dialect::Dialect;
-use crate::door::Door;
 use crate::endpoint::Endpoint;
-use crate::fleet::Held;
 use crate::follow;
 use crate::handoff::Handoffs;
-use crate::load;
-use crate::meet;
+use crate::listener::CallerListener;
 use crate::metrics::Metrics;
-use crate::neighbours;
+use crate::overload;
+use crate::peer_discovery;
+use crate::peer_updates;
+use crate::routing_state::RoutingState;
 use crate::serve::{Origin, serve};
+use crate::suspect_reports;
 use crate::suspects::Suspects;
 use crate::takeover;
-use crate::teams::Teams;
-use crate::tell;
+use crate::team_usage::TeamUsage;
 
-/// Time after which an idle connection of a caller is closed when no table says so.
+/// Idle timeout of callers' connections while there is no route table to set it.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Longest headers of a request, in bytes; the tables of today ask for 16 KiB. A connection's buffer grows up to it and
-/// stays, so it bounds the memory of an idle connection as well.
+/// Maximum size of a request's headers, in bytes; route tables ask for 16 KiB. A connection's read buffer grows up to this size
+/// and never shrinks, so it bounds the memory of an idle connection as well.
 pub(crate) const MAX_HEADER_BYTES: usize = 24 * 1024;
 
-/// Wait after a failed accept; it concerns one connection, or a passing lack of descriptors.
-pub(crate) const ACCEPT_RETRY: Duration = Duration::from_millis(10);
+/// Delay after a failed accept, which concerns one connection or a temporary lack of file descriptors.
+pub(crate) const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Sets up a gateway.
+/// The settings of a gateway.
 #[derive(Debug, Clone)]
 pub struct GatewaySettings {
     /// Name of the instance.
@@ -68,124 +68,133 @@
     pub data_center: Box<str>,
     /// Address for callers.
     pub listen: SocketAddr,
-    /// Address on which the balancer asks for readiness.
+    /// Address on which the load balancer checks readiness.
     pub ready_listen: SocketAddr,
     /// Addresses of control instances.
     pub control: Vec<Box<str>>,
-    /// Ports of which a free one is taken for requests that other gateways hand off; without any none are handed off.
+    /// Port range for requests from other gateways, of which the first free port is bound; `None` turns handing off off.
     pub handoff_ports: Option<RangeInclusive<u16>>,
-    /// Port of the admissions beside the model engines; none where there are none.
+    /// Port of the admissions beside the model engines; `None` without admissions.
     pub admission_port: Option<u16>,
-    /// Budget of second sends to a service.
-    pub budget: RetryBudgetRules,
-    /// Weights of the choice.
+    /// Budget of retries for each service.
+    pub retry_budget: RetryBudgetRules,
+    /// Weights for choosing an endpoint.
     pub choice: ChoiceRules,
-    /// Prompt tokens that an engine may have before it to take a request that another one refused.
+    /// Largest backlog, in prompt tokens, at which an engine still takes a request that another one refused.
     pub max_spill_tokens: u32,
-    /// Connections of callers that are kept at once.
+    /// Maximum number of open connections from callers.
     pub max_connections: u32,
-    /// Each of two waits for the rest of an answer that an engine no longer works on.
+    /// Length of each of the two waits for the rest of an answer that an engine no longer works on.
     pub lost_grace: Duration,
-    /// When requests are turned away for want of room.
+    /// Limits beyond which requests are rejected for overload.
     pub overload: OverloadRules,
 }
 
-/// Holds what the requests of a gateway share.
+/// The state that all requests of a gateway share.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) dialect: Arc<dyn Dialect>,
-    pub(crate) held: Arc<Held>,
+    pub(crate) routing: Arc<RoutingState>,
     pub(crate) metrics: Metrics,
     pub(crate) data_center: Box<str>,
     pub(crate) choice: ChoiceRules,
     pub(crate) max_spill_tokens: u32,
     pub(crate) connections: Connections,
-    /// Whether new connections are refused, as the limits of the load say.
-    pub(crate) is_closed: watch::Sender<bool>,
-    /// When a planned stop cuts what still runs, once one has begun.
+    /// Whether overload control refuses new connections.
+    pub(crate) is_paused: watch::Sender<bool>,
+    /// When a planned stop cuts off requests that still run; set once the stop begins.
     pub(crate) stops_at: OnceLock<Instant>,
     overload: Mutex<OverloadControl>,
-    budget_rules: RetryBudgetRules,
-    budgets: Mutex<HashMap<Box<str>, RetryBudget>>,
+    retry_budget_rules: RetryBudgetRules,
+    retry_budgets: Mutex<HashMap<Box<str>, RetryBudget>>,
     /// By service.
-    teams: Mutex<HashMap<Box<str>, Arc<Teams>>>,
-    kept_parts: Mutex<CachedPrefixes>,
+    team_usage: Mutex<HashMap<Box<str>, Arc<TeamUsage>>>,
+    cached_prefixes: Mutex<CachedPrefixes>,
     pub(crate) handoffs: Handoffs,
     began: Instant,
 }
 
 impl Shared {
-    /// Returns the limits of this gateway's own load.
+    /// Locks and returns the overload control of this gateway.
     pub(crate) fn overload(&self) -> MutexGuard<'_, OverloadControl> {
         self.overload.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Closes or opens the door for new connections as the limits of the load say.
-    pub(crate) fn follow_overload(&self) {
-        let is_closed = self.overload().refuses_connections();
-        self.is_closed.send_if_modified(|known| {
-            let is_new = *known != is_closed;
-            *known = is_closed;
+    /// Pauses or resumes accepting connections as overload control says.
+    pub(crate) fn apply_overload(&self) {
+        let is_paused = self.overload().refuses_connections();
+        self.is_paused.send_if_modified(|known| {
+            let is_new = *known != is_paused;
+            *known = is_paused;
             is_new
         });
     }
 
-    /// Returns what the teams have used at the endpoints of a service, as it was told lately.
-    pub(crate) fn teams(&self, service: &str, endpoints: &[Arc<Endpoint>]) -> Arc<Teams> {
-        let mut teams = self.teams.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(fresh) = teams.get(service).filter(|teams| teams.is_fresh()) {
+    /// Returns the recently reported usage of each team at the endpoints of a service.
+    pub(crate) fn team_usage(&self, service: &str, endpoints: &[Arc<Endpoint>]) -> Arc<TeamUsage> {
+        let mut team_usage = self
+            .team_usage
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        if let Some(fresh) = team_usage
+            .get(service)
+            .filter(|team_usage| team_usage.is_fresh())
+        {
             return Arc::clone(fresh);
         }
-        let gathered = Arc::new(Teams::gather(endpoints));
-        teams.insert(service.into(), Arc::clone(&gathered));
-        gathered
+        let summed = Arc::new(TeamUsage::sum(endpoints));
+        team_usage.insert(service.into(), Arc::clone(&summed));
+        summed
     }
 
     /// Counts a request to a service.
-    pub(crate) fn note_request(&self, service: &str) {
-        self.with_budget(service, RetryBudget::record_request);
+    pub(crate) fn record_request(&self, service: &str) {
+        self.with_retry_budget(service, RetryBudget::record_request);
     }
 
-    /// Returns whether a request to a service may be sent once more, and counts it if so.
-    pub(crate) fn try_repeat(&self, service: &str) -> bool {
-        self.with_budget(service, RetryBudget::try_retry)
+    /// Returns whether the service's retry budget allows one more attempt, and counts it if so.
+    pub(crate) fn try_retry(&self, service: &str) -> bool {
+        self.with_retry_budget(service, RetryBudget::try_retry)
     }
 
-    /// Returns the endpoints that should keep the shared parts that a number stands for, the one used last first.
+    /// Returns the endpoints that probably cache the shared prompt prefix with this key, the most recent first.
     pub(crate) fn holders(&self, key: u64) -> Holders {
-        self.kept_parts().holders(self.began.elapsed(), key)
+        self.cached_prefixes().holders(self.began.elapsed(), key)
     }
 
-    /// Notes that an endpoint has the shared parts that a number stands for.
-    pub(crate) fn note_kept(&self, key: u64, endpoint: IncarnationHash) {
-        self.kept_parts()
+    /// Records that an endpoint caches the shared prompt prefix with this key.
+    pub(crate) fn record_cached(&self, key: u64, endpoint: IncarnationHash) {
+        self.cached_prefixes()
             .record(self.began.elapsed(), key, endpoint);
     }
 
-    fn kept_parts(&self) -> MutexGuard<'_, CachedPrefixes> {
-        self.kept_parts
+    fn cached_prefixes(&self) -> MutexGuard<'_, CachedPrefixes> {
+        self.cached_prefixes
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn with_budget<T>(
+    fn with_retry_budget<T>(
         &self,
         service: &str,
         act: impl FnOnce(&mut RetryBudget, Duration) -> T,
     ) -> T {
         let now = self.began.elapsed();
-        let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
-        if !budgets.contains_key(service) {
-            budgets.insert(service.into(), RetryBudget::new(self.budget_rules));
+        let mut retry_budgets = self
+            .retry_budgets
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        if !retry_budgets.contains_key(service) {
+            retry_budgets.insert(service.into(), RetryBudget::new(self.retry_budget_rules));
         }
-        let budget = budgets
+        let budget = retry_budgets
             .get_mut(service)
-            .expect("the budget was just put there");
+            .expect("the budget was just inserted");
         act(budget, now)
     }
 }
 
-/// Holds a running gateway.
+/// A running gateway.
 #[derive(Debug)]
 pub struct Gateway {
     address: SocketAddr,
@@ -194,11 +203,11 @@
     shared: Arc<Shared>,
     stop: watch::Sender<bool>,
     seeds: watch::Sender<Vec<Box<str>>>,
-    /// Tasks that take connections; each ends with the answers on them.
+    /// Tasks that accept connections; each ends when the answers on its connections have ended.
     serving: JoinSet<()>,
     handoff_address: Option<SocketAddr>,
-    lag: JoinHandle<()>,
-    _following: Apart,
+    lag_watch: JoinHandle<()>,
+    _control_thread: DedicatedThread,
 }
 
 impl Gateway {
@@ -218,61 +227,62 @@
         readiness.set(Reason::NoConfig);
         let listener = TcpListener::bind(settings.listen).await?;
         let address = listener.local_addr()?;
-        let admissions = settings.admission_port.map(|port| Ways {
+        let admissions = settings.admission_port.map(|port| AdmissionAccess {
             port,
             client: client.clone(),
             lost_grace: settings.lost_grace,
         });
         let suspects = Suspects::register(registry);
-        let held = Arc::new(Held::new(admissions, suspects));
-        let routes = neighbours::routes(Arc::clone(&readiness), key.clone(), Arc::clone(&held));
+        let routing = Arc::new(RoutingState::new(admissions, suspects));
+        let routes =
+            peer_updates::routes(Arc::clone(&readiness), key.clone(), Arc::clone(&routing));
         let ready_listen = settings.ready_listen.to_string();
         let ready = Server::bind(&ready_listen, routes, Limits::default()).await?;
         let ready_address = ready.local_address();
         let shared = Arc::new(Shared {
             dialect,
-            held: Arc::clone(&held),
+            routing: Arc::clone(&routing),
             metrics: Metrics::register(registry),
             data_center: settings.data_center.clone(),
             choice: settings.choice,
             max_spill_tokens: settings.max_spill_tokens,
             connections: Connections::new(settings.max_connections),
-            is_closed: watch::Sender::new(false),
+            is_paused: watch::Sender::new(false),
             stops_at: OnceLock::new(),
             overload: Mutex::new(OverloadControl::new(settings.overload)),
-            budget_rules: settings.budget,
-            budgets: Mutex::default(),
-            teams: Mutex::default(),
-            kept_parts: Mutex::default(),
+            retry_budget_rules: settings.retry_budget,
+            retry_budgets: Mutex::default(),
+            team_usage: Mutex::default(),
+            cached_prefixes: Mutex::default(),
             handoffs: Handoffs::new(key.clone()),
             began: Instant::now(),
         });
         let (stop, stopped) = watch::channel(false);
-        let (seeds, given) = watch::channel(settings.control.clone());
+        let (seeds, seed_changes) = watch::channel(settings.control.clone());
         let callers = accept_callers(listener, Arc::clone(&shared), stopped.clone());
         let mut serving = JoinSet::new();
         serving.spawn(callers);
         let takeover = bind_takeover(address.ip(), &settings).await?;
-        let (listener, meeting) = takeover.unzip();
+        let (listener, announcement) = takeover.unzip();
         let mut handoff_address = None;
         if let Some(listener) = listener {
             handoff_address = Some(listener.local_addr()?);
             let takeover = takeover::run(listener, key.clone(), Arc::clone(&shared), stopped);
             serving.spawn(takeover);
         }
-        let lag = load::watch_lag(Arc::clone(&shared), Arc::clone(&readiness));
-        let lag = tokio::spawn(lag);
+        let lag_watch = overload::watch_lag(Arc::clone(&shared), Arc::clone(&readiness));
+        let lag_watch = tokio::spawn(lag_watch);
         let following = follow_control(
-            // Its connections are served on the thread that follows.
+            // A client of its own, because its connections are served on the dedicated thread.
             Client::new(key),
             settings.instance,
             ready_address,
-            given,
+            seed_changes,
             Arc::clone(&shared),
             Arc::clone(&readiness),
-            meeting,
+            announcement,
         );
-        let following = Apart::spawn("follow-control", following)?;
+        let control_thread = DedicatedThread::spawn("follow-control", following)?;
         info!(
             Part::Gateway,
             "Listening.",
@@ -288,8 +298,8 @@
             seeds,
             serving,
             handoff_address,
-            lag,
-            _following: following,
+            lag_watch,
+            _control_thread: control_thread,
         })
     }
 
@@ -299,28 +309,28 @@
         self.address
     }
 
-    /// Returns where changed addresses of control instances are put.
+    /// Returns the sender for changed addresses of control instances.
     #[must_use]
     pub fn control_seeds(&self) -> watch::Sender<Vec<Box<str>>> {
         self.seeds.clone()
     }
 
-    /// Returns the address of the readiness question.
+    /// Returns the address of the readiness check.
     #[must_use]
     pub fn ready_address(&self) -> SocketAddr {
         self.ready.local_address()
     }
 
-    /// Returns the address on which other gateways hand requests off, if there is one.
+    /// Returns the address on which other gateways hand requests off, if one is bound.
     #[must_use]
     pub fn handoff_address(&self) -> Option<SocketAddr> {
         self.handoff_address
     }
 
-    /// Stops as planned, and returns whether every request ended before the deadline.
+    /// Drains the gateway, and returns whether every request ended before the deadline.
     ///
-    /// Callers may come for `rotation` more, since the balancer notices late; then open connections end with the answer
-    /// that is under way.
+    /// New connections are accepted for `rotation` longer, because the load balancer notices a lost readiness late; then open
+    /// connections close after the answer in progress.
     pub async fn drain(mut self, rotation: Duration, deadline: Duration) -> bool {
         self.readiness.set(Reason::Leaving);
         let ends_at = Instant::now() + deadline;
@@ -333,12 +343,12 @@
         });
         let has_ended = has_ended.await.is_ok();
         self.serving.abort_all();
-        self.lag.abort();
+        self.lag_watch.abort();
         has_ended
     }
 }
 
-/// Binds what takes requests of other gateways, and returns it with what they are told.
+/// Binds the listener for handed-off requests, and returns it with the message that announces it to other gateways.
 async fn bind_takeover(
     ip: IpAddr,
     settings: &GatewaySettings,
@@ -347,15 +357,15 @@
         return Ok(None);
     };
     let listener = takeover::bind(ip, ports).await?;
-    let question = MeetGateways {
+    let announcement = MeetGateways {
         instance: settings.instance.clone(),
         data_center: settings.data_center.clone(),
         address: listener.local_addr()?.to_string().into(),
     };
-    Ok(Some((listener, question)))
+    Ok(Some((listener, announcement)))
 }
 
-/// Follows control, and tells it of what is seen here, until it is dropped.
+/// Follows control and reports to it until the future is dropped.
 async fn follow_control(
     client: Client,
     instance: Box<str>,
@@ -363,26 +373,26 @@
     seeds: watch::Receiver<Vec<Box<str>>>,
     shared: Arc<Shared>,
     readiness: Arc<Readiness>,
-    meeting: Option<MeetGateways>,
+    announcement: Option<MeetGateways>,
 ) {
-    let held = Arc::clone(&shared.held);
+    let routing = Arc::clone(&shared.routing);
     let table_age_ms = shared.metrics.table_age_ms.clone();
-    let telling = tell::run(client.clone(), instance.clone(), Arc::clone(&held));
+    let reporting = suspect_reports::run(client.clone(), instance.clone(), Arc::clone(&routing));
     let following = follow::run(
         client.clone(),
         instance,
         peer_address,
         seeds,
-        held,
+        routing,
         readiness,
         table_age_ms,
     );
-    let meeting = async {
-        if let Some(question) = meeting {
-            meet::run(client, question, shared).await;
+    let discovery = async {
+        if let Some(announcement) = announcement {
+            peer_discovery::run(client, announcement, shared).await;
         }
     };
-    futures::join!(telling, following, meeting);
+    futures::join!(reporting, following, discovery);
 }
 
 async fn accept_callers(
@@ -391,47 +401,47 @@
     mut stopped: watch::Receiver<bool>,
 ) {
     let graceful = GracefulShutdown::new();
-    let mut door = Door::new(listener, shared.is_closed.subscribe());
+    let mut listener = CallerListener::new(listener, shared.is_paused.subscribe());
     loop {
         let accepted = tokio::select! {
-            accepted = door.accept() => accepted,
+            accepted = listener.accept() => accepted,
             _stopped = stopped.wait_for(|stop| *stop) => break,
         };
         let Ok((stream, _remote)) = accepted else {
-            sleep(ACCEPT_RETRY).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         shared.metrics.connections.inc();
         shared.overload().record_connection();
-        shared.follow_overload();
-        // A caller whose connection closes before its request is read tries another gateway at once.
+        shared.apply_overload();
+        // A caller whose connection closes before its request was read retries at another gateway at once.
         if shared.connections.try_open() {
             serve_caller(stream, &shared, &graceful);
         } else {
             shared.metrics.connections_closed.inc();
         }
     }
-    drop(door);
+    drop(listener);
     graceful.shutdown().await;
 }
 
 fn serve_caller(stream: TcpStream, shared: &Arc<Shared>, graceful: &GracefulShutdown) {
-    // Without it pieces are only held back a little, so a failure to set it is no reason to refuse the caller.
+    // Without TCP_NODELAY chunks are only delayed a little, so a failure to set it is no reason to refuse the caller.
     let _is_set = stream.set_nodelay(true);
     let for_requests = Arc::clone(shared);
     let service = service_fn(move |request: Request<Incoming>| {
         let shared = Arc::clone(&for_requests);
         async move {
             let mut response = serve(Arc::clone(&shared), request, Origin::Caller).await;
-            if shared.connections.are_many() {
+            if shared.connections.are_nearly_full() {
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(CONNECTION, close);
             }
             Ok::<_, Infallible>(response)
         }
     });
-    let fleet = shared.held.current();
-    let idle = fleet.lookup.as_ref().map_or(IDLE_TIMEOUT, |lookup| {
+    let snapshot = shared.routing.current();
+    let idle = snapshot.lookup.as_ref().map_or(IDLE_TIMEOUT, |lookup| {
         Duration::from_millis(lookup.table().limits.idle_timeout_ms)
     });
     let connection = http1::Builder::new()
@@ -442,7 +452,7 @@
     let watched = graceful.watch(connection);
     let shared = Arc::clone(shared);
     tokio::spawn(async move {
-        // A caller that leaves is noted where its request is served.
+        // A caller that disconnects is recorded where its request is served.
         let _ended_or_broken = watched.await;
         shared.connections.closed();
     });
--- a/crates/gateway/src/handoff.rs
+++ b/crates/gateway/src/handoff.rs
@@ -1,7 +1,7 @@
-//! Hands requests for which there is no room off to other gateways of the data centre.
+//! Hands requests that exceed this gateway's limits off to other gateways of the data centre.
 //!
-//! The other gateway takes a request as if its caller had come there, does all the work before the endpoint, and its answer is passed on as
-//! it comes. It says whether it takes the request before it does anything for it; a request goes one step, and never on from there.
+//! The other gateway serves the request as if its caller had connected there, and its answer is streamed back through this
+//! one. It accepts or declines before it does any work. A request is handed off once at most and never forwarded further.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -24,46 +24,46 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::{Instant, timeout, timeout_at};
 
-use crate::attempt::{Exchanged, Outgoing, exchange};
+use crate::attempt::{ExchangeOutcome, OutgoingRequest, exchange};
 use crate::body::{AnswerBody, BrokenOff};
 use crate::gateway::Shared;
-use crate::headers::{closes, strip_connection};
+use crate::headers::{closes_connection, strip_hop_by_hop};
 use crate::pool::{self, Pool, Sender};
 use crate::refusal::Refusal;
 
-/// Number of the route table by which the request was read; another gateway takes it only if it has the same one.
-pub(crate) const TABLE: HeaderName = HeaderName::from_static("hinge-table");
+/// Header with the number of the sender's route table; a gateway accepts a request only if it has the same table.
+pub(crate) const TABLE_HEADER: HeaderName = HeaderName::from_static("hinge-table");
 
-/// Says why a gateway does not take a request that was handed off; it has done nothing for it.
-pub(crate) const DECLINED: HeaderName = HeaderName::from_static("hinge-declined");
+/// Header with the reason why a gateway declined a request, for which it has done no work.
+pub(crate) const DECLINED_HEADER: HeaderName = HeaderName::from_static("hinge-declined");
 
-/// Requests that are handed off and under way at most: memory for two connections each.
-const MOST_UNDER_WAY: u32 = 400;
+/// Maximum number of handed-off requests in progress; each takes memory for two connections.
+const MAX_IN_PROGRESS: u32 = 400;
 
-/// Gateways that are asked to take one request.
-const MOST_ASKED: usize = 2;
+/// Maximum number of gateways that one request is offered to.
+const MAX_OFFERS: usize = 2;
 
-/// Idle connections to one gateway that are kept; requests go to many.
+/// Idle connections kept to each gateway; few, because requests are spread over many gateways.
 const MAX_IDLE: usize = 8;
 
-/// Longest wait for a connection inside a data centre.
+/// Timeout for connecting within a data centre.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Time for which a gateway is left out that has another table, that has no room, that can't take requests now, or that can't be reached.
-const OTHER_TABLE_REST: Duration = Duration::from_millis(100);
-const NO_ROOM_REST: Duration = Duration::from_millis(200);
-const UNABLE_REST: Duration = Duration::from_secs(1);
-const UNREACHABLE_REST: Duration = Duration::from_secs(2);
+/// How long a gateway is not chosen after it has declined for another table or for overload, can't accept, or is unreachable.
+const OTHER_TABLE_BACKOFF: Duration = Duration::from_millis(100);
+const NO_ROOM_BACKOFF: Duration = Duration::from_millis(200);
+const UNABLE_BACKOFF: Duration = Duration::from_secs(1);
+const UNREACHABLE_BACKOFF: Duration = Duration::from_secs(2);
 
-/// Says why a gateway does not take a request.
+/// The reason why a gateway declines a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Decline {
     NoRoom,
     /// It has another route table.
     OtherTable,
-    /// It has not heard from control for a while.
+    /// It has lost contact with control for too long.
     WithoutControl,
-    /// It stops.
+    /// It is shutting down.
     Leaving,
 }
 
@@ -84,38 +84,38 @@
         }
     }
 
-    fn rest(self) -> Duration {
+    fn backoff(self) -> Duration {
         match self {
-            Self::OtherTable => OTHER_TABLE_REST,
-            Self::NoRoom => NO_ROOM_REST,
-            Self::WithoutControl | Self::Leaving => UNABLE_REST,
+            Self::OtherTable => OTHER_TABLE_BACKOFF,
+            Self::NoRoom => NO_ROOM_BACKOFF,
+            Self::WithoutControl | Self::Leaving => UNABLE_BACKOFF,
         }
     }
 
-    /// Reads it from the head of an answer.
-    fn read(status: StatusCode, headers: &HeaderMap) -> Option<Self> {
-        let name = headers.get(DECLINED)?;
+    /// Parses the reason from the head of an answer; `None` if the answer declines nothing.
+    fn parse(status: StatusCode, headers: &HeaderMap) -> Option<Self> {
+        let name = headers.get(DECLINED_HEADER)?;
         let known = Self::ALL.into_iter();
         let mut known = known.filter(|_| status == StatusCode::SERVICE_UNAVAILABLE);
         known.find(|decline| name.as_bytes() == decline.name().as_bytes())
     }
 
-    /// Returns the answer that says it.
+    /// Returns the answer that declines a request for this reason.
     pub(crate) fn response(self) -> Response<AnswerBody> {
         let mut response = Response::new(AnswerBody::Whole(Bytes::new()));
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
         let name = HeaderValue::from_static(self.name());
-        response.headers_mut().insert(DECLINED, name);
+        response.headers_mut().insert(DECLINED_HEADER, name);
         response
     }
 }
 
-/// Holds the other gateways of the data centre, and the connections to them.
+/// The other gateways of the data centre, with pooled connections to them.
 #[derive(Debug)]
 pub(crate) struct Handoffs {
     key: ClusterKey,
     began: Instant,
-    nearby: Mutex<PeerGateways>,
+    peers: Mutex<PeerGateways>,
     pools: Mutex<HashMap<SocketAddr, Arc<Pool>>>,
 }
 
@@ -124,25 +124,25 @@
         Self {
             key,
             began: Instant::now(),
-            nearby: Mutex::default(),
+            peers: Mutex::default(),
             pools: Mutex::default(),
         }
     }
 
-    /// Takes in the addresses of other gateways.
-    pub(crate) fn named(&self, addresses: &[SocketAddr]) {
-        let mut nearby = self.nearby();
-        nearby.record_listed(self.began.elapsed(), addresses);
-        self.pools().retain(|address, _| nearby.contains(*address));
+    /// Replaces the addresses of the other gateways.
+    pub(crate) fn set_peers(&self, addresses: &[SocketAddr]) {
+        let mut peers = self.peers();
+        peers.record_listed(self.began.elapsed(), addresses);
+        self.pools().retain(|address, _| peers.contains(*address));
     }
 
     fn choose(&self, except: &[SocketAddr]) -> Option<SocketAddr> {
         let draw = || rand::random::<u32>() as usize;
-        self.nearby().choose(self.began.elapsed(), except, draw)
+        self.peers().choose(self.began.elapsed(), except, draw)
     }
 
-    fn rests(&self, address: SocketAddr, rest: Duration) {
-        self.nearby().suspend(self.began.elapsed(), address, rest);
+    fn suspend(&self, address: SocketAddr, backoff: Duration) {
+        self.peers().suspend(self.began.elapsed(), address, backoff);
     }
 
     fn pool(&self, address: SocketAddr) -> Arc<Pool> {
@@ -150,15 +150,15 @@
         Arc::clone(self.pools().entry(address).or_insert_with(pool))
     }
 
-    fn nearby(&self) -> MutexGuard<'_, PeerGateways> {
-        self.nearby.lock().unwrap_or_else(PoisonError::into_inner)
+    fn peers(&self) -> MutexGuard<'_, PeerGateways> {
+        self.peers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn pools(&self) -> MutexGuard<'_, HashMap<SocketAddr, Arc<Pool>>> {
         self.pools.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns a connection to a gateway, on which the key is proved.
+    /// Returns a connection to a gateway, authenticated with the cluster key.
     async fn connect(&self, address: SocketAddr, pool: &Pool) -> Option<Sender> {
         if let Some(kept) = pool.take() {
             return Some(kept);
@@ -173,26 +173,26 @@
     }
 }
 
-/// Holds a request's use of another gateway, until it is dropped.
+/// A request in progress at another gateway; dropping it records the end.
 #[derive(Debug)]
-struct Use {
+struct PeerUse {
     shared: Arc<Shared>,
     address: SocketAddr,
 }
 
-impl Drop for Use {
+impl Drop for PeerUse {
     fn drop(&mut self) {
-        self.shared.handoffs.nearby().request_ended(self.address);
+        self.shared.handoffs.peers().request_ended(self.address);
     }
 }
 
-/// Holds an answer that another gateway passes on.
+/// The body of an answer that is streamed through another gateway.
 #[derive(Debug)]
 pub(crate) struct HandedOff {
     body: Incoming,
-    /// Connection to keep once the answer has ended.
+    /// Connection to return to its pool once the answer has ended.
     connection: Option<(Arc<Pool>, Sender)>,
-    _in_use: Use,
+    _in_use: PeerUse,
 }
 
 impl HandedOff {
@@ -224,55 +224,55 @@
 
 impl Drop for HandedOff {
     fn drop(&mut self) {
-        // A server asks no further for a body of which it has everything.
+        // The server does not poll a body again once it is at its end.
         if self.body.is_end_stream() {
             self.keep();
         }
     }
 }
 
-/// Says what became of a request at another gateway.
-enum Handed {
+/// The outcome of offering a request to another gateway.
+enum OfferOutcome {
     Answered(Response<AnswerBody>),
     Declined(Decline),
     Unreachable,
-    /// It may have run, and there is no answer.
+    /// The request may have run, and there is no answer.
     Failed(Refusal),
 }
 
-/// Hands a request off, and returns its answer, or none where no gateway takes it.
+/// Hands a request off, and returns its answer, or `None` if no gateway accepts it.
 pub(crate) async fn hand_off(
     shared: &Arc<Shared>,
     table: u64,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
     overloaded: &Overloaded,
 ) -> Option<Response<AnswerBody>> {
-    // What is handed off now may outlast this gateway.
+    // During a planned stop a handed-off request might outlast this gateway, which passes its answer on.
     if shared.stops_at.get().is_some() {
         return None;
     }
-    if shared.handoffs.nearby().in_flight() >= MOST_UNDER_WAY {
+    if shared.handoffs.peers().in_flight() >= MAX_IN_PROGRESS {
         return None;
     }
-    let mut asked: SmallVec<[SocketAddr; MOST_ASKED]> = SmallVec::new();
-    while asked.len() < MOST_ASKED {
-        let address = shared.handoffs.choose(&asked)?;
-        asked.push(address);
-        let in_use = Use {
+    let mut offered: SmallVec<[SocketAddr; MAX_OFFERS]> = SmallVec::new();
+    while offered.len() < MAX_OFFERS {
+        let address = shared.handoffs.choose(&offered)?;
+        offered.push(address);
+        let in_use = PeerUse {
             shared: Arc::clone(shared),
             address,
         };
         match send(in_use, table, outgoing).await {
-            Handed::Answered(response) => {
+            OfferOutcome::Answered(response) => {
                 shared.overload().record_handoff();
-                tell(outgoing, address, asked.len(), overloaded);
+                log_handoff(outgoing, address, offered.len(), overloaded);
                 return Some(response);
             }
-            Handed::Declined(decline) => shared.handoffs.rests(address, decline.rest()),
-            Handed::Unreachable => shared.handoffs.rests(address, UNREACHABLE_REST),
-            Handed::Failed(refusal) => {
-                shared.handoffs.rests(address, UNREACHABLE_REST);
-                tell_failure(outgoing, address, refusal);
+            OfferOutcome::Declined(decline) => shared.handoffs.suspend(address, decline.backoff()),
+            OfferOutcome::Unreachable => shared.handoffs.suspend(address, UNREACHABLE_BACKOFF),
+            OfferOutcome::Failed(refusal) => {
+                shared.handoffs.suspend(address, UNREACHABLE_BACKOFF);
+                log_failure(outgoing, address, refusal);
                 return Some(refusal.response());
             }
         }
@@ -280,27 +280,27 @@
     None
 }
 
-async fn send(in_use: Use, table: u64, outgoing: &Outgoing) -> Handed {
+async fn send(in_use: PeerUse, table: u64, outgoing: &OutgoingRequest) -> OfferOutcome {
     let shared = Arc::clone(&in_use.shared);
     let pool = shared.handoffs.pool(in_use.address);
     let Some(sender) = shared.handoffs.connect(in_use.address, &pool).await else {
-        return Handed::Unreachable;
+        return OfferOutcome::Unreachable;
     };
     let request = request(&shared, table, outgoing);
     let sent = timeout_at(outgoing.ends_at, exchange(sender, request)).await;
     let (sender, response) = match sent {
-        Ok(Exchanged::Answered(sender, response)) => (sender, response),
-        Ok(Exchanged::NotSent) => return Handed::Unreachable,
-        Ok(Exchanged::Lost) => return Handed::Failed(Refusal::Unknown),
-        Err(_elapsed) => return Handed::Failed(Refusal::TimedOut),
+        Ok(ExchangeOutcome::Answered(sender, response)) => (sender, response),
+        Ok(ExchangeOutcome::NotSent) => return OfferOutcome::Unreachable,
+        Ok(ExchangeOutcome::Lost) => return OfferOutcome::Failed(Refusal::Unknown),
+        Err(_elapsed) => return OfferOutcome::Failed(Refusal::TimedOut),
     };
     let (mut head, body) = response.into_parts();
-    if let Some(decline) = Decline::read(head.status, &head.headers) {
+    if let Some(decline) = Decline::parse(head.status, &head.headers) {
         pool.keep(sender, None);
-        return Handed::Declined(decline);
+        return OfferOutcome::Declined(decline);
     }
-    let is_kept = !closes(&head.headers);
-    strip_connection(&mut head.headers);
+    let is_kept = !closes_connection(&head.headers);
+    strip_hop_by_hop(&mut head.headers);
     if shared.overload().should_close_connection() {
         let close = HeaderValue::from_static("close");
         head.headers.insert(CONNECTION, close);
@@ -310,29 +310,34 @@
         connection: is_kept.then_some((pool, sender)),
         _in_use: in_use,
     };
-    Handed::Answered(Response::from_parts(head, AnswerBody::HandedOff(body)))
+    OfferOutcome::Answered(Response::from_parts(head, AnswerBody::HandedOff(body)))
 }
 
-fn request(shared: &Shared, table: u64, outgoing: &Outgoing) -> Request<Full<Bytes>> {
+fn request(shared: &Shared, table: u64, outgoing: &OutgoingRequest) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(outgoing.body.clone()));
     *request.method_mut() = outgoing.method.clone();
     *request.uri_mut() = outgoing.uri.clone();
     let mut headers = outgoing.headers.clone();
     let remaining = outgoing.ends_at.saturating_duration_since(Instant::now());
     shared.dialect.write_remaining(&mut headers, remaining);
-    headers.insert(TABLE, table.into());
+    headers.insert(TABLE_HEADER, table.into());
     *request.headers_mut() = headers;
     request
 }
 
-fn tell(outgoing: &Outgoing, address: SocketAddr, asked: usize, overloaded: &Overloaded) {
+fn log_handoff(
+    outgoing: &OutgoingRequest,
+    address: SocketAddr,
+    offered: usize,
+    overloaded: &Overloaded,
+) {
     info!(
         Part::Gateway,
         "Handed off.",
         id = outgoing.request_id.as_deref().unwrap_or("-"),
         team = outgoing.team.as_deref().unwrap_or("-"),
         to = address,
-        asked = asked,
+        asked = offered,
         bound = overloaded.limit_kind.name(),
         running = overloaded.running,
         limit = overloaded.limit,
@@ -340,7 +345,7 @@
     );
 }
 
-fn tell_failure(outgoing: &Outgoing, address: SocketAddr, refusal: Refusal) {
+fn log_failure(outgoing: &OutgoingRequest, address: SocketAddr, refusal: Refusal) {
     warn!(
         Part::Gateway,
         "A request that was handed off has no answer.",
--- a/crates/gateway/src/door.rs
+++ b/crates/gateway/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts the connections of callers, and refuses them for a while when the limits of the load say so.
+//! Accepts callers' connections, and refuses them while overload control says so.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,51 +11,51 @@
 #[cfg(test)]
 mod tests;
 
-/// Holds the listener for callers, or none while connections are refused.
+/// A listener for callers that is closed while connections are refused.
 #[derive(Debug)]
-pub(crate) struct Door {
+pub(crate) struct CallerListener {
     listener: Option<TcpListener>,
-    /// Address to listen on again; none when it could not be read, and then the door stays open.
+    /// Address to bind again; `None` if it could not be read, in which case the listener always stays open.
     address: Option<SocketAddr>,
-    is_closed: watch::Receiver<bool>,
+    is_paused: watch::Receiver<bool>,
 }
 
-impl Door {
-    pub(crate) fn new(listener: TcpListener, is_closed: watch::Receiver<bool>) -> Self {
+impl CallerListener {
+    pub(crate) fn new(listener: TcpListener, is_paused: watch::Receiver<bool>) -> Self {
         Self {
             address: listener.local_addr().ok(),
             listener: Some(listener),
-            is_closed,
+            is_paused,
         }
     }
 
-    /// Waits for the next connection; it may be dropped while it waits.
+    /// Waits for the next connection; cancel-safe.
     ///
     /// # Errors
     ///
     /// Returns the system's error when a connection can't be accepted, or the address can't be bound again.
     pub(crate) async fn accept(&mut self) -> io::Result<(TcpStream, SocketAddr)> {
         loop {
-            self.follow().await?;
+            self.apply_pause().await?;
             let Some(listener) = &self.listener else {
-                // A sender that is gone means that the gateway ends.
-                let _changed_or_gone = self.is_closed.changed().await;
+                // The sender is dropped only when the gateway ends.
+                let _changed_or_gone = self.is_paused.changed().await;
                 continue;
             };
             tokio::select! {
                 accepted = listener.accept() => return accepted,
-                _changed_or_gone = self.is_closed.changed() => {}
+                _changed_or_gone = self.is_paused.changed() => {}
             }
         }
     }
 
-    /// Opens or closes the door as the limits of the load said last.
-    async fn follow(&mut self) -> io::Result<()> {
-        let is_closed = *self.is_closed.borrow_and_update();
+    /// Binds or closes the listener as overload control said last.
+    async fn apply_pause(&mut self) -> io::Result<()> {
+        let is_paused = *self.is_paused.borrow_and_update();
         let Some(address) = self.address else {
             return Ok(());
         };
-        if is_closed {
+        if is_paused {
             self.listener = None;
         } else if self.listener.is_none() {
             let bound = TcpListener::bind(address).await;
--- /dev/null
+++ b/crates/gateway/src/peer_discovery.rs
@@ -0,0 +1,61 @@
+//! Discovers the other gateways of the data centre, and announces this one to them.
+//!
+//! Each gateway registers with one control instance after the other, so that any two find each other through some of them without
+//! any state in the replicated log.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use hinge_control::MEET_GATEWAYS_PATH;
+use hinge_link::Client;
+use hinge_schema::routing::{MeetGateways, NearbyGateways};
+use hinge_telemetry::debug;
+use hinge_telemetry::log::Part;
+use tokio::time::sleep;
+
+use crate::gateway::Shared;
+
+/// Interval between queries until each control instance has been queried once, and afterwards.
+const FIRST_INTERVAL: Duration = Duration::from_secs(1);
+const LATER_INTERVAL: Duration = Duration::from_secs(5);
+
+/// Timeout of a query, after which the next instance is queried.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// Queries control instances in turn until the task is aborted.
+pub(crate) async fn run(client: Client, query: MeetGateways, shared: Arc<Shared>) {
+    let from = rand::random::<u32>() as usize;
+    let mut queried = 0;
+    loop {
+        let known = shared.routing.known_control.load_full();
+        let is_first_round = queried < known.len().max(1);
+        sleep(if is_first_round {
+            FIRST_INTERVAL
+        } else {
+            LATER_INTERVAL
+        })
+        .await;
+        let known = shared.routing.known_control.load_full();
+        let Some(address) = known.get((from + queried) % known.len().max(1)) else {
+            continue;
+        };
+        queried += 1;
+        let called = client.call(address, MEET_GATEWAYS_PATH, &query, QUERY_TIMEOUT);
+        let answered: Result<NearbyGateways, _> = called.await;
+        match answered {
+            Ok(nearby) => {
+                let addresses = nearby.addresses.iter();
+                let addresses: Vec<SocketAddr> =
+                    addresses.filter_map(|text| text.parse().ok()).collect();
+                shared.handoffs.set_peers(&addresses);
+            }
+            Err(cause) => debug!(
+                Part::Gateway,
+                "A control instance did not return the gateways of this data centre.",
+                address = address,
+                cause = cause
+            ),
+        }
+    }
+}
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -1,4 +1,4 @@
-//! Serves one request: finds its route and team, and sends it to endpoints until one answers.
+//! Serves one request: looks up its route and team, admits it or hands it off, and returns an endpoint's answer or a refusal.
 
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
@@ -15,41 +15,43 @@
 use hyper::body::Incoming;
 use tokio::time::{Instant, timeout_at};
 
-use crate::answer::{NotWhole, is_read_whole, read_whole};
-use crate::attempt::{Answer, Outgoing};
+use crate::answer::{ReadError, is_read_whole, read_whole};
+use crate::attempt::{Answer, OutgoingRequest};
 use crate::body::AnswerBody;
-use crate::dialect::Facts;
-use crate::fleet::Fleet;
+use crate::dialect::RequestFacts;
 use crate::gateway::Shared;
-use crate::handoff::{Decline, TABLE, hand_off};
-use crate::headers::strip_connection;
-use crate::job::{Job, Tried};
-use crate::load::Running;
-use crate::pump;
+use crate::handoff::{Decline, TABLE_HEADER, hand_off};
+use crate::headers::strip_hop_by_hop;
+use crate::history::{History, tokens_of};
+use crate::job::{Job, JobOutcome};
+use crate::overload::RunningRequest;
 use crate::refusal::Refusal;
-use crate::story::{Story, tokens_of};
-use crate::takeover::HELD_AGE;
+use crate::routing_state::RoutingSnapshot;
+use crate::streaming;
+use crate::takeover::MAX_STATE_AGE;
 
-/// Time between two pieces of a stream that goes to another gateway: a part of the pause that callers bear.
-const BATCH_EVERY: Duration = Duration::from_millis(60);
+/// Interval between two chunks of a stream to another gateway, a fraction of the pause that callers tolerate.
+const BATCH_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Type of an answer of events.
+/// Content type of server-sent events.
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// Says who brings a request.
+/// Where a request comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Origin {
     Caller,
-    /// Another gateway of the data centre, which has no room for it.
+    /// Another gateway of the data centre, which is overloaded.
     Gateway,
 }
 
 impl Origin {
-    /// Returns how often pieces of a stream are passed on. Another gateway that has little processor time left passes on fewer larger ones.
-    pub(crate) fn batch_every(self) -> Duration {
+    /// Returns the minimum interval between chunks of a stream.
+    ///
+    /// Fewer, larger chunks save CPU time of an overloaded gateway that passes them on.
+    pub(crate) fn batch_interval(self) -> Duration {
         match self {
             Self::Caller => Duration::ZERO,
-            Self::Gateway => BATCH_EVERY,
+            Self::Gateway => BATCH_INTERVAL,
         }
     }
 }
@@ -63,51 +65,51 @@
     let arrived = Instant::now();
     let (mut parts, body) = request.into_parts();
     let facts = gateway.dialect.read_request(&parts.headers);
-    let fleet = gateway.held.current();
+    let snapshot = gateway.routing.current();
     if origin == Origin::Gateway
-        && let Some(decline) = declines(&gateway, &fleet, &mut parts.headers)
+        && let Some(decline) = decline_reason(&gateway, &snapshot, &mut parts.headers)
     {
         return decline.response();
     }
-    let found = find(&fleet, &parts, &facts);
-    let Found {
+    let matched = look_up(&snapshot, &parts, &facts);
+    let Match {
         route,
         service,
         team,
         rank,
         engine,
-    } = match found {
-        Ok(found) => found,
-        Err(refusal) => return refuse_early(&gateway, &fleet, &facts, &parts, refusal),
+    } = match matched {
+        Ok(matched) => matched,
+        Err(refusal) => return refuse_early(&gateway, &snapshot, &facts, &parts, refusal),
     };
     let timeout = Duration::from_millis(route.timeout_ms);
     let ends_at = arrived
         + facts
             .deadline
             .map_or(timeout, |deadline| deadline.min(timeout));
-    let body = match read_body(&fleet, body, ends_at).await {
+    let body = match read_body(&snapshot, body, ends_at).await {
         Ok(body) => body,
-        Err(refusal) => return refuse_early(&gateway, &fleet, &facts, &parts, refusal),
+        Err(refusal) => return refuse_early(&gateway, &snapshot, &facts, &parts, refusal),
     };
-    let outgoing = Outgoing {
-        may_go_on: may_run_again(&route),
+    let outgoing = OutgoingRequest {
+        may_rerun: may_run_again(&route),
         ..outgoing(parts, body, &facts, team, ends_at)
     };
-    if gateway.held.suspects.is_held(&outgoing) {
+    if gateway.routing.suspects.is_held(&outgoing) {
         return refuse_held(&gateway, &route, &outgoing);
     }
     let team = outgoing.team.as_deref();
-    let place = match origin {
-        Origin::Caller => take_place(&gateway, engine.is_some(), team),
-        Origin::Gateway => match take_over(&gateway, engine.is_some(), team) {
+    let admitted = match origin {
+        Origin::Caller => admit_caller(&gateway, engine.is_some(), team),
+        Origin::Gateway => match admit_handoff(&gateway, engine.is_some(), team) {
             Ok(running) => Ok(running),
             Err(decline) => return decline.response(),
         },
     };
-    let running = match place {
+    let running = match admitted {
         Ok(running) => running,
         Err(overloaded) => {
-            let handed_off = hand_off(&gateway, fleet.table_number(), &outgoing, &overloaded);
+            let handed_off = hand_off(&gateway, snapshot.table_number(), &outgoing, &overloaded);
             return match handed_off.await {
                 Some(response) => response,
                 None => refuse_overloaded(&gateway, team, &facts, overloaded),
@@ -117,7 +119,7 @@
     let job = Arc::new(Job {
         outgoing,
         gateway,
-        fleet,
+        snapshot,
         route,
         service,
         prompt: facts.prompt,
@@ -128,47 +130,53 @@
         last_event: facts.last_event,
         arrived,
     });
-    answer(job).await
+    run_job(job).await
 }
 
-/// Takes a place for a request to a model engine; a plain one needs none, but must not be late.
-fn take_place(
+/// Admits a caller's request.
+///
+/// Only requests to model engines count against the limits; a plain one is only rejected when the gateway lags behind.
+fn admit_caller(
     gateway: &Arc<Shared>,
     has_engine: bool,
     team: Option<&str>,
-) -> Result<Option<Running>, Overloaded> {
+) -> Result<Option<RunningRequest>, Overloaded> {
     if has_engine {
-        return Running::begin(gateway, team).map(Some);
+        return RunningRequest::begin(gateway, team).map(Some);
     }
     gateway.overload().check_plain().map(|()| None)
 }
 
-/// Takes a place for a request that another gateway hands off.
-fn take_over(
+/// Admits a request that another gateway hands off.
+fn admit_handoff(
     gateway: &Arc<Shared>,
     has_engine: bool,
     team: Option<&str>,
-) -> Result<Option<Running>, Decline> {
+) -> Result<Option<RunningRequest>, Decline> {
     if has_engine {
-        let running = Running::take_over(gateway, team);
+        let running = RunningRequest::take_over(gateway, team);
         return running.map(Some).ok_or(Decline::NoRoom);
     }
     let checked = gateway.overload().check_plain();
     checked.map_or(Err(Decline::NoRoom), |()| Ok(None))
 }
 
-/// Returns why this gateway can't take requests of others, and takes the headers off that are between gateways.
+/// Returns why this gateway can't accept a handed-off request, if it can't, and removes the headers used between gateways.
 ///
-/// A caller must not be served by an older table than that of the gateway which it came to, nor by a newer one and by the older one
-/// again right after.
-fn declines(gateway: &Shared, fleet: &Fleet, headers: &mut HeaderMap) -> Option<Decline> {
-    let table = headers.remove(TABLE);
+/// Both gateways must have the same route table: a caller must not be served by an older table than that of the gateway it
+/// connected to, nor by a newer one and then by the older one again.
+fn decline_reason(
+    gateway: &Shared,
+    snapshot: &RoutingSnapshot,
+    headers: &mut HeaderMap,
+) -> Option<Decline> {
+    let table = headers.remove(TABLE_HEADER);
     let table = table.and_then(|table| table.to_str().ok()?.parse::<u64>().ok());
     if gateway.stops_at.get().is_some() {
         Some(Decline::Leaving)
-    } else if gateway.held.age() > HELD_AGE {
+    } else if gateway.routing.age() > MAX_STATE_AGE {
         Some(Decline::WithoutControl)
-    } else if table != Some(fleet.table_number()) {
+    } else if table != Some(snapshot.table_number()) {
         Some(Decline::OtherTable)
     } else {
         None
@@ -184,20 +192,24 @@
     }
 }
 
-/// Holds what the route table says of a request.
-struct Found {
+/// The result of looking a request up in the route table.
+struct Match {
     route: Route,
     service: Box<str>,
     team: Option<Box<str>>,
-    /// Rank of the team, or else of the route.
+    /// Priority of the team, or else of the route.
     rank: u32,
-    /// Engines of the service, if it has any.
+    /// Model engines of the service, if it has any.
     engine: Option<Engine>,
 }
 
-/// Finds the route, the service and the team of a request.
-fn find(fleet: &Fleet, parts: &Parts, facts: &Facts) -> Result<Found, Refusal> {
-    let lookup = fleet.lookup.as_ref().ok_or(Refusal::NoTable)?;
+/// Looks up the route, the service and the team of a request.
+fn look_up(
+    snapshot: &RoutingSnapshot,
+    parts: &Parts,
+    facts: &RequestFacts,
+) -> Result<Match, Refusal> {
+    let lookup = snapshot.lookup.as_ref().ok_or(Refusal::NoTable)?;
     let host = host_of(parts).ok_or(Refusal::NoRoute)?;
     let route = lookup
         .route(host, parts.uri.path())
@@ -211,7 +223,7 @@
     };
     let target = RouteIndex::pick_target(route, rand::random()).ok_or(Refusal::NoRoute)?;
     let service = lookup.service(&target.service);
-    Ok(Found {
+    Ok(Match {
         service: target.service.clone(),
         team: team.map(|team| team.name.clone()),
         rank: team
@@ -230,8 +242,12 @@
     Some(host.split(':').next().unwrap_or(host))
 }
 
-async fn read_body(fleet: &Fleet, body: Incoming, ends_at: Instant) -> Result<Bytes, Refusal> {
-    let lookup = fleet.lookup.as_ref().ok_or(Refusal::NoTable)?;
+async fn read_body(
+    snapshot: &RoutingSnapshot,
+    body: Incoming,
+    ends_at: Instant,
+) -> Result<Bytes, Refusal> {
+    let lookup = snapshot.lookup.as_ref().ok_or(Refusal::NoTable)?;
     let limit = lookup.table().limits.max_body_bytes;
     let limit = usize::try_from(limit).unwrap_or(usize::MAX);
     let whole = timeout_at(ends_at, Limited::new(body, limit).collect()).await;
@@ -245,16 +261,16 @@
 fn outgoing(
     parts: Parts,
     body: Bytes,
-    facts: &Facts,
+    facts: &RequestFacts,
     team: Option<Box<str>>,
     ends_at: Instant,
-) -> Outgoing {
+) -> OutgoingRequest {
     let mut headers = parts.headers;
-    strip_connection(&mut headers);
-    // The body is sent with its own length, however it came.
+    strip_hop_by_hop(&mut headers);
+    // The body was buffered and is sent with its exact length, however it was framed on arrival.
     headers.remove(http::header::CONTENT_LENGTH);
     headers.remove(http::header::EXPECT);
-    Outgoing {
+    OutgoingRequest {
         method: parts.method,
         uri: origin_form(&parts.uri),
         headers,
@@ -265,7 +281,7 @@
             .prompt
             .as_ref()
             .map_or(0, |prompt| prompt.prompt_tokens),
-        may_go_on: false,
+        may_rerun: false,
         ends_at,
         key: OnceLock::new(),
     }
@@ -278,12 +294,12 @@
 
 fn refuse_early(
     gateway: &Shared,
-    fleet: &Fleet,
-    facts: &Facts,
+    snapshot: &RoutingSnapshot,
+    facts: &RequestFacts,
     parts: &Parts,
     refusal: Refusal,
 ) -> Response<AnswerBody> {
-    gateway.metrics.refused(refusal.name());
+    gateway.metrics.record_refused(refusal.name());
     let id = facts.request_id.as_deref().unwrap_or("-");
     let status = refusal.status().as_u16();
     info!(
@@ -293,21 +309,21 @@
         outcome = refusal.name(),
         status = status,
         path = parts.uri.path(),
-        table = fleet.table_number(),
-        table_age_ms = gateway.held.age().as_millis()
+        table = snapshot.table_number(),
+        table_age_ms = gateway.routing.age().as_millis()
     );
     refusal.response()
 }
 
-/// Refuses a request for which this gateway has no room.
+/// Refuses a request because this gateway is overloaded.
 fn refuse_overloaded(
     gateway: &Shared,
     team: Option<&str>,
-    facts: &Facts,
+    facts: &RequestFacts,
     overloaded: Overloaded,
 ) -> Response<AnswerBody> {
     let refusal = Refusal::Overloaded(overloaded);
-    gateway.metrics.refused(refusal.name());
+    gateway.metrics.record_refused(refusal.name());
     let (prompt_tokens, answer_tokens) = tokens_of(facts.prompt.as_ref());
     info!(
         Part::Gateway,
@@ -334,11 +350,15 @@
     response
 }
 
-/// Refuses a request that is held, before it takes anything of its team's share.
-fn refuse_held(gateway: &Shared, route: &Route, outgoing: &Outgoing) -> Response<AnswerBody> {
+/// Refuses a held request before it uses any of its team's share.
+fn refuse_held(
+    gateway: &Shared,
+    route: &Route,
+    outgoing: &OutgoingRequest,
+) -> Response<AnswerBody> {
     let refusal = Refusal::Held;
-    gateway.metrics.refused(refusal.name());
-    gateway.held.suspects.note_turned_away();
+    gateway.metrics.record_refused(refusal.name());
+    gateway.routing.suspects.record_rejection();
     info!(
         Part::Gateway,
         "Request.",
@@ -348,52 +368,52 @@
         route = route.name,
         team = outgoing.team.as_deref().unwrap_or("-"),
         request = outgoing.key(),
-        list = gateway.held.suspects.version()
+        list = gateway.routing.suspects.version()
     );
     refusal.response()
 }
 
-async fn answer(job: Arc<Job>) -> Response<AnswerBody> {
-    let mut story = Story::default();
+async fn run_job(job: Arc<Job>) -> Response<AnswerBody> {
+    let mut history = History::default();
     if job.outlasts_stop() {
-        story.note_cause("this instance stops before the answer would end");
+        history.record_cause("this instance stops before the answer would end");
         let refusal = Refusal::NotRun {
             retry_after: Duration::ZERO,
         };
-        return refuse(&job, &mut story, refusal);
+        return refuse(&job, &mut history, refusal);
     }
-    job.gateway.note_request(&job.service);
+    job.gateway.record_request(&job.service);
     loop {
-        let answer = match job.attempts(&mut story, job.last_event).await {
-            Tried::Answered(answer) => answer,
-            Tried::Refused(refusal) => return refuse(&job, &mut story, refusal),
+        let answer = match job.run_attempts(&mut history, job.last_event).await {
+            JobOutcome::Answered(answer) => answer,
+            JobOutcome::Refused(refusal) => return refuse(&job, &mut history, refusal),
         };
         let is_retryable = answer.response.status().is_server_error() && job.is_idempotent();
-        if is_retryable && job.may_repeat(&story) {
-            story.note_run("the endpoint failed the request");
+        if is_retryable && job.may_retry(&history) {
+            history.record_possible_run("the endpoint failed the request");
             continue;
         }
-        story.status = answer.response.status().as_u16();
+        history.status = answer.response.status().as_u16();
         if is_read_whole(answer.response.body()) {
-            match whole(&job, &mut story, *answer).await {
+            match buffered_answer(&job, &mut history, *answer).await {
                 Ok(response) => return response,
-                Err(NotWhole::Broken) if job.is_idempotent() && job.may_repeat(&story) => {
-                    story.note_run("the answer broke off");
+                Err(ReadError::Broken) if job.is_idempotent() && job.may_retry(&history) => {
+                    history.record_possible_run("the answer broke off");
                 }
-                Err(NotWhole::Broken) => return refuse(&job, &mut story, Refusal::Unknown),
-                Err(NotWhole::TimedOut) => return refuse(&job, &mut story, Refusal::TimedOut),
+                Err(ReadError::Broken) => return refuse(&job, &mut history, Refusal::Unknown),
+                Err(ReadError::TimedOut) => return refuse(&job, &mut history, Refusal::TimedOut),
             }
         } else {
-            return stream(job, story, answer);
+            return streamed_answer(job, history, answer);
         }
     }
 }
 
-async fn whole(
+async fn buffered_answer(
     job: &Job,
-    story: &mut Story,
+    history: &mut History,
     answer: Answer,
-) -> Result<Response<AnswerBody>, NotWhole> {
+) -> Result<Response<AnswerBody>, ReadError> {
     let Answer {
         response,
         connection,
@@ -403,22 +423,22 @@
     let body = tokio::select! {
         biased;
         body = read_whole(body, job.outgoing.ends_at) => body,
-        _cause = in_use.lost(job.outgoing.may_go_on) => Err(NotWhole::Broken),
+        _cause = in_use.wait_until_lost(job.outgoing.may_rerun) => Err(ReadError::Broken),
     };
-    if matches!(body, Err(NotWhole::Broken)) {
-        in_use.broke(&job.outgoing);
+    if matches!(body, Err(ReadError::Broken)) {
+        in_use.record_broken(&job.outgoing);
     }
     let body = body?;
     if head.status.is_success() {
-        in_use.began();
-        job.completed(story);
+        in_use.record_first_chunk();
+        job.record_completed(history);
     }
     drop(in_use);
     connection.keep();
-    strip_connection(&mut head.headers);
-    story.note_piece(job);
-    job.gateway.metrics.ended(job, outcome_of(head.status));
-    story.tell(job, outcome_of(head.status));
+    strip_hop_by_hop(&mut head.headers);
+    history.record_chunk(job);
+    job.gateway.metrics.record_end(job, outcome_of(head.status));
+    history.log(job, outcome_of(head.status));
     Ok(Response::from_parts(head, AnswerBody::Whole(body)))
 }
 
@@ -430,15 +450,15 @@
     }
 }
 
-fn stream(job: Arc<Job>, story: Story, answer: Box<Answer>) -> Response<AnswerBody> {
-    let (pieces, body) = AnswerBody::pieces();
+fn streamed_answer(job: Arc<Job>, history: History, answer: Box<Answer>) -> Response<AnswerBody> {
+    let (chunks, body) = AnswerBody::chunks();
     let mut response = Response::new(body);
     *response.status_mut() = answer.response.status();
     let mut headers = answer.response.headers().clone();
     let is_events = is_event_stream(&headers);
-    strip_connection(&mut headers);
+    strip_hop_by_hop(&mut headers);
     *response.headers_mut() = headers;
-    tokio::spawn(pump::run(job, story, answer, pieces, is_events));
+    tokio::spawn(streaming::run(job, history, answer, chunks, is_events));
     response
 }
 
@@ -449,9 +469,9 @@
     value.is_some_and(|value| value.starts_with(EVENT_STREAM))
 }
 
-fn refuse(job: &Job, story: &mut Story, refusal: Refusal) -> Response<AnswerBody> {
-    story.status = refusal.status().as_u16();
-    job.gateway.metrics.ended(job, refusal.name());
-    story.tell(job, refusal.name());
+fn refuse(job: &Job, history: &mut History, refusal: Refusal) -> Response<AnswerBody> {
+    history.status = refusal.status().as_u16();
+    job.gateway.metrics.record_end(job, refusal.name());
+    history.log(job, refusal.name());
     refusal.response()
 }
--- /dev/null
+++ b/crates/gateway/src/suspect_reports.rs
@@ -0,0 +1,140 @@
+//! Reports what this gateway observes of suspected requests to control.
+
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
+
+use hinge_control::NOTE_SUSPECTS_PATH;
+use hinge_link::Client;
+use hinge_routing::{IncarnationHash, RequestKey};
+use hinge_schema::routing::{NoteSuspects, SuspectEnd, SuspectsNoted};
+use hinge_telemetry::log::Part;
+use hinge_telemetry::warn;
+use tokio::sync::Notify;
+use tokio::time::sleep;
+
+use crate::routing_state::RoutingState;
+
+/// Delay that lets all requests broken off by one end be reported in one call.
+const BATCH_DELAY: Duration = Duration::from_millis(50);
+
+/// Timeout of a report to control.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// Delay before a failed report is sent again; an election takes a second or two.
+const REPORT_RETRY_DELAY: Duration = Duration::from_millis(100);
+
+/// Maximum number of pending ends, and of pending completions; beyond it the oldest are dropped.
+const MAX_PENDING: usize = 4_096;
+
+#[derive(Debug, Default)]
+struct Report {
+    ends: Vec<(RequestKey, IncarnationHash)>,
+    completed: Vec<RequestKey>,
+}
+
+/// Observations that control has not acknowledged yet.
+#[derive(Debug, Default)]
+pub(crate) struct PendingReports {
+    report: Mutex<Report>,
+    added: Notify,
+}
+
+impl PendingReports {
+    /// Adds an end of an endpoint during a request.
+    pub(crate) fn add_end(&self, end: (RequestKey, IncarnationHash)) {
+        self.add(|report| report.ends.push(end));
+    }
+
+    /// Adds a suspected request that has completed.
+    pub(crate) fn add_completed(&self, request: RequestKey) {
+        self.add(|report| report.completed.push(request));
+    }
+
+    fn add(&self, add: impl FnOnce(&mut Report)) {
+        let mut report = self.lock();
+        add(&mut report);
+        report.drop_oldest();
+        self.added.notify_one();
+    }
+
+    fn take(&self) -> Report {
+        std::mem::take(&mut *self.lock())
+    }
+
+    /// Puts a failed report back, before the observations that have been added since.
+    fn put_back(&self, earlier: Report) {
+        let mut report = self.lock();
+        let mut later = std::mem::replace(&mut *report, earlier);
+        report.ends.append(&mut later.ends);
+        report.completed.append(&mut later.completed);
+        report.drop_oldest();
+        self.added.notify_one();
+    }
+
+    fn lock(&self) -> MutexGuard<'_, Report> {
+        self.report.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
+
+impl Report {
+    fn drop_oldest(&mut self) {
+        let too_many = self.ends.len().saturating_sub(MAX_PENDING);
+        self.ends.drain(..too_many);
+        let too_many = self.completed.len().saturating_sub(MAX_PENDING);
+        self.completed.drain(..too_many);
+    }
+
+    fn message(&self, instance: &str) -> NoteSuspects {
+        let ends = self.ends.iter().map(|(request, endpoint)| SuspectEnd {
+            request: request.to_string().into(),
+            endpoint: *endpoint,
+        });
+        let completed = self.completed.iter();
+        NoteSuspects {
+            instance: instance.into(),
+            ends: ends.collect(),
+            completed: completed
+                .map(|request| request.to_string().into())
+                .collect(),
+        }
+    }
+}
+
+/// Reports ends and completions to control as they occur, until the task is aborted.
+pub(crate) async fn run(client: Client, instance: Box<str>, routing: Arc<RoutingState>) {
+    let pending = &routing.suspects.pending_reports;
+    loop {
+        pending.added.notified().await;
+        sleep(BATCH_DELAY).await;
+        let report = pending.take();
+        if let Err(cause) = report_to_any(&client, &routing, &report.message(&instance)).await {
+            warn!(
+                Part::Gateway,
+                "Could not tell control of ends under requests.",
+                ends = report.ends.len(),
+                completed = report.completed.len(),
+                cause = cause
+            );
+            pending.put_back(report);
+            sleep(REPORT_RETRY_DELAY).await;
+        }
+    }
+}
+
+/// Reports to the first control instance that answers, or returns the last failure.
+async fn report_to_any(
+    client: &Client,
+    routing: &RoutingState,
+    message: &NoteSuspects,
+) -> Result<(), String> {
+    let mut last = "no control instance is known".to_owned();
+    for address in routing.control.load().iter() {
+        let reported = client.call(address, NOTE_SUSPECTS_PATH, message, REPORT_TIMEOUT);
+        let reported: Result<SuspectsNoted, _> = reported.await;
+        match reported {
+            Ok(_noted) => return Ok(()),
+            Err(cause) => last = format!("{address}: {cause}"),
+        }
+    }
+    Err(last)
+}
--- a/crates/state/src/routing.rs
+++ b/crates/state/src/routing.rs
@@ -1,8 +1,8 @@
-//! Keeps the operator's route table and the endpoints that report themselves.
+//! The operator's route table, and the endpoints that report themselves.
 //!
 //! Both are in the log, because an acknowledged table must never be lost, and an endpoint that was acknowledged as
-//! leaving must stay so under every later leader. Reports that only say "still there" are not: the leader keeps them
-//! in memory ([`Heard`]), and a new leader starts by giving every endpoint a whole [`SILENCE`] again.
+//! leaving must stay so under every later leader. Reports that change nothing are not in the log: the leader keeps their
+//! times in memory ([`LastReports`]), and under a new leader every endpoint has a full [`REPORT_TIMEOUT`] again.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -15,80 +15,87 @@
 
 use crate::command::SuspectsCommand;
 
-/// Names an endpoint; one that starts again may keep its name.
+/// The id of an endpoint; an endpoint that restarts may keep its id.
 pub type EndpointId = Box<str>;
 
-/// Unix millisecond of an endpoint's start; none where it does not say.
-pub type Born = Option<u64>;
+/// Start of an endpoint in Unix milliseconds; none if it does not report one.
+pub type StartTime = Option<u64>;
 
-/// Names one start of an endpoint.
+/// One start of an endpoint.
 ///
-/// An incarnation knows nothing of the one before, and counts its reports anew; so whatever is compared or remembered of
-/// an endpoint is that of one incarnation. Of two with the same id the one that was born later is the newer one.
+/// An incarnation knows nothing of the previous one, and its report sequence starts over, so reports are compared only within
+/// one incarnation. Of two incarnations with the same id, the one that started later is the newer one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(from = "WrittenIncarnation")]
+#[serde(from = "StoredIncarnation")]
 pub struct Incarnation {
     /// Endpoint.
     pub id: EndpointId,
     /// When it started.
-    pub born_unix_ms: Born,
+    pub born_unix_ms: StartTime,
 }
 
-/// Reads an incarnation as it stands in logs and snapshots; older ones hold the id alone.
+/// An incarnation as stored in logs and snapshots; older ones hold the id alone.
 #[derive(Deserialize)]
 #[serde(untagged)]
-enum WrittenIncarnation {
+enum StoredIncarnation {
     Id(EndpointId),
-    Whole { id: EndpointId, born_unix_ms: Born },
+    Whole {
+        id: EndpointId,
+        born_unix_ms: StartTime,
+    },
 }
 
-impl From<WrittenIncarnation> for Incarnation {
-    fn from(written: WrittenIncarnation) -> Self {
-        match written {
-            WrittenIncarnation::Id(id) => Self {
+impl From<StoredIncarnation> for Incarnation {
+    fn from(stored: StoredIncarnation) -> Self {
+        match stored {
+            StoredIncarnation::Id(id) => Self {
                 id,
                 born_unix_ms: None,
             },
-            WrittenIncarnation::Whole { id, born_unix_ms } => Self { id, born_unix_ms },
+            StoredIncarnation::Whole { id, born_unix_ms } => Self { id, born_unix_ms },
         }
     }
 }
 
-/// Ended endpoints that are remembered; a late report of one of them changes nothing. Several nights of replacing a
-/// fleet of 1,600 endpoints would be needed to push one out while its reports are still on their way.
+/// Ended incarnations that are kept, so that their late reports are ignored.
+///
+/// It would take several nights of replacing a fleet of 1,600 endpoints to evict one while its reports are in flight.
 const KEEP_RETIRED: usize = 4096;
 
-/// Time without a report after which an endpoint is dropped. Reports come about every second and may be seconds
-/// late; the gateways notice a dead endpoint by its connections long before.
-pub const SILENCE: Duration = Duration::from_secs(8);
+/// Time without a report after which an endpoint is dropped.
+///
+/// Reports come about every second and may be seconds late; the gateways notice a dead endpoint by its connections long
+/// before.
+pub const REPORT_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Time without a report after which an endpoint is dropped whose address another one reports: two reports may be lost.
-pub const REPLACED_SILENCE: Duration = Duration::from_millis(2_500);
+/// Time without a report after which an endpoint is dropped if another one reports its address; two reports may be lost.
+pub const REPLACED_REPORT_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Changes what is known of the endpoints.
+/// A change of the list of endpoints.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointCommand {
-    /// Notes an endpoint as it has reported itself.
-    Note(Endpoint),
-    /// Forgets an incarnation that has ended or is about to; its later reports change nothing. One that does not say when it
-    /// was born means the one that is known.
+    /// Records an endpoint's report of itself.
+    #[serde(rename = "Note")]
+    Report(Endpoint),
+    /// Retires an incarnation that has ended or is about to; its later reports are ignored. Without a start time, the known
+    /// incarnation is meant.
     Retire(Incarnation),
-    /// Drops an endpoint that is silent; a later report brings it back.
+    /// Drops an endpoint that has stopped reporting; a later report adds it again.
     Drop(EndpointId),
 }
 
-/// Holds the route table in force and the endpoints.
+/// The route table in force and the endpoints.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Routing {
     table: Option<Arc<RouteTable>>,
     endpoints: Arc<BTreeMap<EndpointId, Endpoint>>,
-    /// Endpoints at whose address another one has reported itself since, and that other one.
+    /// Endpoints whose address another endpoint has reported since, each with that other endpoint.
     #[serde(default)]
     replaced: BTreeMap<EndpointId, EndpointId>,
     retired: VecDeque<Incarnation>,
-    /// Place in the log of the last change of the endpoints.
+    /// Log index of the last change of the endpoints.
     endpoints_version: u64,
-    /// Requests under which endpoints ended; missing in snapshots of programs that knew none.
+    /// Requests that endpoints were working on when they ended; missing in snapshots of versions before this record.
     #[serde(default)]
     suspects: Arc<Suspects>,
 }
@@ -112,11 +119,11 @@
         self.endpoints_version
     }
 
-    /// Returns the endpoints as a list for the gateways, without those that another one has replaced at their address.
+    /// Returns the endpoints for the gateways, without those that another endpoint has replaced at their address.
     ///
-    /// The load pattern: all engines lose power and come back at their addresses under new ids. The former ones are listed until
-    /// they have been silent for seconds; each gateway would send requests to every one of them to learn that it is gone, and a
-    /// request that may be sent once is lost by that.
+    /// When all engines lose power and come back at their addresses under new ids, the former endpoints stay known until they
+    /// time out. If they were listed, each gateway would find out by sending requests to each of them, and a request that may
+    /// be sent only once would be lost.
     #[must_use]
     pub fn list(&self) -> EndpointList {
         let endpoints = self.endpoints.values();
@@ -127,22 +134,22 @@
         }
     }
 
-    /// Returns whether another endpoint has reported itself at an endpoint's address since, and is still known there.
+    /// Returns whether another endpoint has since reported an endpoint's address, and is still known there.
     fn is_replaced(&self, endpoint: &Endpoint) -> bool {
         let next = self.replaced.get(&endpoint.id);
         let next = next.and_then(|next| self.endpoints.get(next));
         next.is_some_and(|next| next.address == endpoint.address)
     }
 
-    /// Returns the numbers of all endpoints.
+    /// Returns the ids of all endpoints.
     pub fn ids(&self) -> impl Iterator<Item = &EndpointId> {
         self.endpoints.keys()
     }
 
-    /// Returns whether a report changes anything beyond being heard.
+    /// Returns whether a report changes anything but the time of the last report.
     #[must_use]
-    pub fn is_news(&self, report: &Endpoint) -> bool {
-        if self.is_of_the_past(report) || self.contradicts(report) {
+    pub fn is_change(&self, report: &Endpoint) -> bool {
+        if self.is_outdated(report) || self.contradicts(report) {
             return false;
         }
         let Some(known) = self.same_incarnation(report) else {
@@ -153,23 +160,23 @@
         if is_late || drains_again {
             return false;
         }
-        // How long an endpoint is still warming up runs down by itself, so a new value of it is no news.
+        // The remaining warm-up time counts down by itself, so a new value of it is no change.
         known.state != report.state
             || known.software_version != report.software_version
             || known.slots != report.slots
     }
 
-    /// Returns whether a report is of an incarnation that has ended, or that a newer one has followed.
+    /// Returns whether a report is from an incarnation that has ended or has been followed by a newer one.
     #[must_use]
-    pub fn is_of_the_past(&self, report: &Endpoint) -> bool {
+    pub fn is_outdated(&self, report: &Endpoint) -> bool {
         let known = self.endpoints.get(&report.id);
         let is_followed = known.is_some_and(|known| known.born_unix_ms > report.born_unix_ms);
         is_followed || self.is_retired(&report.id, report.born_unix_ms)
     }
 
-    /// Returns whether a report tells what the incarnation that it names can't have become: another writer has sent it.
+    /// Returns whether a report contradicts what is fixed for its incarnation, so that another process must have sent it.
     ///
-    /// A process does not move to another address or service while it runs. Taken in, such a report would take a sound endpoint out.
+    /// A process keeps its address and service while it runs. Accepting such a report would remove a healthy endpoint.
     #[must_use]
     pub fn contradicts(&self, report: &Endpoint) -> bool {
         self.same_incarnation(report).is_some_and(|known| {
@@ -184,16 +191,16 @@
         known.filter(|known| known.born_unix_ms == report.born_unix_ms)
     }
 
-    /// Returns whether the end of an incarnation, or of one that followed it, was noted already.
+    /// Returns whether the end of an incarnation, or of a later one, is already recorded.
     #[must_use]
-    pub fn is_retired(&self, id: &str, born: Born) -> bool {
+    pub fn is_retired(&self, id: &str, born: StartTime) -> bool {
         let mut ends = self.retired.iter();
         ends.any(|ended| *ended.id == *id && born <= ended.born_unix_ms)
     }
 
-    /// Returns the incarnation that an end means: the one that it names, or else the one that is known.
+    /// Returns the incarnation that an end refers to: the one with its start time, or without one the known incarnation.
     #[must_use]
-    pub fn meant(&self, end: &Incarnation) -> Incarnation {
+    pub fn resolve(&self, end: &Incarnation) -> Incarnation {
         let known = self.endpoints.get(&end.id);
         let born = known.and_then(|known| known.born_unix_ms);
         Incarnation {
@@ -202,7 +209,7 @@
         }
     }
 
-    /// Puts a table in force if its number is higher than any before; returns the number in force.
+    /// Puts a table in force if its number is the highest so far; returns the number in force.
     pub fn put_table(&mut self, table: RouteTable) -> u64 {
         if table.number > self.table_number() {
             self.table = Some(Arc::new(table));
@@ -210,24 +217,24 @@
         self.table_number()
     }
 
-    /// Returns the requests under which endpoints ended.
+    /// Returns the record of requests that endpoints were working on when they ended.
     #[must_use]
     pub fn suspects(&self) -> &Suspects {
         &self.suspects
     }
 
-    /// Notes ends under requests at a place in the log, and returns the requests that are held from now on.
-    pub fn note_suspects(&mut self, index: u64, command: &SuspectsCommand) -> Vec<RequestKey> {
+    /// Records at a log index which requests endpoints ended under, and returns the requests that are newly held.
+    pub fn record_suspects(&mut self, index: u64, command: &SuspectsCommand) -> Vec<RequestKey> {
         let held_before = self.suspects.held().clone();
         let suspects = Arc::make_mut(&mut self.suspects);
         suspects.record(index, &command.ends, &command.completed);
         suspects.held().difference(&held_before).copied().collect()
     }
 
-    /// Applies a change of the endpoints at a place in the log.
+    /// Applies a change of the endpoints at a log index.
     pub fn apply(&mut self, index: u64, command: EndpointCommand) {
         let changes = match command {
-            EndpointCommand::Note(endpoint) => self.note(endpoint),
+            EndpointCommand::Report(endpoint) => self.record_report(endpoint),
             EndpointCommand::Retire(incarnation) => self.retire(&incarnation),
             EndpointCommand::Drop(id) => self.forget(&id),
         };
@@ -236,21 +243,21 @@
         }
     }
 
-    fn note(&mut self, endpoint: Endpoint) -> bool {
-        if !self.is_news(&endpoint) {
+    fn record_report(&mut self, endpoint: Endpoint) -> bool {
+        if !self.is_change(&endpoint) {
             return false;
         }
         if self.same_incarnation(&endpoint).is_none() {
-            self.note_replaced(&endpoint);
+            self.record_replaced(&endpoint);
         }
         Arc::make_mut(&mut self.endpoints).insert(endpoint.id.clone(), endpoint);
         true
     }
 
-    /// Notes the endpoints that a new one replaces: two processes can't listen at one address.
+    /// Records the endpoints that a new one replaces: two processes can't listen on one address.
     ///
-    /// A late report of a replaced one, which is still known, does not turn this round.
-    fn note_replaced(&mut self, new: &Endpoint) {
+    /// A late report of a replaced endpoint that is still known does not reverse this.
+    fn record_replaced(&mut self, new: &Endpoint) {
         self.replaced.remove(&new.id);
         let others = self.endpoints.values();
         let replaced = others.filter(|other| other.address == new.address && other.id != new.id);
@@ -266,7 +273,7 @@
     }
 
     fn retire(&mut self, end: &Incarnation) -> bool {
-        let ended = self.meant(end);
+        let ended = self.resolve(end);
         if self.is_retired(&ended.id, ended.born_unix_ms) {
             return false;
         }
@@ -283,15 +290,15 @@
     }
 }
 
-/// Holds when the leader last heard of each endpoint.
+/// The times at which the leader last received a report of each endpoint.
 #[derive(Debug, Default)]
-pub struct Heard {
+pub struct LastReports {
     last: BTreeMap<EndpointId, Duration>,
 }
 
-impl Heard {
-    /// Notes a report.
-    pub fn note(&mut self, now: Duration, id: &str) {
+impl LastReports {
+    /// Records the time of a report.
+    pub fn record(&mut self, now: Duration, id: &str) {
         if let Some(last) = self.last.get_mut(id) {
             *last = now;
         } else {
@@ -299,7 +306,7 @@
         }
     }
 
-    /// Returns the endpoints that have been silent for too long; one that was never heard counts from now on.
+    /// Returns the endpoints whose reports have timed out; for one without a report yet, the time starts now.
     pub fn silent(&mut self, now: Duration, routing: &Routing) -> Vec<EndpointId> {
         let listed: BTreeSet<&EndpointId> = routing.ids().collect();
         self.last.retain(|id, _| listed.contains(id));
@@ -317,16 +324,16 @@
             let last = self.last[&endpoint.id];
             let is_replaced = newest[&endpoint.address] > last;
             let longest = if is_replaced {
-                REPLACED_SILENCE
+                REPLACED_REPORT_TIMEOUT
             } else {
-                SILENCE
+                REPORT_TIMEOUT
             };
             now >= last + longest
         });
         silent.map(|endpoint| endpoint.id.clone()).collect()
     }
 
-    /// Forgets everything, as when leadership ends.
+    /// Clears all times, for the end of a leader's term.
     pub fn clear(&mut self) {
         self.last.clear();
     }
