--- a/crates/gateway/src/peer_updates.rs
+++ b/crates/gateway/src/peer_updates.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use futures::future::join_all;
-use hinge_link::{Client, ClusterKey, unary};
+use hinge_link::{Client, ClusterKey, serve_call};
 use hinge_schema::routing::{RoutesUpdate, WatchRoutes};
 use hinge_telemetry::info;
 use hinge_telemetry::log::Part;
@@ -122,7 +122,7 @@
         let (key, routing) = (key.clone(), Arc::clone(&routing));
         async move {
             let answer = async |query: WatchRoutes| Ok(routing.changes_since(&query));
-            unary(&key, request, answer).await
+            serve_call(&key, request, answer).await
         }
     };
     Router::new()
--- a/crates/outcome/tests/machines.rs
+++ b/crates/outcome/tests/state_machines.rs
@@ -1,26 +1,26 @@
-//! Checks the machines of an attempt and of a run under arbitrary orders of events.
+//! Tests the state machines of an attempt and of a run with arbitrary sequences of events.
 
 use std::time::Duration;
 
 use hinge_cases::cases;
 use hinge_outcome::{
-    Attempt, AttemptState, Event, Holder, Outcome, Reason, Run, RunEvent, RunState, RunTable, Step,
-    Verdict, run::RunMemory, sidecar_id,
+    Attempt, AttemptState, Event, GrantId, Outcome, Reason, Run, RunEvent, RunState, RunTable,
+    Step, Verdict, run::RunRetention, sidecar_id,
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 const NO_WAIT: Duration = Duration::ZERO;
-const HOLDER: Holder = holder(1, 1);
+const GRANT: GrantId = grant_id(1, 1);
 
-const fn holder(sidecar: u64, incarnation: u64) -> Holder {
-    Holder {
+const fn grant_id(sidecar: u64, incarnation: u64) -> GrantId {
+    GrantId {
         sidecar,
         incarnation,
         claim: 7,
     }
 }
 
-fn never(reason: Reason) -> Verdict {
+fn never_handed_over(reason: Reason) -> Verdict {
     Verdict::NeverHandedOver {
         reason,
         retry_after: NO_WAIT,
@@ -34,7 +34,7 @@
     }
 }
 
-fn refused(reason: Reason) -> Event {
+fn offer_refused(reason: Reason) -> Event {
     let retry_after = NO_WAIT;
     Event::OfferRefused {
         reason,
@@ -59,30 +59,30 @@
         let (small, answer_bytes) = (u64::arbitrary(g) % 3, u64::arbitrary(g) % 5);
         let (bytes, retry_after) = (answer_bytes, NO_WAIT);
         let verdicts = [
-            never(reason),
+            never_handed_over(reason),
             Verdict::Running { answer_bytes },
             Verdict::Completed { answer_bytes },
             Verdict::Failed { reason },
             Verdict::Unknown,
         ];
-        let said = verdict(small, *g.choose(&verdicts).expect("verdicts"));
+        let reported = verdict(small, *g.choose(&verdicts).expect("verdicts"));
         let events = [
             Event::OfferSent,
-            refused(reason),
-            Event::Granted(holder(small, small)),
-            Event::Granted(HOLDER),
+            offer_refused(reason),
+            Event::Granted(grant_id(small, small)),
+            Event::Granted(GRANT),
             Event::BindSent,
-            Event::LinkLost(small),
-            said,
-            said,
-            Event::AskFailed,
+            Event::ExchangeBroken(small),
+            reported,
+            reported,
+            Event::VerdictUnavailable,
             Event::ResumeRefused,
             Event::Head,
             Event::Chunk { bytes },
             Event::Chunk { bytes },
             Event::End,
             Event::AnswerBroken(reason),
-            Event::CallerGone,
+            Event::CallerDisconnected,
             Event::Deadline { retry_after },
             Event::GiveUp {
                 reason,
@@ -93,18 +93,18 @@
     }
 }
 
-/// Replays the events beside a plain record of what was sent, passed and proven, and checks the outcome against it.
+/// Applies the events and tracks separately what was sent, passed on and proven, then checks the outcome against that.
 fn outcome_is_proven(events: Vec<AnyEvent>) -> bool {
-    let mut attempt = Attempt::open();
+    let mut attempt = Attempt::new();
     let (mut bound, mut head, mut settled) = (None, false, None);
     for AnyEvent(event) in events {
         let before = attempt.state();
-        let step = attempt.on(event);
+        let step = attempt.apply(event);
         if let (Event::BindSent, AttemptState::Granted(to)) = (event, before) {
             bound = Some(to);
         }
         head |= event == Event::Head && step == Step::Pass;
-        let Step::Settle { outcome, .. } = step else {
+        let Step::Finish { outcome, .. } = step else {
             let is_quiet = settled.is_none() || matches!(step, Step::Wait | Step::Release(_));
             if !is_quiet || settled != attempt.outcome() {
                 return false;
@@ -112,15 +112,17 @@
             continue;
         };
         let is_proven = match outcome {
-            Outcome::NotRun { .. } => !head && bound.is_none_or(|to| is_vouched(event, to)),
+            Outcome::NotRun { .. } => {
+                !head && bound.is_none_or(|to| is_proof_of_not_run(event, to))
+            }
             Outcome::Completed => head && matches!(event, Event::End | Event::Verdict { .. }),
             Outcome::Unknown { .. } => bound.is_some(),
         };
         let repeats = |idempotent| {
             attempt
-                .tried(idempotent, 1)
+                .finished(idempotent, 1)
                 .expect("an outcome")
-                .is_repeatable()
+                .is_retryable()
         };
         let may_repeat = outcome.is_not_run() || !head;
         if !is_proven
@@ -135,7 +137,7 @@
     true
 }
 
-fn is_vouched(event: Event, to: Holder) -> bool {
+fn is_proof_of_not_run(event: Event, to: GrantId) -> bool {
     matches!(event, Event::Verdict { incarnation, verdict: Verdict::NeverHandedOver { .. } } if incarnation == to.incarnation)
 }
 
@@ -160,15 +162,15 @@
     }
 }
 
-/// Checks that "never handed over" is said only before, and never followed by, a hand-over; `None` asks the run.
-fn run_keeps_its_word(needs_key: bool, events: Vec<AnyRunEvent>) -> bool {
-    let mut run = Run::open(needs_key);
+/// Checks that "never handed over" is never reported after a hand-over or followed by one; `None` asks the run.
+fn never_handed_over_is_final(needs_key: bool, events: Vec<AnyRunEvent>) -> bool {
+    let mut run = Run::new(needs_key);
     let (mut handed_over, mut claimed, mut denied) = (false, false, false);
     for AnyRunEvent(event) in events {
         match event {
-            None => denied |= matches!(run.ask(), Verdict::NeverHandedOver { .. }),
+            None => denied |= matches!(run.verdict_or_withdraw(), Verdict::NeverHandedOver { .. }),
             Some(event) => {
-                let done = run.on(event).is_ok();
+                let done = run.apply(event).is_ok();
                 claimed |= done && event == RunEvent::KeyClaimed;
                 handed_over |= done && event == RunEvent::HandedOver;
             }
@@ -181,41 +183,44 @@
     true
 }
 
-/// Returns an attempt that is bound to [`HOLDER`].
+/// Returns an attempt that is bound to [`GRANT`].
 fn bound() -> Attempt {
-    let mut attempt = Attempt::open();
-    for event in [Event::OfferSent, Event::Granted(HOLDER), Event::BindSent] {
-        attempt.on(event);
+    let mut attempt = Attempt::new();
+    for event in [Event::OfferSent, Event::Granted(GRANT), Event::BindSent] {
+        attempt.apply(event);
     }
     attempt
 }
 
-fn broken_link((said, want): (Event, Option<Outcome>)) {
+fn verdict_after_break((reported, want): (Event, Option<Outcome>)) {
     let mut attempt = bound();
-    assert_eq!(attempt.on(Event::LinkLost(1)), Step::Ask(HOLDER));
-    attempt.on(said);
+    assert_eq!(
+        attempt.apply(Event::ExchangeBroken(1)),
+        Step::AskVerdict(GRANT)
+    );
+    attempt.apply(reported);
     assert_eq!(attempt.outcome(), want);
 }
 
-const LOST: Outcome = Outcome::Unknown {
+const UNKNOWN_SIDECAR_LOST: Outcome = Outcome::Unknown {
     reason: Reason::SidecarLost,
 };
-const LEFT: Outcome = Outcome::NotRun {
+const NOT_RUN_LEAVING: Outcome = Outcome::NotRun {
     reason: Reason::Leaving,
     retry_after: NO_WAIT,
 };
 
-/// Returns a checker with a fixed seed, so that every run checks the same cases.
+/// Returns a `QuickCheck` runner with a fixed seed, so that every run tests the same cases.
 fn checker(tests: u64) -> QuickCheck {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, 1))
         .tests(tests)
 }
 
-cases! { broken_link:
-    the_same_incarnation_can_vouch => (verdict(1, never(Reason::Leaving)), Some(LEFT)),
-    another_incarnation_cannot_vouch => (verdict(2, never(Reason::Leaving)), Some(LOST)),
-    an_unanswered_question_is_unknown => (Event::AskFailed, Some(LOST)),
+cases! { verdict_after_break:
+    the_same_incarnation_can_prove_not_run => (verdict(1, never_handed_over(Reason::Leaving)), Some(NOT_RUN_LEAVING)),
+    another_incarnation_proves_nothing => (verdict(2, never_handed_over(Reason::Leaving)), Some(UNKNOWN_SIDECAR_LOST)),
+    a_verdict_that_cannot_be_fetched_is_unknown => (Event::VerdictUnavailable, Some(UNKNOWN_SIDECAR_LOST)),
     a_running_run_is_resumed => (verdict(1, Verdict::Running { answer_bytes: 0 }), None),
 }
 
@@ -223,54 +228,54 @@
     any_order_of_events_gives_one_proven_outcome => {
         checker(20_000).quickcheck(outcome_is_proven as fn(Vec<AnyEvent>) -> bool);
     }
-    a_run_that_was_denied_is_never_handed_over => {
-        checker(5_000).quickcheck(run_keeps_its_word as fn(bool, Vec<AnyRunEvent>) -> bool);
+    a_withdrawn_run_is_never_handed_over => {
+        checker(5_000).quickcheck(never_handed_over_is_final as fn(bool, Vec<AnyRunEvent>) -> bool);
     }
-    a_whole_answer_completes_and_a_lost_end_is_made_good => {
+    an_answer_completes_despite_a_break_and_a_lost_end => {
         let mut attempt = bound();
-        assert_eq!(attempt.on(Event::Head), Step::Pass);
-        assert_eq!(attempt.on(Event::Chunk { bytes: 4 }), Step::Pass);
-        attempt.on(Event::LinkLost(1));
-        let resume = Step::Resume { holder: HOLDER, offset: 4, has_head: true };
-        assert_eq!(attempt.on(verdict(1, Verdict::Completed { answer_bytes: 9 })), resume);
-        attempt.on(Event::Chunk { bytes: 5 });
-        attempt.on(Event::LinkLost(1));
-        attempt.on(verdict(1, Verdict::Completed { answer_bytes: 9 }));
+        assert_eq!(attempt.apply(Event::Head), Step::Pass);
+        assert_eq!(attempt.apply(Event::Chunk { bytes: 4 }), Step::Pass);
+        attempt.apply(Event::ExchangeBroken(1));
+        let resume = Step::Resume { grant: GRANT, offset: 4, has_head: true };
+        assert_eq!(attempt.apply(verdict(1, Verdict::Completed { answer_bytes: 9 })), resume);
+        attempt.apply(Event::Chunk { bytes: 5 });
+        attempt.apply(Event::ExchangeBroken(1));
+        attempt.apply(verdict(1, Verdict::Completed { answer_bytes: 9 }));
         assert_eq!(attempt.outcome(), Some(Outcome::Completed));
     }
     a_late_grant_is_released => {
-        let late = holder(2, 4);
-        assert_eq!(bound().on(Event::Granted(late)), Step::Release(late));
+        let late = grant_id(2, 4);
+        assert_eq!(bound().apply(Event::Granted(late)), Step::Release(late));
     }
     a_lost_grant_leaves_the_other_offers => {
-        let mut attempt = Attempt::open();
-        for event in [Event::OfferSent, Event::OfferSent, Event::Granted(HOLDER)] {
-            attempt.on(event);
+        let mut attempt = Attempt::new();
+        for event in [Event::OfferSent, Event::OfferSent, Event::Granted(GRANT)] {
+            attempt.apply(event);
         }
-        assert_eq!(attempt.on(Event::LinkLost(1)), Step::Wait);
-        assert_eq!(attempt.on(refused(Reason::Leaving)), Step::OfferMore);
+        assert_eq!(attempt.apply(Event::ExchangeBroken(1)), Step::Wait);
+        assert_eq!(attempt.apply(offer_refused(Reason::Leaving)), Step::OfferMore);
     }
-    a_forgotten_run_reads_as_unknown => {
-        let mut table = RunTable::open(RunMemory { max_ended: 2, keep: Duration::from_secs(10) });
+    a_forgotten_run_is_reported_as_unknown => {
+        let mut table = RunTable::new(RunRetention { max_ended: 2, keep: Duration::from_secs(10) });
         let given_up = given_up(Reason::Leaving);
         let claims: Vec<_> = (0..3).map(|_| table.grant(false)).collect();
         for claim in &claims {
-            let ended = table.on(*claim, given_up, Duration::from_secs(1));
-            assert_eq!(ended, Ok(RunState::Ended(never(Reason::Leaving))));
+            let ended = table.apply(*claim, given_up, Duration::from_secs(1));
+            assert_eq!(ended, Ok(RunState::Ended(never_handed_over(Reason::Leaving))));
         }
-        assert_eq!(table.ask(claims[0], Duration::from_secs(2)), Verdict::Unknown);
-        assert_eq!(table.ask(claims[2], Duration::from_secs(11)), never(Reason::Leaving));
-        assert_eq!(table.ask(claims[2], Duration::from_secs(12)), Verdict::Unknown);
+        assert_eq!(table.verdict_or_withdraw(claims[0], Duration::from_secs(2)), Verdict::Unknown);
+        assert_eq!(table.verdict_or_withdraw(claims[2], Duration::from_secs(11)), never_handed_over(Reason::Leaving));
+        assert_eq!(table.verdict_or_withdraw(claims[2], Duration::from_secs(12)), Verdict::Unknown);
         assert_eq!((table.live_len(), table.ended_len()), (0, 0));
     }
-    a_bind_after_the_question_is_refused => {
-        let mut table = RunTable::open(RunMemory::default());
+    a_bind_after_the_run_is_withdrawn_is_refused => {
+        let mut table = RunTable::new(RunRetention::default());
         let claim = table.grant(false);
-        assert_eq!(table.ask(claim, NO_WAIT), never(Reason::SidecarLost));
-        let late = table.on(claim, RunEvent::Bound, NO_WAIT).expect_err("the run is withdrawn");
-        assert_eq!(late.state, Some(RunState::Ended(never(Reason::SidecarLost))));
+        assert_eq!(table.verdict_or_withdraw(claim, NO_WAIT), never_handed_over(Reason::SidecarLost));
+        let late = table.apply(claim, RunEvent::Bound, NO_WAIT).expect_err("the run is withdrawn");
+        assert_eq!(late.state, Some(RunState::Ended(never_handed_over(Reason::SidecarLost))));
     }
-    names_are_stable => {
+    serialized_names_are_stable => {
         for reason in Reason::ALL {
             let json = serde_json::to_string(reason).expect("a reason has a name");
             assert_eq!(json, format!("\"{reason}\""));
