--- a/crates/link/tests/exchange.rs
+++ b/crates/link/tests/exchange.rs
@@ -1,11 +1,12 @@
-//! Checks calls and exchanges over a real connection, and the frame reader over broken streams.
+//! Tests calls and exchanges over a real connection, and the frame reader with invalid streams.
 
 use std::time::Duration;
 
 use bytes::Bytes;
 use hinge_cases::{async_cases, cases};
 use hinge_link::{
-    CallError, Client, ClusterKey, FrameError, FrameReader, Limits, Server, encode, exchange, unary,
+    CallError, Client, ClusterKey, FrameError, FrameReader, Limits, Server, encode, serve_call,
+    serve_exchange,
 };
 use hinge_schema::messages::{AskVerdict, Cancel, FetchConfig, Verdict, VerdictReply};
 use http_body_util::Full;
@@ -19,12 +20,12 @@
     Router::new()
         .post("/ask", move |request: Request| {
             let key = for_ask.clone();
-            async move { unary(&key, request, answer).await }
+            async move { serve_call(&key, request, answer).await }
         })
         .post("/echo", move |request: Request| {
             let key = for_echo.clone();
             async move {
-                exchange(&key, request, |mut reader, sender| async move {
+                serve_exchange(&key, request, |mut reader, sender| async move {
                     while let Ok(Some(message)) = reader.next::<Cancel>().await {
                         if sender.send(&message).await.is_err() {
                             break;
@@ -61,19 +62,19 @@
     a_peer_with_another_key_is_refused => {
         let server = Server::bind("127.0.0.1:0", router(&ClusterKey::derive(b"one")), Limits::default()).await.expect("a free port exists");
         let address = server.local_address().to_string();
-        let stranger = Client::new(ClusterKey::derive(b"two"));
-        let refused = stranger.call::<_, VerdictReply>(&address, "/ask", &question(), WAIT).await;
+        let other_key_client = Client::new(ClusterKey::derive(b"two"));
+        let refused = other_key_client.call::<_, VerdictReply>(&address, "/ask", &question(), WAIT).await;
         assert!(matches!(refused, Err(CallError::Status(status)) if status == 401));
-        assert!(matches!(stranger.open(&address, "/echo", WAIT).await, Err(CallError::Status(status)) if status == 401));
+        assert!(matches!(other_key_client.open(&address, "/echo", WAIT).await, Err(CallError::Status(status)) if status == 401));
     }
-    a_call_to_nobody_is_proved_not_sent => {
+    a_call_to_a_closed_port_is_reported_as_not_sent => {
         let server = Server::bind("127.0.0.1:0", Router::new(), Limits::default()).await.expect("a free port exists");
         let address = server.local_address().to_string();
         assert!(server.stop(WAIT).await);
         let error = Client::new(ClusterKey::derive(b"one")).call::<_, VerdictReply>(&address, "/ask", &question(), WAIT).await;
         assert!(error.expect_err("nobody listens").is_not_sent());
     }
-    a_server_goes_on_when_its_handle_is_dropped => {
+    a_server_keeps_running_when_its_handle_is_dropped => {
         let key = ClusterKey::derive(b"one");
         let server = Server::bind("127.0.0.1:0", router(&key), Limits::default()).await.expect("a free port exists");
         let address = server.local_address().to_string();
