--- a/crates/ctl/src/values.rs
+++ b/crates/ctl/src/values.rs
@@ -1,4 +1,4 @@
-//! EffectiveConfig values of a configuration, by their dotted paths.
+//! Effective values of a configuration, by their dotted paths.
 
 use std::collections::BTreeMap;
 
