--- a/crates/codegen/src/plain.rs
+++ b/crates/codegen/src/types_only.rs
@@ -1,12 +1,12 @@
-//! Takes out of a schema what the generated types don't hold.
+//! Reduces a schema to what the generated types express.
 //!
 //! Ranges, formats and defaults are checked and filled in by `hinge-config`, which reads the same schema files. The types
-//! stay plain integers and text, so that other crates need no conversions to use them.
+//! remain plain integers and strings, so that other crates can use them without conversions.
 
 use schemars::schema::InstanceType;
 use serde_json::{Map, Value};
 
-/// Types that stand for a format; text without a format comes first.
+/// Rust types of the formats; the first entry is for strings without a format.
 pub const CONVERSIONS: &[(InstanceType, Option<&str>, &str)] = &[
     (InstanceType::String, None, "::std::boxed::Box<str>"),
     (
@@ -45,10 +45,10 @@
     ),
 ];
 
-/// Keywords that `hinge-config` checks.
-const CHECKED: &[&str] = &["minimum", "maximum", "maxItems", "minLength", "default"];
+/// Keywords that `hinge-config` checks or applies, so the generated types ignore them.
+const VALIDATION_KEYWORDS: &[&str] = &["minimum", "maximum", "maxItems", "minLength", "default"];
 
-/// Removes the checked keywords, and makes each property with a default a required one.
+/// Removes the validation keywords, and makes each property with a default required.
 pub fn keep_types_only(schema: &mut Value) {
     let definitions = schema
         .get_mut("definitions")
@@ -56,30 +56,30 @@
         .into_iter()
         .flatten();
     for (_, definition) in definitions {
-        strip(definition);
+        strip_validation(definition);
     }
 }
 
-fn strip(schema: &mut Value) {
+fn strip_validation(schema: &mut Value) {
     let Some(object) = schema.as_object_mut() else {
         return;
     };
     require_defaults(object);
-    for keyword in CHECKED {
+    for keyword in VALIDATION_KEYWORDS {
         object.remove(*keyword);
     }
-    // A type that stands for a format knows its own values.
+    // The Rust type of a format defines the allowed values itself.
     if object.contains_key("format") {
         object.remove("enum");
     }
     for key in ["items", "additionalProperties"] {
         if let Some(part) = object.get_mut(key) {
-            strip(part);
+            strip_validation(part);
         }
     }
     let properties = object.get_mut("properties").and_then(Value::as_object_mut);
     for (_, property) in properties.into_iter().flatten() {
-        strip(property);
+        strip_validation(property);
     }
 }
 
@@ -87,18 +87,18 @@
     let Some(properties) = object.get("properties").and_then(Value::as_object) else {
         return;
     };
-    let filled: Vec<Value> = properties
+    let defaulted: Vec<Value> = properties
         .iter()
         .filter(|(_, property)| property.get("default").is_some())
         .map(|(name, _)| Value::from(name.as_str()))
         .collect();
-    if filled.is_empty() {
+    if defaulted.is_empty() {
         return;
     }
     let required = object
         .entry("required")
         .or_insert_with(|| Value::Array(Vec::new()));
     if let Some(required) = required.as_array_mut() {
-        required.extend(filled);
+        required.extend(defaulted);
     }
 }
--- a/crates/schema/src/lib.rs
+++ b/crates/schema/src/lib.rs
@@ -1,6 +1,6 @@
-//! Holds the messages between the fleet's processes, generated from the JSON Schema files in `schema/`.
+//! The fleet's messages and settings, generated from the JSON Schema files in `schema/`.
 //!
-//! On the wire each message is a map with named fields, so that an older process skips what it does not know. After a change
+//! On the wire each message is a map with named fields, so that an older process skips fields that it does not know. After a change
 //! to a schema file run `cargo run -p hinge-codegen --example generate`; CI compares the result with the committed code.
 
 pub mod messages;
--- a/crates/schema/src/messages.rs
+++ b/crates/schema/src/messages.rs
@@ -1,4 +1,4 @@
-//! Holds the messages between the fleet's processes.
+//! The messages between the fleet's processes.
 
 #![expect(
     missing_docs,
--- a/crates/schema/src/operator.rs
+++ b/crates/schema/src/operator.rs
@@ -1,4 +1,4 @@
-//! Holds the operators' files.
+//! The files of the operators' folder.
 
 #![expect(
     missing_docs,
--- a/crates/schema/src/routing.rs
+++ b/crates/schema/src/routing.rs
@@ -1,4 +1,4 @@
-//! Holds routes, services, teams and endpoints, and the messages that carry them.
+//! Routes, services, teams and endpoints, and the messages that carry them.
 
 #![expect(
     missing_docs,
--- a/crates/schema/src/settings.rs
+++ b/crates/schema/src/settings.rs
@@ -1,4 +1,4 @@
-//! Holds the settings of a process.
+//! The settings of a process.
 
 #![expect(
     missing_docs,
--- a/crates/schema/tests/wire.rs
+++ b/crates/schema/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Checks that messages of other versions and broken messages are met on the wire.
+//! Checks that decoders skip unknown fields of newer versions, and do not panic on malformed messages.
 
 use hinge_cases::cases;
 use hinge_schema::messages::{AskVerdict, FromSidecar, ToSidecar, Update};
