--- a/crates/admission/src/server.rs
+++ b/crates/admission/src/server.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use hinge_link::{ClusterKey, FrameReader, FrameSender, Limits, ServerHandle, exchange};
-use hinge_schema::routing::{AskLoad, EngineLoad, TeamUse};
+use hinge_schema::routing::{AskLoad, EngineLoad, TeamTokens};
 use hinge_telemetry::info;
 use hinge_telemetry::log::Part;
 use hinge_telemetry::metrics::Registry;
@@ -361,7 +361,7 @@
         unread_tokens: load.unread_tokens,
         waiting_tokens: load.waiting_tokens,
         teams: teams
-            .map(|(team, tokens)| TeamUse {
+            .map(|(team, tokens)| TeamTokens {
                 team: team.into(),
                 tokens: tokens as u64,
             })
--- a/crates/control/src/routing_calls.rs
+++ b/crates/control/src/routing_calls.rs
@@ -9,8 +9,9 @@
 
 use hinge_link::ClusterKey;
 use hinge_schema::routing::{
-    AskTable, CurrentTable, Endpoint, EndpointNoted, MeetGateways, NearbyGateways, PutTable,
-    ReportEndpoint, RetireEndpoint, RouteTable, RoutesUpdate, SuspectList, TableHeld, WatchRoutes,
+    AskTable, CurrentTable, Endpoint, EndpointReply, MeetGateways, NearbyGateways, PutTable,
+    PutTableReply, ReportEndpoint, RetireEndpoint, RouteTable, RoutesUpdate, SuspectList,
+    WatchRoutes,
 };
 use hinge_state::{Command, EndpointCommand, Incarnation, Reply, Routing};
 use hinge_telemetry::log::Part;
@@ -84,7 +85,7 @@
     pub async fn put_table(&self, table: RouteTable) -> Result<u64, RoutingUnavailable> {
         let message = PutTable { table };
         let answered = answer_or_forward(self.core()?, PUT_TABLE, message, put_as_leader).await;
-        let held: TableHeld = answered.map_err(unavailable)?;
+        let held: PutTableReply = answered.map_err(unavailable)?;
         Ok(held.number)
     }
 
@@ -110,7 +111,7 @@
     ) -> Result<EndpointReportOutcome, RoutingUnavailable> {
         let message = ReportEndpoint { endpoint };
         let answered = answer_or_forward(self.core()?, REPORT, message, report_as_leader).await;
-        let noted: EndpointNoted = answered.map_err(unavailable)?;
+        let noted: EndpointReply = answered.map_err(unavailable)?;
         Ok(match noted.refused {
             Some(cause) => EndpointReportOutcome::Refused(cause),
             None => EndpointReportOutcome::Accepted(noted.leader),
@@ -146,7 +147,7 @@
             born_unix_ms: incarnation.born_unix_ms,
         };
         let answered = answer_or_forward(self.core()?, RETIRE, message, retire_as_leader).await;
-        let _noted: EndpointNoted = answered.map_err(unavailable)?;
+        let _noted: EndpointReply = answered.map_err(unavailable)?;
         Ok(())
     }
 
@@ -169,11 +170,11 @@
     add_leader_call(router, RETIRE, key, core, retire, retire_as_leader)
 }
 
-async fn put(core: Arc<Core>, message: PutTable) -> Result<TableHeld, StatusCode> {
+async fn put(core: Arc<Core>, message: PutTable) -> Result<PutTableReply, StatusCode> {
     answer_or_forward(core, PUT_TABLE, message, put_as_leader).await
 }
 
-async fn put_as_leader(core: Arc<Core>, message: PutTable) -> Result<TableHeld, StatusCode> {
+async fn put_as_leader(core: Arc<Core>, message: PutTable) -> Result<PutTableReply, StatusCode> {
     let asked = message.table.number;
     let command = Command::PutTable(Box::new(message.table));
     match core.propose(command).await {
@@ -184,7 +185,7 @@
                 number = asked,
                 in_force = number
             );
-            Ok(TableHeld { number })
+            Ok(PutTableReply { number })
         }
         Ok(_other) => Err(StatusCode::INTERNAL_SERVER_ERROR),
         Err(refused) => {
@@ -211,14 +212,14 @@
     })
 }
 
-async fn report(core: Arc<Core>, message: ReportEndpoint) -> Result<EndpointNoted, StatusCode> {
+async fn report(core: Arc<Core>, message: ReportEndpoint) -> Result<EndpointReply, StatusCode> {
     answer_or_forward(core, REPORT, message, report_as_leader).await
 }
 
 async fn report_as_leader(
     core: Arc<Core>,
     message: ReportEndpoint,
-) -> Result<EndpointNoted, StatusCode> {
+) -> Result<EndpointReply, StatusCode> {
     if !matches!(core.leadership(), Leadership::Local(_)) {
         return Err(UNAVAILABLE);
     }
@@ -226,7 +227,7 @@
     let view = core.driver.view.load();
     let routing = &view.routing;
     if routing.contradicts(&endpoint) {
-        return Ok(EndpointNoted {
+        return Ok(EndpointReply {
             refused: Some(CONTRADICTORY_REPORT.into()),
             ..noted(&core)
         });
@@ -251,14 +252,14 @@
     Ok(noted(&core))
 }
 
-async fn retire(core: Arc<Core>, message: RetireEndpoint) -> Result<EndpointNoted, StatusCode> {
+async fn retire(core: Arc<Core>, message: RetireEndpoint) -> Result<EndpointReply, StatusCode> {
     answer_or_forward(core, RETIRE, message, retire_as_leader).await
 }
 
 async fn retire_as_leader(
     core: Arc<Core>,
     message: RetireEndpoint,
-) -> Result<EndpointNoted, StatusCode> {
+) -> Result<EndpointReply, StatusCode> {
     let incarnation = Incarnation {
         id: message.id,
         born_unix_ms: message.born_unix_ms,
@@ -282,8 +283,8 @@
     proposed.map(|_done| ()).map_err(|_refused| UNAVAILABLE)
 }
 
-fn noted(core: &Core) -> EndpointNoted {
-    EndpointNoted {
+fn noted(core: &Core) -> EndpointReply {
+    EndpointReply {
         leader: core.address.clone(),
         refused: None,
     }
--- a/crates/control/src/suspect_calls.rs
+++ b/crates/control/src/suspect_calls.rs
@@ -5,7 +5,7 @@
 use hinge_link::ClusterKey;
 use hinge_routing::{IncarnationHash, RequestKey, Suspects};
 use hinge_schema::messages::{AskSuspects, SuspectRecords, SuspectsReply};
-use hinge_schema::routing::{NoteSuspects, SuspectEnd, SuspectsNoted};
+use hinge_schema::routing::{ReportSuspects, ReportSuspectsReply, SuspectEnd};
 use hinge_state::{Command, Reply, SuspectsCommand};
 use hinge_telemetry::log::Part;
 use hinge_telemetry::{info, warn};
@@ -31,20 +31,20 @@
     add_leader_call(router, SUSPECTS, key, core, note, note_as_leader)
 }
 
-async fn note(core: Arc<Core>, message: NoteSuspects) -> Result<SuspectsNoted, StatusCode> {
+async fn note(core: Arc<Core>, message: ReportSuspects) -> Result<ReportSuspectsReply, StatusCode> {
     answer_or_forward(core, SUSPECTS, message, note_as_leader).await
 }
 
 async fn note_as_leader(
     core: Arc<Core>,
-    message: NoteSuspects,
-) -> Result<SuspectsNoted, StatusCode> {
+    message: ReportSuspects,
+) -> Result<ReportSuspectsReply, StatusCode> {
     let command = {
         let view = core.driver.view.load();
         new_records(&message, view.routing.suspects())?
     };
     if command.ends.is_empty() && command.completed.is_empty() {
-        return Ok(SuspectsNoted {});
+        return Ok(ReportSuspectsReply {});
     }
     let proposed = core.propose(Command::Suspects(command)).await;
     let reply = proposed.map_err(|_refused| StatusCode::SERVICE_UNAVAILABLE)?;
@@ -58,7 +58,7 @@
             );
         }
     }
-    Ok(SuspectsNoted {})
+    Ok(ReportSuspectsReply {})
 }
 
 /// Lists for an operator the requests that endpoints ended under, after releasing one if asked to.
@@ -91,7 +91,7 @@
 /// # Errors
 ///
 /// Returns a status when a key can't be parsed.
-fn new_records(message: &NoteSuspects, known: &Suspects) -> Result<SuspectsCommand, StatusCode> {
+fn new_records(message: &ReportSuspects, known: &Suspects) -> Result<SuspectsCommand, StatusCode> {
     let bad = |_not_a_key| StatusCode::BAD_REQUEST;
     let ends: Result<Vec<_>, _> = message.ends.iter().map(read_end).collect();
     let completed: Result<Vec<RequestKey>, _> =
--- a/crates/control/tests/roles/fleet.rs
+++ b/crates/control/tests/roles/fleet.rs
@@ -11,7 +11,7 @@
     Announce, Apply, ApplyReply, AskStatus, ConfigFile, Role, Status, StatusReply,
 };
 use hinge_schema::routing::{
-    CallerLimits, PutTable, RouteTable, RoutesUpdate, TableHeld, WatchRoutes,
+    CallerLimits, PutTable, PutTableReply, RouteTable, RoutesUpdate, WatchRoutes,
 };
 use hinge_telemetry::metrics::Registry;
 use serde::Serialize;
@@ -236,7 +236,7 @@
     /// Sends a table to an instance, and returns whether it or a newer one is in force afterwards.
     pub async fn try_put_table(&self, name: &str, number: u64) -> bool {
         let put = self
-            .call::<_, TableHeld>(name, "/v1/routes/put", &table(number))
+            .call::<_, PutTableReply>(name, "/v1/routes/put", &table(number))
             .await;
         put.is_ok_and(|held| held.number >= number)
     }
--- a/crates/gateway/src/suspect_reports.rs
+++ b/crates/gateway/src/suspect_reports.rs
@@ -6,7 +6,7 @@
 use hinge_control::NOTE_SUSPECTS_PATH;
 use hinge_link::Client;
 use hinge_routing::{IncarnationHash, RequestKey};
-use hinge_schema::routing::{NoteSuspects, SuspectEnd, SuspectsNoted};
+use hinge_schema::routing::{ReportSuspects, ReportSuspectsReply, SuspectEnd};
 use hinge_telemetry::log::Part;
 use hinge_telemetry::warn;
 use tokio::sync::Notify;
@@ -84,13 +84,13 @@
         self.completed.drain(..too_many);
     }
 
-    fn message(&self, instance: &str) -> NoteSuspects {
+    fn message(&self, instance: &str) -> ReportSuspects {
         let ends = self.ends.iter().map(|(request, endpoint)| SuspectEnd {
             request: request.to_string().into(),
             endpoint: *endpoint,
         });
         let completed = self.completed.iter();
-        NoteSuspects {
+        ReportSuspects {
             instance: instance.into(),
             ends: ends.collect(),
             completed: completed
@@ -125,12 +125,12 @@
 async fn report_to_any(
     client: &Client,
     routing: &RoutingState,
-    message: &NoteSuspects,
+    message: &ReportSuspects,
 ) -> Result<(), String> {
     let mut last = "no control instance is known".to_owned();
     for address in routing.control.load().iter() {
         let reported = client.call(address, NOTE_SUSPECTS_PATH, message, REPORT_TIMEOUT);
-        let reported: Result<SuspectsNoted, _> = reported.await;
+        let reported: Result<ReportSuspectsReply, _> = reported.await;
         match reported {
             Ok(_noted) => return Ok(()),
             Err(cause) => last = format!("{address}: {cause}"),
