--- a/crates/outcome/examples/key_cost.rs
+++ b/crates/outcome/examples/key_cost.rs
@@ -1,25 +1,27 @@
-//! Measures what a key costs in memory and in a snapshot: `cargo run --release -p hinge-outcome --example key_cost`.
+//! Measures the bytes that a key takes in memory and in a snapshot.
+//!
+//! Run with `cargo run --release -p hinge-outcome --example key_cost`.
 
 use std::{error, fs};
 
 use hinge_outcome::{
-    Holder,
+    GrantId,
     keys::{KeyRules, KeyTable, key_digest},
 };
 
-/// Keys in the table; as many as the default bound allows.
+/// Number of keys in the table, the default limit.
 const KEYS: u32 = 100_000;
 
-/// Teams that share them, as many as the target size has.
+/// Number of teams that share the keys, as in a fleet of the target size.
 const TEAMS: u32 = 1500;
 
 fn main() -> Result<(), Box<dyn error::Error>> {
     let rules = KeyRules::default();
     let before_bytes = resident_bytes()?;
-    let mut table = KeyTable::open();
+    let mut table = KeyTable::new();
     for index in 0..KEYS {
         let team = format!("team-{:04}", index % TEAMS);
-        let holder = Holder {
+        let holder = GrantId {
             sidecar: u64::from(index) << 20,
             incarnation: 1_700_000_000_000,
             claim: u64::from(index),
--- a/crates/sidecar/src/dispatch.rs
+++ b/crates/sidecar/src/dispatch.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use hinge_fair::{Class, FreeSlots, Limits, Offer, Picked, Queue};
-use hinge_outcome::run::RunMemory;
+use hinge_outcome::run::RunRetention;
 use hinge_outcome::{ClaimId, Reason, RunEvent, RunState, RunTable, Verdict};
 use hinge_placement::slots::{Availability, Demand, EngineReport, SlotRules, Slots};
 use hinge_schema::messages::NotRunReason;
@@ -51,7 +51,7 @@
         Self {
             slots: Slots::new(with_common_slot(rules)),
             queue: Queue::new(limits),
-            runs: RunTable::open(RunMemory::default()),
+            runs: RunTable::new(RunRetention::default()),
             tracked: HashMap::new(),
             by_request: HashMap::new(),
             by_claim: HashMap::new(),
@@ -177,7 +177,7 @@
         event: RunEvent,
         now: Duration,
     ) -> Result<RunState, Verdict> {
-        match self.runs.on(claim, event, now) {
+        match self.runs.apply(claim, event, now) {
             Ok(state) => Ok(state),
             Err(error) => match error.state {
                 Some(RunState::Ended(verdict)) => Err(verdict),
@@ -244,7 +244,7 @@
     /// would get its prompts processed for free. When the endpoint fails, only what has streamed is charged.
     pub fn cancel(&mut self, claim: ClaimId, now: Duration) -> Verdict {
         let Some(offer_id) = self.by_claim.get(&claim).copied() else {
-            return self.runs.ask(claim, now);
+            return self.runs.verdict_or_withdraw(claim, now);
         };
         let tracked = self.tracked.get(&offer_id);
         let cost_so_far = tracked.map_or(0, |tracked| tracked.cost_so_far(now));
@@ -259,7 +259,7 @@
 
     /// Returns the verdict of a run; asking withdraws a grant whose whole request has not arrived.
     pub fn ask_verdict(&mut self, claim: ClaimId, now: Duration) -> Verdict {
-        let verdict = self.runs.ask(claim, now);
+        let verdict = self.runs.verdict_or_withdraw(claim, now);
         if !matches!(verdict, Verdict::NeverHandedOver { .. }) {
             return verdict;
         }
