--- a/crates/cases/src/lib.rs
+++ b/crates/cases/src/lib.rs
@@ -1,4 +1,4 @@
-//! Provides the macros that name each test case.
+//! Macros for tests with many named cases.
 //!
 //! Two forms exist. A table form runs one function over many inputs, and a block form gives each case its own body:
 //!
@@ -34,8 +34,8 @@
 
 /// Expands to one `#[tokio::test]` function for each named case; the crate that uses it depends on `tokio`.
 ///
-/// The cases run on virtual time: the clock stands still and jumps to the next timer when every task waits. Use
-/// [`async_cases!`] with the word `real` first for cases that wait on sockets of other processes.
+/// The cases run with a paused clock, which jumps to the next timer when all tasks are idle. Cases that wait for sockets
+/// of other processes need the real clock: begin them with the word `real`.
 #[macro_export]
 macro_rules! async_cases {
     (real $($name:ident => $body:block)+) => {
--- a/crates/cases/tests/cases.rs
+++ b/crates/cases/tests/cases.rs
@@ -1,4 +1,4 @@
-//! Checks that the macros expand to running tests.
+//! Tests that the macros expand to tests that run.
 
 use hinge_cases::cases;
 
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,6 +1,6 @@
-//! Provides stand-ins for what stands outside the fleet: a model engine and a plain service.
+//! Test doubles for what lies outside the fleet: a model engine and a plain HTTP service.
 //!
-//! With the feature `process`, it also starts the daemon's binary for tests.
+//! With the feature `process`, the crate also starts the daemon's binary for tests.
 
 #[cfg(feature = "process")]
 pub mod process;
--- a/crates/fakes/src/process.rs
+++ b/crates/fakes/src/process.rs
@@ -1,4 +1,4 @@
-//! Starts, watches and kills one process of the daemon, by its id.
+//! Starts, observes and kills a process of the daemon, by its process id.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -15,23 +15,23 @@
 use tokio::process::{Child, Command};
 use tokio::sync::watch;
 
-/// Far longer than any step takes; a test that runs into it has failed.
+/// Time that a test waits for one step; far longer than any step takes, so reaching it fails the test.
 pub const LONGEST_STEP: Duration = Duration::from_mins(1);
 
-/// Time between two looks at a condition.
+/// Time between two checks of a condition.
 pub const POLL: Duration = Duration::from_millis(20);
 
-/// Words with which the language's runtime tells of a panic.
+/// Text with which the Rust runtime reports a panic.
 const PANICKED: &str = "panicked at";
 
-/// Holds the panics that processes wrote of.
+/// The panics that processes reported on standard error; clones share one list.
 #[derive(Debug, Clone, Default)]
 pub struct Panics {
     lines: Arc<Mutex<Vec<String>>>,
 }
 
 impl Panics {
-    /// Returns them in their order.
+    /// Returns the reports in the order in which they were read, each after its process's role.
     #[must_use]
     pub fn lines(&self) -> Vec<String> {
         self.lock().clone()
@@ -42,7 +42,7 @@
     }
 }
 
-/// Holds one running process and what it logged.
+/// A running process and what it has logged.
 #[derive(Debug)]
 pub struct Process {
     binary: PathBuf,
@@ -64,7 +64,7 @@
         Self::spawn_noting(binary, role, settings, Panics::default())
     }
 
-    /// Does the same, and notes where the process, or one that is started again from it, says that it panicked.
+    /// Does the same as [`Self::spawn`], and adds panics of the process and of its restarts to a list.
     ///
     /// # Panics
     ///
@@ -81,24 +81,24 @@
             .kill_on_drop(true)
             .spawn()
             .expect("the binary starts");
-        let (sender, log) = watch::channel(String::new());
+        let (log_sender, log) = watch::channel(String::new());
         let mut lines = BufReader::new(child.stdout.take().expect("stdout is piped")).lines();
         tokio::spawn(async move {
             while let Ok(Some(line)) = lines.next_line().await {
-                sender.send_modify(|log| {
+                log_sender.send_modify(|log| {
                     log.push_str(&line);
                     log.push('\n');
                 });
             }
         });
         let mut errors = BufReader::new(child.stderr.take().expect("stderr is piped")).lines();
-        let found = panics.clone();
+        let recorded = panics.clone();
         let name = role.to_owned();
         tokio::spawn(async move {
             while let Ok(Some(line)) = errors.next_line().await {
                 eprintln!("{name}: {line}");
                 if line.contains(PANICKED) {
-                    found.lock().push(format!("{name}: {line}"));
+                    recorded.lock().push(format!("{name}: {line}"));
                 }
             }
         });
@@ -112,13 +112,13 @@
         }
     }
 
-    /// Starts the process again, with the settings that it had and an empty log.
+    /// Starts the process again, with the same settings and an empty log.
     pub fn restart(&mut self) {
         let panics = self.panics.clone();
         *self = Self::spawn_noting(&self.binary, &self.role, self.settings.clone(), panics);
     }
 
-    /// Kills the process, and starts it again.
+    /// Kills the process and starts it again.
     ///
     /// # Panics
     ///
@@ -128,35 +128,35 @@
         self.restart();
     }
 
-    /// Waits until this version of the configuration is in force.
+    /// Waits until the process logs that this version of the configuration is in force.
     ///
     /// # Panics
     ///
-    /// Panics when it does not come into force in time.
+    /// Panics when the version does not come into force in time.
     pub async fn in_force(&mut self, version: u64) {
         self.logged(&format!("Configuration is in force. version={version}\n"))
             .await;
     }
 
-    /// Returns the versions that came into force since the process started, in their order.
+    /// Returns the versions of the configuration that came into force since the process started, in order.
     ///
     /// # Panics
     ///
-    /// Panics when a record names no version.
+    /// Panics when a log line names no version.
     pub fn versions(&self) -> Vec<u64> {
         let log = self.log.borrow();
         let records = log.split("Configuration is in force. version=").skip(1);
         let versions = records.map(|rest| rest.lines().next().and_then(|text| text.parse().ok()));
         versions
             .collect::<Option<_>>()
-            .expect("a record names its version")
+            .expect("a log line names its version")
     }
 
-    /// Waits until a metric, named with its labels, has a value that fits.
+    /// Waits until a metric, named with its labels, has a value that meets a condition.
     ///
     /// # Panics
     ///
-    /// Panics when the metric never fits.
+    /// Panics when the metric does not meet the condition in time.
     pub async fn until_metric(&mut self, name: &str, fits: impl Fn(u64) -> bool) {
         let admin = self.address_after("[admin] Listening. address=").await;
         let http = Client::builder(TokioExecutor::new()).build_http::<Empty<Bytes>>();
@@ -164,11 +164,14 @@
             .parse()
             .expect("an address makes a URI");
         let mut last = String::new();
-        let fitting = async {
+        let condition_met = async {
             loop {
-                let response = http.get(page.clone()).await.expect("the page is served");
+                let response = http
+                    .get(page.clone())
+                    .await
+                    .expect("the metrics page is served");
                 let body = response.into_body().collect().await;
-                let body = body.expect("the page is whole").to_bytes();
+                let body = body.expect("the metrics page is complete").to_bytes();
                 last = String::from_utf8_lossy(&body).into_owned();
                 let value = last.lines().find_map(|line| line.strip_prefix(name));
                 let value = value.and_then(|value| value.trim().parse().ok());
@@ -178,22 +181,24 @@
                 tokio::time::sleep(POLL).await;
             }
         };
-        let is_met = tokio::time::timeout(LONGEST_STEP, fitting).await.is_ok();
+        let is_met = tokio::time::timeout(LONGEST_STEP, condition_met)
+            .await
+            .is_ok();
         assert!(
             is_met,
-            "the metric `{name}` never fitted; the page is:\n{last}"
+            "the metric `{name}` did not meet the condition in time; the page is:\n{last}"
         );
     }
 
-    /// Waits for a text in the log.
+    /// Waits until the log contains a text.
     ///
     /// # Panics
     ///
-    /// Panics when the text never comes.
+    /// Panics when the text is not logged in time.
     pub async fn logged(&mut self, text: &str) {
         let mut log = self.log.clone();
-        let found = tokio::time::timeout(LONGEST_STEP, log.wait_for(|log| log.contains(text)));
-        let is_found = matches!(found.await, Ok(Ok(_)));
+        let recorded = tokio::time::timeout(LONGEST_STEP, log.wait_for(|log| log.contains(text)));
+        let is_found = matches!(recorded.await, Ok(Ok(_)));
         assert!(
             is_found,
             "`{text}` was never logged; the log is:\n{}",
@@ -201,13 +206,13 @@
         );
     }
 
-    /// Returns whether a text is in the log by now.
+    /// Returns whether the log contains a text by now.
     #[must_use]
     pub fn has_logged(&self, text: &str) -> bool {
         self.log.borrow().contains(text)
     }
 
-    /// Returns what the process has logged so far, behind its role.
+    /// Returns what the process has logged so far, after a line with its role and its settings file.
     #[must_use]
     pub fn log(&self) -> String {
         format!(
@@ -226,12 +231,12 @@
     pub async fn address_after(&mut self, text: &str) -> SocketAddr {
         self.logged(text).await;
         let log = self.log.borrow();
-        let rest = log.split(text).nth(1).expect("the text was just found");
+        let rest = log.split(text).nth(1).expect("the text was just recorded");
         let address = rest.split_whitespace().next().expect("an address follows");
         address.parse().expect("an address follows")
     }
 
-    /// Asks the process to stop as planned.
+    /// Asks the process to shut down gracefully, with SIGTERM.
     ///
     /// # Panics
     ///
@@ -240,7 +245,7 @@
         self.signal("TERM");
     }
 
-    /// Asks the process to read its settings again.
+    /// Asks the process to reload its settings, with SIGHUP.
     ///
     /// # Panics
     ///
@@ -249,7 +254,7 @@
         self.signal("HUP");
     }
 
-    /// Stops the process without its knowledge, as a frozen instance.
+    /// Suspends the process with SIGSTOP, which it can't notice, to test an instance that hangs.
     ///
     /// # Panics
     ///
@@ -258,7 +263,7 @@
         self.signal("STOP");
     }
 
-    /// Lets a frozen process go on.
+    /// Resumes a suspended process, with SIGCONT.
     ///
     /// # Panics
     ///
@@ -267,7 +272,7 @@
         self.signal("CONT");
     }
 
-    /// Kills the process at once.
+    /// Kills the process at once, with SIGKILL.
     ///
     /// # Panics
     ///
@@ -276,11 +281,11 @@
         self.child.kill().await.expect("the process can be killed");
     }
 
-    /// Waits until the process has ended by itself.
+    /// Waits until the process exits by itself.
     ///
     /// # Panics
     ///
-    /// Panics when it does not end in time.
+    /// Panics when it does not exit in time.
     pub async fn ended(&mut self) -> ExitStatus {
         let ended = tokio::time::timeout(LONGEST_STEP, self.child.wait()).await;
         ended
--- a/crates/fakes/src/stand_in.rs
+++ b/crates/fakes/src/stand_in.rs
@@ -1,7 +1,7 @@
-//! Stands in for an endpoint: a model engine with an OpenAI-style interface, and a plain service on every other path.
+//! A test double of an endpoint: a model engine with an OpenAI-style interface, and a plain service on every other path.
 //!
-//! It keeps a record of what ran, by the `x-request-id` header, so that a test can check the claim "not run". Faults are
-//! switched on and off while it runs.
+//! It records what ran by the `x-request-id` header, so that a test can check a claim that a request did not run. Faults
+//! can be switched on and off while it runs.
 
 mod answers;
 mod faults;
@@ -25,26 +25,26 @@
 use orders::Orders;
 use record::Records;
 
-/// Sets how a stand-in behaves.
+/// Settings of a stand-in.
 #[derive(Debug, Clone)]
 pub struct StandInSettings {
     /// Address and port to listen on; port 0 lets the system choose.
     pub listen: Box<str>,
-    /// Requests that run at once; further ones wait inside the stand-in.
+    /// Most requests that run at once; further ones wait inside the stand-in.
     pub slots: u32,
-    /// Tokens that one request generates a second; 0 stands for no pause between tokens.
+    /// Tokens that one request generates per second; 0 means no pause between tokens.
     pub tokens_per_second: u32,
-    /// Time from the start of a run to the head of its answer.
+    /// Time from the start of a run to the head of its response.
     pub first_token: Duration,
     /// Size of the KV cache that `/load` reports, in tokens.
     pub kv_tokens: u64,
     /// Tokens that are generated when the request sets no `max_tokens`.
     pub default_tokens: u32,
-    /// Oldest that the answer of `/load` may be; a real engine's figures lag as well.
+    /// Time for which `/load` repeats the same figures; those of a real engine lag as well.
     pub load_lag: Duration,
-    /// Whether an order with an old fencing number is refused; some engines ignore the number.
+    /// Whether an order with an outdated fencing token is refused; some engines ignore the token.
     pub checks_fence: bool,
-    /// Fault from the start on.
+    /// Fault that is set from the start.
     pub fault: Option<Fault>,
 }
 
@@ -64,7 +64,7 @@
     }
 }
 
-/// What every path of the stand-in shares.
+/// State that the handlers of all paths share.
 #[derive(Debug)]
 struct Shared {
     settings: StandInSettings,
@@ -74,7 +74,7 @@
     orders: Orders,
 }
 
-/// Holds a running stand-in.
+/// A running stand-in.
 #[derive(Debug)]
 pub struct StandIn {
     shared: Arc<Shared>,
@@ -82,7 +82,7 @@
 }
 
 impl StandIn {
-    /// Binds the address and serves from now on.
+    /// Binds the address and starts to serve.
     ///
     /// # Errors
     ///
@@ -106,12 +106,12 @@
         self.server.local_address()
     }
 
-    /// Switches a fault on, or all faults off.
+    /// Sets the fault that later requests meet, or none.
     pub fn set_fault(&self, fault: Option<Fault>) {
         self.shared.faults.set(fault);
     }
 
-    /// Returns what ran so far.
+    /// Returns the record of what has run so far.
     #[must_use]
     pub fn record(&self) -> Record {
         self.shared.records.snapshot()
@@ -122,48 +122,48 @@
         self.shared.records.wait_until(condition).await
     }
 
-    /// Returns the orders that were carried out, the oldest first.
+    /// Returns the orders that were carried out, oldest first.
     #[must_use]
     pub fn orders(&self) -> Vec<AdminOrder> {
         self.shared.orders.done()
     }
 
-    /// Stops accepting, lets open requests end, and returns whether all ended before the deadline.
+    /// Stops accepting connections, lets open requests end, and returns whether all ended before the deadline.
     pub async fn stop(self, deadline: Duration) -> bool {
         self.server.stop(deadline).await
     }
 }
 
 fn routes(shared: &Arc<Shared>) -> Router {
-    let for_load = Arc::clone(shared);
-    let for_record = Arc::clone(shared);
-    let for_order = Arc::clone(shared);
-    let for_chat = Arc::clone(shared);
-    let for_text = Arc::clone(shared);
-    let for_rest = Arc::clone(shared);
+    let load_shared = Arc::clone(shared);
+    let record_shared = Arc::clone(shared);
+    let order_shared = Arc::clone(shared);
+    let chat_shared = Arc::clone(shared);
+    let text_shared = Arc::clone(shared);
+    let plain_shared = Arc::clone(shared);
     Router::new()
         .get("/load", move |_: Request| {
-            let page = for_load.records.load(&for_load.settings);
+            let page = load_shared.records.load(&load_shared.settings);
             async move { viz::Result::Ok(answers::json(&page)) }
         })
         .get("/record", move |_: Request| {
-            let page = for_record.records.snapshot();
+            let page = record_shared.records.snapshot();
             async move { viz::Result::Ok(answers::json(&page)) }
         })
         .post("/admin/order", move |request: Request| {
-            let shared = Arc::clone(&for_order);
-            async move { orders::answer(&shared, request).await }
+            let shared = Arc::clone(&order_shared);
+            async move { orders::handle(&shared, request).await }
         })
         .post("/v1/chat/completions", move |request: Request| {
-            let shared = Arc::clone(&for_chat);
+            let shared = Arc::clone(&chat_shared);
             async move { answers::serve(shared, request, answers::Style::Chat).await }
         })
         .post("/v1/completions", move |request: Request| {
-            let shared = Arc::clone(&for_text);
+            let shared = Arc::clone(&text_shared);
             async move { answers::serve(shared, request, answers::Style::Text).await }
         })
         .any("/*", move |request: Request| {
-            let shared = Arc::clone(&for_rest);
+            let shared = Arc::clone(&plain_shared);
             async move { answers::serve(shared, request, answers::Style::Plain).await }
         })
 }
--- a/crates/fakes/src/stand_in/answers.rs
+++ b/crates/fakes/src/stand_in/answers.rs
@@ -1,4 +1,4 @@
-//! Produces answers.
+//! Answers requests to the model engine and to the plain service.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,16 +16,16 @@
 use super::record::{Running, Waiting};
 use super::{Fault, Shared};
 
-/// Bytes of a prompt that count as one token; about right for English text, and a stand-in needs no better.
+/// Bytes of a prompt that count as one token; roughly right for English text, which is enough for a stand-in.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// Longest body, in bytes; far above what tests and first looks send.
+/// Longest request body, in bytes; far above what tests and demonstrations send.
 const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// Names the request, in both directions.
+/// Header with the id of a request, in the request and in the response.
 const REQUEST_ID: &str = "x-request-id";
 
-/// Says whose interface a path follows.
+/// Interface that a path follows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Style {
     Chat,
@@ -33,7 +33,7 @@
     Plain,
 }
 
-/// What is known of a request once its body is here.
+/// A request whose body has arrived and is ready to run.
 #[derive(Debug)]
 struct Job {
     style: Style,
@@ -42,7 +42,7 @@
     path: Box<str>,
     body_bytes: usize,
     tokens: u32,
-    streams: bool,
+    is_streamed: bool,
 }
 
 impl Job {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Returns the token at this place; it names the request, so that a crossed answer shows.
+    /// Returns the token at an index; it names the request, so that a swapped answer is noticed.
     fn token(&self, index: u32) -> String {
         format!("{}/{index} ", self.request_id)
     }
@@ -86,7 +86,7 @@
         Bytes::from(format!("data: {event}\n\ndata: [DONE]\n\n"))
     }
 
-    fn whole(&self) -> Bytes {
+    fn whole_answer(&self) -> Bytes {
         let text: String = (0..self.tokens).map(|index| self.token(index)).collect();
         let choice = match self.style {
             Style::Chat => {
@@ -108,38 +108,38 @@
         Bytes::from(answer.to_string())
     }
 
-    /// Returns the parts of the body, in order.
+    /// Returns the parts of the response body, in order.
     fn parts(&self) -> Vec<Bytes> {
-        if !self.streams {
-            return vec![self.whole()];
+        if !self.is_streamed {
+            return vec![self.whole_answer()];
         }
         let mut parts: Vec<Bytes> = (0..self.tokens).map(|index| self.event(index)).collect();
         parts.push(self.last_events());
         parts
     }
 
-    /// Returns the time before each part of the body.
-    fn pause(&self, tokens_per_second: u32) -> Duration {
+    /// Returns the delay before each part of the response body.
+    fn part_delay(&self, tokens_per_second: u32) -> Duration {
         if tokens_per_second == 0 || self.style == Style::Plain {
             return Duration::ZERO;
         }
-        let tokens = if self.streams { 1 } else { self.tokens };
+        let tokens = if self.is_streamed { 1 } else { self.tokens };
         Duration::from_secs(1) * tokens / tokens_per_second
     }
 }
 
 pub(super) fn json<T: Serialize>(value: &T) -> Response {
     let body = serde_json::to_vec(value).expect("the stand-in's pages have a JSON form");
-    typed("application/json", Bytes::from(body).into_response())
+    with_content_type("application/json", Bytes::from(body).into_response())
 }
 
-fn typed(content_type: &'static str, mut response: Response) -> Response {
+fn with_content_type(content_type: &'static str, mut response: Response) -> Response {
     let value = HeaderValue::from_static(content_type);
     response.headers_mut().insert(CONTENT_TYPE, value);
     response
 }
 
-/// Runs one request as the fault of the moment lets it.
+/// Runs one request, subject to the fault that is set when it arrives.
 pub(super) async fn serve(
     shared: Arc<Shared>,
     request: Request,
@@ -150,7 +150,7 @@
         let status = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
         return Ok(status.into_response());
     }
-    let Some(job) = read(request, style, shared.settings.default_tokens).await else {
+    let Some(job) = parse_request(request, style, shared.settings.default_tokens).await else {
         return Ok(StatusCode::BAD_REQUEST.into_response());
     };
     let waiting = Waiting::begin(&shared);
@@ -168,21 +168,21 @@
         _ => {}
     }
     let job = if fault == Some(Fault::Crossed) {
-        crossed(job)
+        with_other_request_id(job)
     } else {
         job
     };
     Ok(respond(&shared, &job, fault, running, slot))
 }
 
-fn crossed(job: Job) -> Job {
+fn with_other_request_id(job: Job) -> Job {
     Job {
         request_id: format!("{}-other", job.request_id).into(),
         ..job
     }
 }
 
-async fn read(request: Request, style: Style, default_tokens: u32) -> Option<Job> {
+async fn parse_request(request: Request, style: Style, default_tokens: u32) -> Option<Job> {
     let method = request.method().as_str().into();
     let path = request.uri().path().into();
     let request_id = request.headers().get(REQUEST_ID);
@@ -190,11 +190,11 @@
     let request_id = request_id.into();
     let body = Limited::new(request.into_body(), MAX_BODY_BYTES);
     let body = body.collect().await.ok()?.to_bytes();
-    let asked = match style {
+    let fields = match style {
         Style::Chat | Style::Text => serde_json::from_slice(&body).ok()?,
         Style::Plain => Value::Null,
     };
-    let tokens = asked["max_tokens"].as_u64();
+    let tokens = fields["max_tokens"].as_u64();
     let tokens = tokens.and_then(|tokens| u32::try_from(tokens).ok());
     Some(Job {
         style,
@@ -203,7 +203,7 @@
         path,
         body_bytes: body.len(),
         tokens: tokens.unwrap_or(default_tokens),
-        streams: asked["stream"].as_bool().unwrap_or(false),
+        is_streamed: fields["stream"].as_bool().unwrap_or(false),
     })
 }
 
@@ -214,46 +214,46 @@
     running: Running,
     slot: Slot,
 ) -> Response {
-    let pause = job.pause(shared.settings.tokens_per_second);
-    let parts = cut(job.parts(), fault);
-    let feed = Feed {
+    let part_delay = job.part_delay(shared.settings.tokens_per_second);
+    let parts = truncate(job.parts(), fault);
+    let stream_state = BodyStream {
         parts: parts.into_iter(),
-        pause,
+        part_delay,
         fault,
         running,
         slot,
     };
-    let body = stream::unfold(Some(feed), Feed::next).boxed();
+    let body = stream::unfold(Some(stream_state), BodyStream::next).boxed();
     let body = Body::wrap(StreamBody::new(body));
-    let content_type = if job.streams {
+    let content_type = if job.is_streamed {
         "text/event-stream"
     } else {
         "application/json"
     };
-    let mut response = typed(content_type, Response::new(body));
+    let mut response = with_content_type(content_type, Response::new(body));
     if let Ok(id) = HeaderValue::from_str(&job.request_id) {
         response.headers_mut().insert(REQUEST_ID, id);
     }
     response
 }
 
-/// Keeps the bytes that the fault lets through.
-fn cut(parts: Vec<Bytes>, fault: Option<Fault>) -> Vec<Bytes> {
+/// Truncates the parts to the bytes that the fault lets through.
+fn truncate(parts: Vec<Bytes>, fault: Option<Fault>) -> Vec<Bytes> {
     let Some(Fault::Cut { after_bytes } | Fault::Stall { after_bytes }) = fault else {
         return parts;
     };
     let mut left = after_bytes;
-    let mut kept = Vec::new();
+    let mut sent = Vec::new();
     for mut part in parts {
         part.truncate(left);
         left -= part.len();
-        kept.push(part);
+        sent.push(part);
     }
-    kept.retain(|part| !part.is_empty());
-    kept
+    sent.retain(|part| !part.is_empty());
+    sent
 }
 
-/// Gives a slot of the stand-in back when the answer has ended or its reader is gone.
+/// A slot that a request occupies; it is released when the answer has ended or its reader is gone.
 #[derive(Debug)]
 struct Slot(Arc<Shared>);
 
@@ -263,37 +263,44 @@
     }
 }
 
-/// Feeds the body of one answer.
+/// State of one response body while it is streamed.
 #[derive(Debug)]
-struct Feed {
+struct BodyStream {
     parts: std::vec::IntoIter<Bytes>,
-    pause: Duration,
+    part_delay: Duration,
     fault: Option<Fault>,
     running: Running,
     slot: Slot,
 }
 
-impl Feed {
-    async fn next(feed: Option<Self>) -> Option<(std::io::Result<Frame<Bytes>>, Option<Self>)> {
-        let mut feed = feed?;
-        if feed.parts.len() == 1 && feed.fault == Some(Fault::HoldEnd) {
-            feed.slot.0.faults.over(Fault::HoldEnd).await;
+impl BodyStream {
+    async fn next(
+        stream_state: Option<Self>,
+    ) -> Option<(std::io::Result<Frame<Bytes>>, Option<Self>)> {
+        let mut stream_state = stream_state?;
+        if stream_state.parts.len() == 1 && stream_state.fault == Some(Fault::HoldEnd) {
+            stream_state
+                .slot
+                .0
+                .faults
+                .wait_until_cleared(Fault::HoldEnd)
+                .await;
         }
-        if let Some(part) = feed.parts.next() {
-            if !feed.pause.is_zero() {
-                tokio::time::sleep(feed.pause).await;
+        if let Some(part) = stream_state.parts.next() {
+            if !stream_state.part_delay.is_zero() {
+                tokio::time::sleep(stream_state.part_delay).await;
             }
-            return Some((Ok(Frame::data(part)), Some(feed)));
+            return Some((Ok(Frame::data(part)), Some(stream_state)));
         }
-        match feed.fault {
+        match stream_state.fault {
             Some(Fault::Cut { .. }) => {
-                // The connection writes what it holds only while the body has nothing more for it.
+                // The connection flushes its buffer only while the body is pending.
                 tokio::task::yield_now().await;
                 Some((Err(std::io::ErrorKind::ConnectionReset.into()), None))
             }
             Some(Fault::Stall { .. }) => std::future::pending().await,
             _ => {
-                feed.running.complete();
+                stream_state.running.complete();
                 None
             }
         }
--- a/crates/fakes/src/stand_in/faults.rs
+++ b/crates/fakes/src/stand_in/faults.rs
@@ -1,25 +1,25 @@
-//! Holds the fault that the stand-in shows.
+//! The fault that the stand-in simulates.
 
 use std::time::Duration;
 
 use tokio::sync::watch;
 
-/// Says how the stand-in fails; requests that begin while it is set are hit.
+/// A way in which the stand-in fails; it affects requests that arrive while it is set.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     /// Takes the request and never answers.
     Hang,
-    /// Breaks the connection after this many bytes of the answer's body.
+    /// Resets the connection after this many bytes of the response body.
     Cut {
-        /// Bytes that are still sent.
+        /// Bytes of the body that are sent.
         after_bytes: usize,
     },
-    /// Sends this many bytes of the answer's body, and then nothing more.
+    /// Sends this many bytes of the response body and then nothing more, with the connection open.
     Stall {
-        /// Bytes that are still sent.
+        /// Bytes of the body that are sent.
         after_bytes: usize,
     },
-    /// Holds the last part of the answer's body back until another fault, or none, is set.
+    /// Withholds the last part of the response body until another fault, or none, is set.
     HoldEnd,
     /// Answers with this status before running anything.
     Status {
@@ -28,37 +28,37 @@
     },
     /// Waits before the answer begins.
     Slow {
-        /// How long.
+        /// Length of the wait.
         delay: Duration,
     },
-    /// Answers with the answer of another request.
+    /// Sends the answer of another request.
     Crossed,
 }
 
 #[derive(Debug)]
 pub(super) struct Faults {
-    now: watch::Sender<Option<Fault>>,
+    current: watch::Sender<Option<Fault>>,
 }
 
 impl Faults {
     pub(super) fn new(fault: Option<Fault>) -> Self {
         Self {
-            now: watch::Sender::new(fault),
+            current: watch::Sender::new(fault),
         }
     }
 
     pub(super) fn set(&self, fault: Option<Fault>) {
-        self.now.send_replace(fault);
+        self.current.send_replace(fault);
     }
 
     pub(super) fn get(&self) -> Option<Fault> {
-        *self.now.borrow()
+        *self.current.borrow()
     }
 
-    /// Waits until this fault is no longer set.
-    pub(super) async fn over(&self, fault: Fault) {
-        let mut now = self.now.subscribe();
-        let told = now.wait_for(|now| *now != Some(fault)).await;
-        assert!(told.is_ok(), "the sender is held here");
+    /// Waits until another fault, or none, is set.
+    pub(super) async fn wait_until_cleared(&self, fault: Fault) {
+        let mut current = self.current.subscribe();
+        let cleared = current.wait_for(|current| *current != Some(fault)).await;
+        assert!(cleared.is_ok(), "the sender is held here");
     }
 }
--- a/crates/fakes/src/stand_in/orders.rs
+++ b/crates/fakes/src/stand_in/orders.rs
@@ -1,4 +1,4 @@
-//! Takes orders as a model engine's admin interface does.
+//! Carries out orders, as the admin interface of a model engine does.
 
 use std::sync::{Mutex, PoisonError};
 
@@ -8,15 +8,15 @@
 
 use super::{Shared, answers};
 
-/// Longest order, in bytes.
+/// Longest body of an order, in bytes.
 const MAX_ORDER_BYTES: usize = 64 * 1024;
 
-/// Tells the endpoint what to do; the body of `POST /admin/order`.
+/// An order to the endpoint; the body of `POST /admin/order`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdminOrder {
     /// Number of the order.
     pub order_id: u64,
-    /// Fencing number.
+    /// Fencing token.
     pub fence: u64,
     /// What to do, such as `load_model`.
     pub kind: Box<str>,
@@ -45,8 +45,8 @@
         done.clone()
     }
 
-    /// Carries an order out; returns whether its number was good enough.
-    fn take(&self, order: AdminOrder) -> bool {
+    /// Carries out an order, and returns false when its fencing token is outdated.
+    fn carry_out(&self, order: AdminOrder) -> bool {
         let mut done = self.done.lock().unwrap_or_else(PoisonError::into_inner);
         let highest = done.iter().map(|done| done.fence).max().unwrap_or(0);
         if self.checks_fence && order.fence < highest {
@@ -57,7 +57,7 @@
     }
 }
 
-pub(super) async fn answer(shared: &Shared, request: Request) -> viz::Result<Response> {
+pub(super) async fn handle(shared: &Shared, request: Request) -> viz::Result<Response> {
     let Ok(body) = Limited::new(request.into_body(), MAX_ORDER_BYTES)
         .collect()
         .await
@@ -67,7 +67,7 @@
     let Ok(order) = serde_json::from_slice::<AdminOrder>(&body.to_bytes()) else {
         return Ok(StatusCode::BAD_REQUEST.into_response());
     };
-    if shared.orders.take(order) {
+    if shared.orders.carry_out(order) {
         Ok(answers::json(&serde_json::json!({ "done": true })))
     } else {
         Ok(StatusCode::CONFLICT.into_response())
--- a/crates/fakes/src/stand_in/record.rs
+++ b/crates/fakes/src/stand_in/record.rs
@@ -1,4 +1,4 @@
-//! Records what ran.
+//! Records which requests ran, and the current load.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -18,34 +18,34 @@
     pub completed: u32,
 }
 
-/// Says what ran so far.
+/// Requests that have run so far, and the current load.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Runs by the `x-request-id` header; requests without one count under the empty text.
+    /// Runs by the `x-request-id` header; requests without one are counted under the empty string.
     pub requests: BTreeMap<Box<str>, RunRecord>,
-    /// Requests that run now.
+    /// Requests that are running.
     pub running: u32,
-    /// Requests that wait for a slot of the stand-in.
+    /// Requests that are waiting for a slot of the stand-in.
     pub waiting: u32,
-    /// Tokens in the KV cache now.
+    /// Tokens in the KV cache.
     pub kv_used_tokens: u64,
 }
 
 impl Record {
-    /// Returns how often runs began.
+    /// Returns the number of runs that began.
     #[must_use]
     pub fn begun(&self) -> u32 {
         self.requests.values().map(|run| run.begun).sum()
     }
 
-    /// Returns how often runs completed.
+    /// Returns the number of runs that completed.
     #[must_use]
     pub fn completed(&self) -> u32 {
         self.requests.values().map(|run| run.completed).sum()
     }
 }
 
-/// Answers `/load`.
+/// Response body of `/load`.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub(super) struct Load {
     running: u32,
@@ -56,35 +56,35 @@
 
 #[derive(Debug, Default)]
 pub(super) struct Records {
-    now: watch::Sender<Record>,
+    current: watch::Sender<Record>,
     last_load: Mutex<Option<(Instant, Load)>>,
 }
 
 impl Records {
     pub(super) fn snapshot(&self) -> Record {
-        self.now.borrow().clone()
+        self.current.borrow().clone()
     }
 
     pub(super) async fn wait_until(&self, condition: impl Fn(&Record) -> bool) -> Record {
-        let mut changes = self.now.subscribe();
+        let mut changes = self.current.subscribe();
         let met = changes.wait_for(|record| condition(record)).await;
         met.expect("the sender lives as long as the stand-in")
             .clone()
     }
 
-    /// Returns the load; figures younger than the lag are not taken anew.
+    /// Returns the load; figures younger than the configured lag are repeated.
     pub(super) fn load(&self, settings: &StandInSettings) -> Load {
         let mut last = self
             .last_load
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
-        if let Some((taken, load)) = *last
-            && now.duration_since(taken) < settings.load_lag
+        if let Some((sampled_at, load)) = *last
+            && now.duration_since(sampled_at) < settings.load_lag
         {
             return load;
         }
-        let record = self.now.borrow();
+        let record = self.current.borrow();
         let load = Load {
             running: record.running,
             waiting: record.waiting,
@@ -96,11 +96,11 @@
     }
 
     fn change(&self, apply: impl FnOnce(&mut Record)) {
-        self.now.send_modify(apply);
+        self.current.send_modify(apply);
     }
 }
 
-/// Counts a request that waits for a slot; dropping it ends the wait.
+/// Counts a request that waits for a slot, until it is dropped.
 #[derive(Debug)]
 pub(super) struct Waiting(Arc<super::Shared>);
 
@@ -117,7 +117,7 @@
     }
 }
 
-/// Counts a run; dropping it ends the run, also when the caller went away.
+/// Counts a run until it is dropped, which also happens when the caller disconnects.
 #[derive(Debug)]
 pub(super) struct Running {
     shared: Arc<super::Shared>,
