--- a/crates/burn/src/burn.rs
+++ b/crates/burn/src/burn.rs
@@ -1,8 +1,9 @@
-//! Works out error budgets and burn rates.
+//! Computes error budgets and burn rates.
 //!
-//! The error budget of an objective is the part of its requests that may be bad. The burn rate is the bad part over a window,
-//! divided by the budget: at 1 the budget lasts exactly the budget's period. An alert needs the burn over a long window, so that
-//! it speaks of a real part of the budget, and over a short one, so that it ends soon after the fault does.
+//! The error budget of an objective is the fraction of its requests that may be bad. The burn rate is the fraction of bad
+//! requests in a window, divided by the budget: at 1 the budget lasts exactly its period. An alert needs a high burn rate over
+//! a long window, so that it stands for a significant part of the budget, and over a short one, so that it ends soon after the
+//! fault does.
 
 use std::collections::BTreeMap;
 
@@ -14,66 +15,66 @@
 use crate::outcomes::{Count, Counts, counts, late_waits};
 use crate::recording::Recording;
 
-/// Period for which a budget is granted, in milliseconds: 30 days, the usual period of such objectives.
+/// Period of an error budget, in milliseconds: 30 days, as is usual for service level objectives.
 pub const BUDGET_PERIOD_MS: u64 = 30 * 24 * 60 * 60 * 1000;
 
-/// Part of the whole budget that may be gone within an objective's first, second and further windows before it alerts.
+/// Fraction of the whole budget that may be used within an objective's first, second and further windows before it alerts.
 ///
-/// With the default windows of an hour, six hours and three days these are burn rates of 14.4, 6 and 1: a page while the budget
-/// still lasts two days, a ticket while it lasts five, and a trend that ends with the period.
-const ALERT_BUDGET_PARTS: [f64; 3] = [0.02, 0.05, 0.10];
+/// With the default windows of an hour, six hours and three days these are burn rates of 14.4, 6 and 1: a page when the budget
+/// would last two days, a ticket when it would last five, and a trend when it would last the period.
+const ALERT_BUDGET_FRACTIONS: [f64; 3] = [0.02, 0.05, 0.10];
 
-/// Part of the long window that the short one has; a twelfth of an hour is five minutes, and outlasts a few scrapes.
+/// Length of the long window divided by that of the short one; a twelfth of an hour is five minutes, longer than a few scrapes.
 const SHORT_WINDOW_DIVISOR: u64 = 12;
 
-/// Fewest requests in the long window for an alert; below it, one bad request alone would be a burn of 100.
+/// Fewest requests in the long window for an alert; with fewer, a single bad request could be a burn rate of 100.
 const MIN_REQUESTS: f64 = 10.0;
 
-/// Part of a window that must be recorded before it can alert: less would call an hour what was five minutes.
-const MIN_COVERED: f64 = 0.5;
+/// Fraction of a window that must be recorded before it can alert; otherwise five minutes could be reported as an hour.
+const MIN_COVERED_FRACTION: f64 = 0.5;
 
-/// Most teams, classes and causes that are listed for one objective.
+/// Most combinations of team, class, pool and cause that are listed for one objective.
 const MAX_BURNERS: usize = 10;
 
-/// Most points of a line in a picture; more than one for each four of its pixels would not show.
-const MAX_POINTS: usize = 240;
+/// Most points of a line in the chart; more than one in four pixels would not be visible.
+const MAX_CHART_POINTS: usize = 240;
 
-/// Parts per million in a whole.
+/// The whole in parts per million, the unit of an objective's target.
 const WHOLE_PPM: f64 = 1_000_000.0;
 
-/// Says what to do about a burn rate.
+/// Urgency of an alert.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Level {
-    /// Somebody must act now.
+    /// Someone must act now.
     Page,
-    /// Somebody must act within days.
+    /// Someone must act within days.
     Ticket,
-    /// The budget would not last its period.
+    /// At this rate the budget would not last its period.
     Trend,
 }
 
-/// Reports all objectives.
+/// Report on all objectives.
 #[derive(Debug, Serialize)]
 pub struct BurnReport {
-    /// First page of the recording, in milliseconds since 1970.
+    /// Time of the first page of the recording, in milliseconds since 1970.
     pub from_ms: u64,
-    /// Last page of the recording, in milliseconds since 1970.
+    /// Time of the last page of the recording, in milliseconds since 1970.
     pub to_ms: u64,
     /// Objectives that were measured.
     pub objectives: Vec<ObjectiveReport>,
     /// Objectives that the recording can't measure, with the reason.
     pub unmeasured: Vec<Unmeasured>,
-    /// How well each instance was recorded.
+    /// How completely each instance was recorded.
     pub coverage: Vec<Coverage>,
-    /// Whether the last record of the file was cut.
+    /// Whether the last record of the file was truncated.
     pub is_cut: bool,
     /// Longest sliding window of the histories, in milliseconds.
     #[serde(skip)]
     pub(crate) history_window_ms: u64,
 }
 
-/// Names an objective that the recording can't measure.
+/// An objective that the recording can't measure.
 #[derive(Debug, Serialize)]
 pub struct Unmeasured {
     /// Objective.
@@ -82,56 +83,56 @@
     pub reason: String,
 }
 
-/// Reports one objective.
+/// Report on one objective.
 #[derive(Debug, Serialize)]
 pub struct ObjectiveReport {
     /// Name.
     pub objective: Box<str>,
-    /// What is measured, for whom.
+    /// What is measured, and for which team, class and pool.
     pub description: String,
-    /// Part of the requests that must be good.
+    /// Fraction of the requests that must be good.
     pub target: f64,
-    /// Threshold in force, in seconds, when the histogram has no bound at the objective's own.
+    /// Bucket bound that is used instead of the threshold, in seconds, when the histogram has no bound at the threshold.
     pub measured_at_s: Option<f64>,
-    /// Requests in the recording, up to the budget's period.
+    /// Requests in the recording, within the last period of the budget.
     pub requests: f64,
     /// Bad ones among them.
     pub bad: f64,
-    /// Part of the budget for these requests that is left; negative when it is overdrawn.
+    /// Fraction of the budget for these requests that is left; negative when it is exceeded.
     pub budget_left: Option<f64>,
-    /// Burn over the objective's windows.
+    /// Burn rates over the objective's windows.
     pub windows: Vec<WindowReport>,
-    /// Who burned the most over the longest window.
+    /// Largest contributions to the bad requests of the longest window.
     pub burners: Vec<Burner>,
-    /// Burn rate over time, for pictures.
+    /// Burn rate over time, for the chart.
     #[serde(skip)]
     pub(crate) history: Vec<Point>,
 }
 
-/// Reports one window.
+/// Report on one window.
 #[derive(Debug, Serialize)]
 pub struct WindowReport {
     /// Length of the long window, in milliseconds.
     pub window_ms: u64,
-    /// Part of it that is recorded, in milliseconds.
+    /// Time of it that is recorded, in milliseconds.
     pub covered_ms: u64,
     /// Requests in it.
     pub requests: f64,
     /// Bad ones among them.
     pub bad: f64,
-    /// Burn rate over it; none without requests.
+    /// Burn rate over the long window; none without requests.
     pub burn_rate: Option<f64>,
     /// Length of the short window, in milliseconds.
     pub short_window_ms: u64,
     /// Burn rate over the short window.
     pub short_burn_rate: Option<f64>,
-    /// Burn rate from which both windows alert.
+    /// Burn rate that both windows must reach for an alert.
     pub alert_at: f64,
-    /// Alert, if both windows burn at that rate.
+    /// Alert, if both windows reach that rate.
     pub alert: Option<Level>,
 }
 
-/// Names who burned a budget, and why; parts that the metrics don't tell are empty.
+/// Bad requests of one team, class, pool and cause; fields that the metrics don't have are empty.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Burner {
     /// Team.
@@ -140,22 +141,22 @@
     pub class: Box<str>,
     /// Pool.
     pub pool: Box<str>,
-    /// Why.
+    /// Cause.
     pub cause: Cause,
     /// Bad requests.
     pub bad: f64,
-    /// Part of all bad requests of the window.
+    /// Fraction of all bad requests of the window.
     pub part: f64,
 }
 
-/// Holds the burn rate over the window that ends at one time.
+/// The burn rate over the window that ends at a time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Point {
     pub(crate) at_ms: u64,
     pub(crate) burn_rate: f64,
 }
 
-/// Reports the burn of every objective of a configuration, at the end of the recording.
+/// Returns the burn report on every objective of a configuration, at the end of the recording.
 #[must_use]
 pub fn burn(effective: &Effective, recording: &Recording) -> BurnReport {
     let increments = increments(recording);
@@ -172,10 +173,11 @@
     for (name, objective) in effective.objectives.iter() {
         match counts(objective, &increments) {
             Ok(counts) => {
-                let measure = Measure::new(objective, counts, &increments, (from_ms, to_ms));
+                let measurement =
+                    Measurement::new(objective, counts, &increments, (from_ms, to_ms));
                 let window_ms = history_window(objective, to_ms - from_ms);
                 report.history_window_ms = report.history_window_ms.max(window_ms);
-                report.objectives.push(measure.report(name));
+                report.objectives.push(measurement.report(name));
             }
             Err(reason) => report.unmeasured.push(Unmeasured {
                 objective: name.into(),
@@ -186,8 +188,8 @@
     report
 }
 
-/// Holds what one objective's report is made from.
-struct Measure<'o> {
+/// The data from which the report on one objective is computed.
+struct Measurement<'o> {
     objective: &'o Objective,
     counts: Counts,
     late_waits: Option<Counts>,
@@ -195,25 +197,27 @@
     to_ms: u64,
 }
 
-/// Holds the sums over a window.
+/// Number of requests and of bad requests in a window.
 #[derive(Clone, Copy, Debug, Default)]
-struct Sums {
+struct Tally {
     requests: f64,
     bad: f64,
 }
 
-impl<'o> Measure<'o> {
+impl<'o> Measurement<'o> {
     fn new(
         objective: &'o Objective,
         counts: Counts,
         increments: &[Increment<'_>],
         (from_ms, to_ms): (u64, u64),
     ) -> Self {
-        let splits = objective.what == ObjectiveKind::FirstTokenMs;
+        let splits_by_queue = objective.what == ObjectiveKind::FirstTokenMs;
         Self {
             objective,
             counts,
-            late_waits: splits.then(|| late_waits(objective, increments)).flatten(),
+            late_waits: splits_by_queue
+                .then(|| late_waits(objective, increments))
+                .flatten(),
             from_ms,
             to_ms,
         }
@@ -225,8 +229,8 @@
         ObjectiveReport {
             objective: name.into(),
             description: describe(self.objective),
-            target: 1.0 - self.allowed(),
-            measured_at_s: self.lower_bound(),
+            target: 1.0 - self.allowed_bad_fraction(),
+            measured_at_s: self.substituted_bound_s(),
             requests: whole.requests,
             bad: whole.bad,
             budget_left: self.burn_rate(whole).map(|burn_rate| 1.0 - burn_rate),
@@ -238,12 +242,12 @@
         }
     }
 
-    /// Returns the part of the requests that may be bad.
-    fn allowed(&self) -> f64 {
+    /// Returns the fraction of the requests that may be bad.
+    fn allowed_bad_fraction(&self) -> f64 {
         1.0 - f64::from(self.objective.target) / WHOLE_PPM
     }
 
-    fn lower_bound(&self) -> Option<f64> {
+    fn substituted_bound_s(&self) -> Option<f64> {
         let bound_ms = self.counts.bound_s? * 1000.0;
         #[expect(
             clippy::cast_precision_loss,
@@ -253,12 +257,12 @@
         (threshold_ms - bound_ms > 0.5).then_some(bound_ms / 1000.0)
     }
 
-    fn sums(&self, from_ms: u64, to_ms: u64) -> Sums {
+    fn sums(&self, from_ms: u64, to_ms: u64) -> Tally {
         sums(&self.counts.counts, from_ms, to_ms)
     }
 
-    fn burn_rate(&self, sums: Sums) -> Option<f64> {
-        (sums.requests > 0.0).then(|| sums.bad / sums.requests / self.allowed())
+    fn burn_rate(&self, sums: Tally) -> Option<f64> {
+        (sums.requests > 0.0).then(|| sums.bad / sums.requests / self.allowed_bad_fraction())
     }
 
     fn window(&self, index: usize, window_ms: u64) -> WindowReport {
@@ -269,8 +273,9 @@
         let (burn_rate, short_burn_rate) = (self.burn_rate(long), self.burn_rate(short));
         let alert_at = alert_at(index, window_ms);
         let is_over = |rate: Option<f64>| rate.is_some_and(|rate| rate >= alert_at);
-        let is_known = long.requests >= MIN_REQUESTS && ratio(covered_ms, window_ms) >= MIN_COVERED;
-        let alerts = is_known && is_over(burn_rate) && is_over(short_burn_rate);
+        let has_enough_data =
+            long.requests >= MIN_REQUESTS && ratio(covered_ms, window_ms) >= MIN_COVERED_FRACTION;
+        let alerts = has_enough_data && is_over(burn_rate) && is_over(short_burn_rate);
         WindowReport {
             window_ms,
             covered_ms,
@@ -285,24 +290,26 @@
     }
 
     fn burners(&self) -> Vec<Burner> {
-        let longest_ms = self.objective.windows_ms.iter().max().copied();
-        let from_ms = self.to_ms.saturating_sub(longest_ms.unwrap_or_default());
+        let longest_window_ms = self.objective.windows_ms.iter().max().copied();
+        let from_ms = self
+            .to_ms
+            .saturating_sub(longest_window_ms.unwrap_or_default());
         let mut bad: BTreeMap<_, f64> = BTreeMap::new();
         for count in self.counts.counts.iter().filter(|count| count.bad > 0.0) {
-            let part = count.bad * count.part(from_ms, self.to_ms);
+            let part = count.bad * count.fraction_within(from_ms, self.to_ms);
             for (cause, part) in self.causes(count, part, from_ms) {
                 if part > 0.0 {
-                    *bad.entry((&count.who, cause)).or_default() += part;
+                    *bad.entry((&count.origin, cause)).or_default() += part;
                 }
             }
         }
         let whole: f64 = bad.values().sum();
         let mut burners: Vec<_> = bad
             .into_iter()
-            .map(|((who, cause), bad)| Burner {
-                team: who.team.clone(),
-                class: who.class.clone(),
-                pool: who.pool.clone(),
+            .map(|((origin, cause), bad)| Burner {
+                team: origin.team.clone(),
+                class: origin.class.clone(),
+                pool: origin.pool.clone(),
                 cause,
                 bad,
                 part: bad / whole,
@@ -313,7 +320,7 @@
         burners
     }
 
-    /// Divides bad requests by cause.
+    /// Divides bad requests among causes.
     fn causes(&self, count: &Count, bad: f64, from_ms: u64) -> Vec<(Cause, f64)> {
         if let Some(cause) = count.cause {
             return vec![(cause, bad)];
@@ -323,14 +330,14 @@
             ObjectiveKind::BetweenTokensMs => vec![(Cause::Endpoint, bad)],
             ObjectiveKind::AnsweredWhole => vec![(Cause::Unknown, bad)],
             ObjectiveKind::FirstTokenMs => {
-                let queue = bad * self.queue_part(from_ms);
+                let queue = bad * self.queue_fraction(from_ms);
                 vec![(Cause::Queue, queue), (Cause::Endpoint, bad - queue)]
             }
         }
     }
 
-    /// Returns the part of late first tokens that were late already when the endpoint got them.
-    fn queue_part(&self, from_ms: u64) -> f64 {
+    /// Returns the fraction of late first tokens whose requests had already waited too long when an endpoint got them.
+    fn queue_fraction(&self, from_ms: u64) -> f64 {
         let Some(waits) = &self.late_waits else {
             return 0.0;
         };
@@ -343,14 +350,14 @@
         }
     }
 
-    /// Returns the burn rate over a sliding window, at the times of pages.
+    /// Returns the burn rate over a sliding window, at the times of the pages.
     fn history(&self) -> Vec<Point> {
         let window_ms = history_window(self.objective, self.to_ms - self.from_ms);
         let mut times: Vec<_> = self.counts.counts.iter().map(|count| count.to_ms).collect();
         times.sort_unstable();
         times.dedup();
-        let step = times.len().div_ceil(MAX_POINTS).max(1);
-        // The last page is always there: counted from the end, every step-th one is kept.
+        let step = times.len().div_ceil(MAX_CHART_POINTS).max(1);
+        // Thinned from the end, so that the last page is always kept.
         let kept = times.iter().rev().step_by(step).rev();
         let points = kept.filter_map(|at_ms| {
             let at_ms = *at_ms;
@@ -362,26 +369,26 @@
     }
 }
 
-/// Returns the sliding window of a picture: the objective's first, or a tenth of a shorter recording.
+/// Returns the sliding window of the chart: the objective's first window, at most a tenth of the recording.
 fn history_window(objective: &Objective, recorded_ms: u64) -> u64 {
     let first_ms = objective.windows_ms.first().copied().unwrap_or(recorded_ms);
     first_ms.min(recorded_ms / 10).max(1)
 }
 
-fn sums(counts: &[Count], from_ms: u64, to_ms: u64) -> Sums {
-    counts.iter().fold(Sums::default(), |sums, count| {
-        let part = count.part(from_ms, to_ms);
-        Sums {
+fn sums(counts: &[Count], from_ms: u64, to_ms: u64) -> Tally {
+    counts.iter().fold(Tally::default(), |sums, count| {
+        let part = count.fraction_within(from_ms, to_ms);
+        Tally {
             requests: sums.requests + count.total * part,
             bad: sums.bad + count.bad * part,
         }
     })
 }
 
-/// Returns the burn rate at which a window has used its part of the budget.
+/// Returns the burn rate at which a window uses up its fraction of the budget.
 fn alert_at(index: usize, window_ms: u64) -> f64 {
-    let last = ALERT_BUDGET_PARTS.len() - 1;
-    ALERT_BUDGET_PARTS[index.min(last)] * ratio(BUDGET_PERIOD_MS, window_ms)
+    let last = ALERT_BUDGET_FRACTIONS.len() - 1;
+    ALERT_BUDGET_FRACTIONS[index.min(last)] * ratio(BUDGET_PERIOD_MS, window_ms)
 }
 
 fn level(index: usize) -> Level {
--- a/crates/burn/src/burn_text.rs
+++ b/crates/burn/src/burn_text.rs
@@ -1,4 +1,4 @@
-//! Writes the burn report as text.
+//! The burn report as text.
 
 use std::fmt::{self, Display};
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// Writes what is missing in a recording; a whole one has no lines.
+/// Writes what is missing in a recording; nothing for a complete one.
 pub(crate) fn write_coverage(
     f: &mut fmt::Formatter<'_>,
     coverage: &[Coverage],
@@ -48,40 +48,45 @@
         writeln!(f, "\nthe last line of the samples is cut, and was left out")?;
     }
     for instance in coverage {
-        let faults = faults(instance);
-        if !faults.is_empty() {
-            writeln!(f, "\n{}: {}", instance.instance, faults.join("; "))?;
+        let gaps_in_recording = gaps_in_recording(instance);
+        if !gaps_in_recording.is_empty() {
+            writeln!(
+                f,
+                "\n{}: {}",
+                instance.instance,
+                gaps_in_recording.join("; ")
+            )?;
         }
     }
     Ok(())
 }
 
-fn faults(coverage: &Coverage) -> Vec<String> {
-    let mut faults = Vec::new();
+fn gaps_in_recording(coverage: &Coverage) -> Vec<String> {
+    let mut gaps_in_recording = Vec::new();
     if coverage.missing > 0 {
         let all = coverage.missing + coverage.pages;
         let cause = coverage.cause.as_deref().unwrap_or_default();
-        faults.push(format!(
+        gaps_in_recording.push(format!(
             "{} of {all} pages are missing, the last because: {cause}",
             coverage.missing
         ));
     }
     if let Some(gap_ms) = coverage.longest_gap_ms {
-        faults.push(format!("a gap of {} was taken as even", span(gap_ms)));
+        gaps_in_recording.push(format!("a gap of {} was taken as even", span(gap_ms)));
     }
     if coverage.restarts > 0 {
-        faults.push(format!(
+        gaps_in_recording.push(format!(
             "{} restarts; counts between the last page and a restart are lost",
             coverage.restarts
         ));
     }
     if coverage.is_unusable {
-        faults.push(format!(
+        gaps_in_recording.push(format!(
             "{} pages give no difference, so nothing of it is counted",
             coverage.pages
         ));
     }
-    faults
+    gaps_in_recording
 }
 
 impl Display for ObjectiveReport {
@@ -144,11 +149,11 @@
 }
 
 fn burner_row(burner: &Burner) -> Vec<String> {
-    let or_any = |text: &str| if text.is_empty() { "?" } else { text }.to_owned();
+    let or_unknown = |text: &str| if text.is_empty() { "?" } else { text }.to_owned();
     vec![
-        or_any(&burner.team),
-        or_any(&burner.class),
-        or_any(&burner.pool),
+        or_unknown(&burner.team),
+        or_unknown(&burner.class),
+        or_unknown(&burner.pool),
         burner.cause.to_string(),
         format!("{:.0}", burner.bad),
         percent(burner.part),
@@ -159,12 +164,12 @@
     rate.map_or("-".to_owned(), |rate| format!("{rate:.2}"))
 }
 
-/// Returns a part as a percentage with one place.
+/// Returns a fraction as a percentage with one decimal place.
 pub(crate) fn percent(part: f64) -> String {
     format!("{:.1} %", part * 100.0)
 }
 
-/// Returns a target as its file shows it: with as many places as it needs.
+/// Returns a target as a percentage with as many decimal places as it needs, as in the configuration.
 fn target(part: f64) -> String {
     let text = format!("{:.4}", part * 100.0);
     let text = text.trim_end_matches('0').trim_end_matches('.');
--- a/crates/burn/src/cause.rs
+++ b/crates/burn/src/cause.rs
@@ -1,23 +1,23 @@
-//! Says why a request burned an error budget.
+//! Causes for which a request counts against an error budget.
 
 use std::fmt::{self, Display};
 
 use hinge_outcome::Reason;
 use serde::Serialize;
 
-/// Names a cause.
+/// Cause of a bad request.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// The request waited too long, or its queue was full.
+    /// The request waited too long, or the queue was full.
     Queue,
-    /// No endpoint was there, or the endpoint failed or was slow.
+    /// No endpoint was available, or the endpoint failed or was slow.
     Endpoint,
-    /// An attempt was refused for a place, and no retry mended it.
+    /// An attempt was refused for a reason that another instance might not have, and no retry succeeded.
     Retry,
-    /// The fleet refused the request for a limit or for its own state.
+    /// The fleet refused the request because of a limit or of its own state.
     Refusal,
-    /// Nobody can tell whether the request ran.
+    /// It is not known whether the request ran.
     Unknown,
 }
 
@@ -44,40 +44,40 @@
     }
 }
 
-/// Says what the end of a request means for a budget.
+/// How the end of a request counts for an error budget.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Verdict {
     Good,
     Bad(Cause),
-    /// The caller left, sent a mistake, or resent a request that is answered elsewhere.
+    /// The caller left, sent an invalid request, or repeated a request that is answered elsewhere.
     NotCounted,
 }
 
-/// Outcome of a request that got its whole answer, as the entry's metrics name it.
+/// Outcome label of a request that got its complete answer, in the entry's metrics.
 const COMPLETED: &str = "completed";
 
-/// Outcome of a request that certainly did not run.
+/// Outcome label of a request that certainly did not run.
 const NOT_RUN: &str = "not_run";
 
-/// Reasons that the entry gives for its own state, and that are no reasons of an offered request.
-const OWN_STATE: [&str; 1] = ["not_ready"];
+/// Reason labels for the entry's own state; an offered request never has them.
+const ENTRY_STATE_REASONS: [&str; 1] = ["not_ready"];
 
-/// Judges the end of a request by the labels of the entry's metric.
-pub(crate) fn verdict(outcome: &str, reason: &str) -> Verdict {
+/// Classifies the end of a request by the labels of the entry's metric.
+pub(crate) fn classify(outcome: &str, reason: &str) -> Verdict {
     if outcome == COMPLETED {
         return Verdict::Good;
     }
     let known = Reason::ALL.iter().find(|known| known.as_str() == reason);
     match known {
-        Some(known) => judge(*known, outcome == NOT_RUN),
-        None if OWN_STATE.contains(&reason) => Verdict::Bad(Cause::Refusal),
-        // All other reasons of a proven "not run" are mistakes of the caller, such as a wrong key.
+        Some(known) => classify_reason(*known, outcome == NOT_RUN),
+        None if ENTRY_STATE_REASONS.contains(&reason) => Verdict::Bad(Cause::Refusal),
+        // All other reasons of a request that did not run are errors of the caller, such as a wrong key.
         None if outcome == NOT_RUN => Verdict::NotCounted,
         None => Verdict::Bad(Cause::Unknown),
     }
 }
 
-fn judge(reason: Reason, is_not_run: bool) -> Verdict {
+fn classify_reason(reason: Reason, is_not_run: bool) -> Verdict {
     match reason {
         Reason::QueueFull | Reason::Shed | Reason::Deadline => Verdict::Bad(Cause::Queue),
         Reason::NoEndpoint
@@ -87,7 +87,7 @@
         | Reason::AnswerTruncated
         | Reason::AnswerCrossed
         | Reason::AnswerGarbled => Verdict::Bad(Cause::Endpoint),
-        // Another place might have taken the request, so an end with such a reason means that retries ran out.
+        // Another instance might have accepted the request, so an end with such a reason means that retries ran out.
         Reason::StaleConfig
         | Reason::Leaving
         | Reason::ControlUnreachable
--- a/crates/burn/src/chart.rs
+++ b/crates/burn/src/chart.rs
@@ -1,4 +1,4 @@
-//! Draws burn rates over time.
+//! Charts of burn rates over time.
 
 use std::error::Error;
 use std::fmt::{self, Display};
@@ -9,10 +9,10 @@
 use crate::increments::ratio;
 use crate::text::{span, time};
 
-/// Size of the picture, in points; it fits a page and stays readable at half of it.
-const SIZE: (u32, u32) = (960, 540);
+/// Size of the chart, in pixels; it fits a page and stays readable at half the size.
+const SIZE_PIXELS: (u32, u32) = (960, 540);
 
-/// Colours that also people with colour blindness tell apart (the palette of Okabe and Ito).
+/// Colours that people with colour blindness can tell apart (the palette of Okabe and Ito).
 const COLOURS: [RGBColor; 6] = [
     RGBColor(0, 114, 178),
     RGBColor(213, 94, 0),
@@ -22,13 +22,13 @@
     RGBColor(230, 159, 0),
 ];
 
-/// Room above the highest point, so that no line touches the frame.
+/// Factor above the highest point, so that no line touches the frame.
 const HEADROOM: f64 = 1.15;
 
-/// Says why a picture can't be drawn.
+/// Reason why a chart can't be drawn.
 #[derive(Debug)]
 pub enum ChartError {
-    /// The recording holds no burn rate of any objective.
+    /// The recording has no burn rate for any objective.
     Empty,
     /// The drawing library failed.
     Draw(Box<str>),
@@ -38,14 +38,14 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Empty => f.write_str("there is no burn rate to draw"),
-            Self::Draw(cause) => write!(f, "the picture can't be drawn: {cause}"),
+            Self::Draw(cause) => write!(f, "the chart can't be drawn: {cause}"),
         }
     }
 }
 
 impl Error for ChartError {}
 
-/// Returns a picture of the burn rates over time, as SVG text.
+/// Returns a chart of the burn rates over time, as SVG text.
 ///
 /// # Errors
 ///
@@ -69,11 +69,11 @@
     drawn: &[&ObjectiveReport],
     text: &mut String,
 ) -> Result<(), Box<dyn Error>> {
-    let area = SVGBackend::with_string(text, SIZE).into_drawing_area();
+    let area = SVGBackend::with_string(text, SIZE_PIXELS).into_drawing_area();
     area.fill(&WHITE)?;
     let minutes = |at_ms: u64| ratio(at_ms.saturating_sub(report.from_ms), 60_000);
-    let end = minutes(report.to_ms).max(f64::MIN_POSITIVE);
-    let top = top(drawn);
+    let end_minutes = minutes(report.to_ms).max(f64::MIN_POSITIVE);
+    let top_burn_rate = top_burn_rate(drawn);
     let title = format!(
         "Burn of error budgets, over a sliding window of up to {}",
         span(report.history_window_ms)
@@ -83,7 +83,7 @@
         .margin(16)
         .x_label_area_size(48)
         .y_label_area_size(64)
-        .build_cartesian_2d(0.0..end, 0.0..top)?;
+        .build_cartesian_2d(0.0..end_minutes, 0.0..top_burn_rate)?;
     chart
         .configure_mesh()
         .x_desc(format!("minutes since {}", time(report.from_ms)))
@@ -104,8 +104,8 @@
                 PathElement::new(vec![(x, y), (x + 18, y)], colour.stroke_width(2))
             });
     }
-    for (rate, name) in marks(drawn, top) {
-        let line = [(0.0, rate), (end, rate)];
+    for (rate, name) in reference_lines(drawn, top_burn_rate) {
+        let line = [(0.0, rate), (end_minutes, rate)];
         let style = BLACK.mix(0.5).stroke_width(1);
         chart
             .draw_series(DashedLineSeries::new(line, 6, 4, style))?
@@ -123,26 +123,26 @@
     Ok(())
 }
 
-fn top(drawn: &[&ObjectiveReport]) -> f64 {
+fn top_burn_rate(drawn: &[&ObjectiveReport]) -> f64 {
     let points = drawn.iter().flat_map(|objective| &objective.history);
     let highest = points.map(|point| point.burn_rate).fold(1.0, f64::max);
     highest * HEADROOM
 }
 
-/// Returns the dashed lines: the budget's own pace, and the first alert if it is in the picture.
-fn marks(drawn: &[&ObjectiveReport], top: f64) -> Vec<(f64, String)> {
-    let mut marks = vec![(1.0, "budget is used up after 30 days".to_owned())];
+/// Returns the dashed lines: a burn rate of 1, and the lowest page alert if it is below the top of the chart.
+fn reference_lines(drawn: &[&ObjectiveReport], top_burn_rate: f64) -> Vec<(f64, String)> {
+    let mut reference_lines = vec![(1.0, "budget is used up after 30 days".to_owned())];
     let windows = drawn
         .iter()
         .filter_map(|objective| objective.windows.first());
     let lowest = windows.min_by(|left, right| left.alert_at.total_cmp(&right.alert_at));
-    if let Some(window) = lowest.filter(|window| window.alert_at < top) {
+    if let Some(window) = lowest.filter(|window| window.alert_at < top_burn_rate) {
         let name = format!(
             "page at {:.1} over {}",
             window.alert_at,
             span(window.window_ms)
         );
-        marks.push((window.alert_at, name));
+        reference_lines.push((window.alert_at, name));
     }
-    marks
+    reference_lines
 }
--- a/crates/burn/src/gap.rs
+++ b/crates/burn/src/gap.rs
@@ -1,4 +1,4 @@
-//! Compares the service of teams, divided by their shares.
+//! Compares the service that teams received, divided by their shares.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::{self, Display};
@@ -11,46 +11,46 @@
 use crate::recording::{Recording, Scrape};
 use crate::text::{span, table};
 
-/// Counter of the sidecars with the service of each team.
+/// Counter of the service that each team received at a sidecar.
 const SERVICE: &str = "hinge_sidecar_service_units_total";
 
-/// Gauge of the sidecars with the waiting offers of each team.
+/// Gauge of the offers of each team that wait at a sidecar.
 const TEAM_WAITING: &str = "hinge_sidecar_team_waiting";
 
-/// Team under which a sidecar counts the teams beyond its bound on labels.
+/// Label under which a sidecar counts the teams beyond its limit of team labels.
 const OTHER_TEAMS: &str = "other";
 
-/// Reports every pool.
+/// Report on the service gap in every pool.
 #[derive(Debug, Serialize)]
 pub struct GapReport {
-    /// Part of the recording that counts, in milliseconds.
+    /// Length of the part of the recording that is reported, in milliseconds.
     pub window_ms: u64,
-    /// Pools by name; empty for sidecars whose pool is not known.
+    /// Pools in the order of their names; the name is empty for sidecars whose pool is not known.
     pub pools: Vec<PoolGap>,
-    /// How well each instance was recorded.
+    /// How completely each instance was recorded.
     pub coverage: Vec<Coverage>,
-    /// Whether the last record of the file was cut.
+    /// Whether the last record of the file was truncated.
     pub is_cut: bool,
 }
 
-/// Reports one pool.
+/// Report on the service gap in increment pool.
 #[derive(Debug, Serialize)]
 pub struct PoolGap {
     /// Pool.
     pub pool: Box<str>,
-    /// Teams, the least served first.
+    /// Teams, the least normalised service first.
     pub teams: Vec<TeamService>,
-    /// Whether the metrics tell which teams were backlogged; else the gap is over all teams with service.
+    /// Whether the metrics show which teams were backlogged; otherwise the gap covers all teams with service.
     pub backlog_known: bool,
-    /// Most normalised service of a compared team minus the least, in units for each unit of share.
+    /// Largest minus smallest normalised service among the compared teams, in units per unit of share.
     pub gap: Option<f64>,
-    /// The gap as a part of the mean normalised service of the compared teams.
+    /// The gap as a fraction of the mean normalised service of the compared teams.
     pub gap_part: Option<f64>,
-    /// Units of teams beyond the sidecars' bound on labels; they are in no comparison.
+    /// Units of teams beyond the sidecars' limit of team labels; they are not compared.
     pub unlabelled_units: f64,
 }
 
-/// Reports one team.
+/// Service of increment team.
 #[derive(Debug, Serialize)]
 pub struct TeamService {
     /// Team.
@@ -65,7 +65,7 @@
     pub backlogged: Option<bool>,
 }
 
-/// Reports the gap in the last part of a recording.
+/// Returns the report on the gap in the last part of a recording.
 #[must_use]
 pub fn gap(effective: &Effective, recording: &Recording, window_ms: Option<u64>) -> GapReport {
     let (from_ms, to_ms) = recording.span_ms().unwrap_or_default();
@@ -73,11 +73,14 @@
     let from_ms = to_ms - window_ms;
     let mut units: BTreeMap<&str, BTreeMap<&str, f64>> = BTreeMap::new();
     let increments = increments(recording);
-    for increment in increments.iter().filter(|one| &*one.series.name == SERVICE) {
+    for increment in increments
+        .iter()
+        .filter(|increment| &*increment.series.name == SERVICE)
+    {
         let pool = units
             .entry(pool_of(recording, increment.instance))
             .or_default();
-        let amount = increment.amount * increment.part(from_ms, to_ms);
+        let amount = increment.amount * increment.fraction_within(from_ms, to_ms);
         *pool.entry(increment.series.label("team")).or_default() += amount;
     }
     let pools = units.into_iter().map(|(pool, units)| {
@@ -96,13 +99,13 @@
     }
 }
 
-/// Returns the pool of a sidecar, or an empty text.
+/// Returns the pool of a sidecar, or an empty string when it is not known.
 pub(crate) fn pool_of<'r>(recording: &'r Recording, instance: &str) -> &'r str {
     let endpoint = recording.endpoints.get(instance);
     endpoint.map_or("", |endpoint| &endpoint.pool)
 }
 
-/// Holds the teams that waited on every round of pages.
+/// The teams that had waiting offers in every round of scrapes.
 struct Backlog<'r> {
     teams: Option<BTreeSet<&'r str>>,
 }
@@ -110,18 +113,18 @@
 impl<'r> Backlog<'r> {
     fn read(recording: &'r Recording, pool: &str, from_ms: u64) -> Self {
         let mut rounds: BTreeMap<u64, BTreeSet<&str>> = BTreeMap::new();
-        let mut is_told = false;
-        let of_pool = recording
+        let mut has_metric = false;
+        let pool_scrapes = recording
             .scrapes
             .iter()
             .filter(|(instance, _)| pool_of(recording, instance) == pool);
-        for scrape in of_pool.flat_map(|(_, scrapes)| scrapes) {
+        for scrape in pool_scrapes.flat_map(|(_, scrapes)| scrapes) {
             if scrape.at_ms < from_ms {
                 continue;
             }
             let round = rounds.entry(scrape.at_ms).or_default();
             for (team, waiting) in waiting_teams(scrape) {
-                is_told = true;
+                has_metric = true;
                 if waiting > 0.0 {
                     round.insert(team);
                 }
@@ -129,7 +132,7 @@
         }
         let teams = rounds.into_values().reduce(|left, right| &left & &right);
         Self {
-            teams: teams.filter(|_| is_told),
+            teams: teams.filter(|_| has_metric),
         }
     }
 }
@@ -150,8 +153,8 @@
     let mut teams: Vec<_> = labelled
         .map(|(team, units)| team_service(effective, team, *units, backlog))
         .collect();
-    let order = |team: &TeamService| team.normalised.unwrap_or(f64::INFINITY);
-    teams.sort_by(|left, right| order(left).total_cmp(&order(right)));
+    let sort_key = |team: &TeamService| team.normalised.unwrap_or(f64::INFINITY);
+    teams.sort_by(|left, right| sort_key(left).total_cmp(&sort_key(right)));
     let compared: Vec<_> = teams
         .iter()
         .filter(|team| team.backlogged.unwrap_or(true))
--- a/crates/burn/src/increments.rs
+++ b/crates/burn/src/increments.rs
@@ -1,8 +1,8 @@
-//! Turns counters into increments, across restarts and missing pages.
+//! Computes the increments of counters across restarts and missing pages.
 //!
-//! A counter starts from zero when its process restarts. A restart shows as another incarnation on the page, or as any counter
-//! of the instance that fell or went away; then every counter of the instance has started anew, and its value is its increment.
-//! What a process counted between its last page and its end is lost, and the report says how often that happened.
+//! A counter starts from zero when its process restarts. A restart shows as another incarnation on the page, or as a counter of
+//! the instance that fell or disappeared; then all counters of the instance started from zero, and their values are the
+//! increments. What a process counted between its last page and its end is lost; the report says how often that happened.
 
 use std::collections::BTreeMap;
 
@@ -11,16 +11,16 @@
 use crate::page::Series;
 use crate::recording::{Recording, Scrape};
 
-/// Ends of names whose series only grow.
+/// Suffixes of the names of series that only grow.
 const COUNTER_SUFFIXES: [&str; 4] = ["_total", "_count", "_bucket", "_sum"];
 
-/// Metric with the incarnation of a process as a label.
+/// Metric that has the incarnation of the process as a label.
 const INFO: &str = "hinge_process_info";
 
-/// A pause between two pages that is this many times the usual one counts as a gap; one lost page is double.
+/// Multiple of the usual interval between pages above which an interval is a gap; one lost page doubles the interval.
 const GAP_FACTOR: f64 = 1.5;
 
-/// Holds what one series of one instance grew by between two pages.
+/// The growth of one series of one instance between two pages.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Increment<'r> {
     /// Instance.
@@ -36,50 +36,50 @@
 }
 
 impl Increment<'_> {
-    /// Returns the part of the increment that falls between two times, if it grew evenly.
+    /// Returns the fraction of the increment that falls between two times, if it grew evenly.
     #[must_use]
-    pub fn part(&self, from_ms: u64, to_ms: u64) -> f64 {
-        part(self.from_ms, self.to_ms, from_ms, to_ms)
+    pub fn fraction_within(&self, from_ms: u64, to_ms: u64) -> f64 {
+        fraction_within(self.from_ms, self.to_ms, from_ms, to_ms)
     }
 }
 
-/// Returns the part of a span that falls between two times.
-pub(crate) fn part(span_from_ms: u64, span_to_ms: u64, from_ms: u64, to_ms: u64) -> f64 {
+/// Returns the fraction of a span that falls between two times.
+pub(crate) fn fraction_within(span_from_ms: u64, span_to_ms: u64, from_ms: u64, to_ms: u64) -> f64 {
     let overlap_ms = span_to_ms
         .min(to_ms)
         .saturating_sub(span_from_ms.max(from_ms));
     ratio(overlap_ms, span_to_ms - span_from_ms)
 }
 
-/// Returns the quotient of two spans; nothing of nothing is zero.
+/// Returns the quotient of two spans, and zero when the divisor is zero.
 #[expect(
     clippy::cast_precision_loss,
     reason = "spans of a recording are far below 2^52 ms"
 )]
-pub(crate) fn ratio(part: u64, whole: u64) -> f64 {
-    if whole == 0 {
+pub(crate) fn ratio(dividend: u64, divisor: u64) -> f64 {
+    if divisor == 0 {
         0.0
     } else {
-        part as f64 / whole as f64
+        dividend as f64 / divisor as f64
     }
 }
 
-/// Says how well one instance was recorded.
+/// How completely one instance was recorded.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Coverage {
     /// Instance.
     pub instance: Box<str>,
     /// Pages that were read.
     pub pages: usize,
-    /// Pages that were asked for and did not come.
+    /// Pages that were requested and not received.
     pub missing: usize,
-    /// Why the last of them did not come.
+    /// Why the last of them was not received.
     pub cause: Option<Box<str>>,
-    /// Restarts that were seen; the counts between the last page and each restart are lost.
+    /// Restarts that were detected; the counts between the last page and each restart are lost.
     pub restarts: usize,
-    /// Longest time between two pages when it is a gap, in milliseconds.
+    /// Longest interval between two pages if it is a gap, in milliseconds.
     pub longest_gap_ms: Option<u64>,
-    /// Whether there are too few pages for a difference.
+    /// Whether there are too few pages to compute an increment.
     pub is_unusable: bool,
 }
 
@@ -89,13 +89,13 @@
     let mut increments = Vec::new();
     for scrapes in recording.scrapes.values() {
         for pair in scrapes.windows(2) {
-            add_pair(&pair[0], &pair[1], &mut increments);
+            add_increments(&pair[0], &pair[1], &mut increments);
         }
     }
     increments
 }
 
-fn add_pair<'r>(earlier: &'r Scrape, later: &'r Scrape, increments: &mut Vec<Increment<'r>>) {
+fn add_increments<'r>(earlier: &'r Scrape, later: &'r Scrape, increments: &mut Vec<Increment<'r>>) {
     let before = counters(earlier);
     let after = counters(later);
     let has_restarted = has_restarted(earlier, later);
@@ -136,8 +136,9 @@
         return before != after;
     }
     let after = counters(later);
-    let fell = |(series, value): (&Series, f64)| after.get(series).is_none_or(|now| *now < value);
-    counters(earlier).into_iter().any(fell)
+    let has_fallen =
+        |(series, value): (&Series, f64)| after.get(series).is_none_or(|now| *now < value);
+    counters(earlier).into_iter().any(has_fallen)
 }
 
 fn incarnation(scrape: &Scrape) -> Option<&str> {
@@ -146,7 +147,7 @@
     info.labels.get("incarnation").map(|text| &**text)
 }
 
-/// Says how well each instance was recorded.
+/// Returns how completely each instance was recorded.
 #[must_use]
 pub fn coverage(recording: &Recording) -> Vec<Coverage> {
     let mut instances: Vec<_> = recording
@@ -180,23 +181,23 @@
 }
 
 fn longest_gap(scrapes: &[Scrape]) -> Option<u64> {
-    let longest_ms = pauses(scrapes).max()?;
-    let usual_ms = usual_pause(scrapes)?;
-    is_gap(longest_ms, usual_ms).then_some(longest_ms)
+    let longest_ms = intervals_ms(scrapes).max()?;
+    let median_ms = median_interval_ms(scrapes)?;
+    is_gap(longest_ms, median_ms).then_some(longest_ms)
 }
 
-fn pauses(scrapes: &[Scrape]) -> impl Iterator<Item = u64> {
+fn intervals_ms(scrapes: &[Scrape]) -> impl Iterator<Item = u64> {
     scrapes.windows(2).map(|pair| pair[1].at_ms - pair[0].at_ms)
 }
 
-/// Returns the median time between two pages.
-pub(crate) fn usual_pause(scrapes: &[Scrape]) -> Option<u64> {
-    let mut pauses: Vec<_> = pauses(scrapes).collect();
-    pauses.sort_unstable();
-    pauses.get(pauses.len() / 2).copied()
+/// Returns the median interval between two pages.
+pub(crate) fn median_interval_ms(scrapes: &[Scrape]) -> Option<u64> {
+    let mut intervals_ms: Vec<_> = intervals_ms(scrapes).collect();
+    intervals_ms.sort_unstable();
+    intervals_ms.get(intervals_ms.len() / 2).copied()
 }
 
-/// Returns whether the pause between two pages is so long that pages are missing between them.
-pub(crate) fn is_gap(pause_ms: u64, usual_ms: u64) -> bool {
-    ratio(pause_ms, usual_ms) > GAP_FACTOR
+/// Returns whether the interval between two pages is so long that pages are missing.
+pub(crate) fn is_gap(interval_ms: u64, median_ms: u64) -> bool {
+    ratio(interval_ms, median_ms) > GAP_FACTOR
 }
--- a/crates/burn/src/lib.rs
+++ b/crates/burn/src/lib.rs
@@ -1,6 +1,6 @@
-//! Works out error budgets, burn rates, the gap between teams and the use of capacity, from recorded metrics pages.
+//! Computes error budgets, burn rates, the service gap between teams and the use of capacity from recorded metrics pages.
 //!
-//! Everything here is a function of its arguments: the recording, the configuration, and the end of the report.
+//! All functions are pure: a report depends only on the recording, the configuration and the window.
 
 mod burn;
 mod burn_text;
--- a/crates/burn/src/outcomes.rs
+++ b/crates/burn/src/outcomes.rs
@@ -1,62 +1,62 @@
-//! Counts good and bad requests of one objective.
+//! Counts the good and bad requests of one objective.
 
 use std::collections::BTreeMap;
 
 use hinge_config::effective::{Objective, ObjectiveKind};
 
-use crate::cause::{Cause, Verdict, verdict};
-use crate::increments::{Increment, part};
+use crate::cause::{Cause, Verdict, classify};
+use crate::increments::{Increment, fraction_within};
 use crate::page::Series;
 
-/// Counter of the entries with the outcome of each request.
+/// Counter of requests at an entry, by outcome.
 const REQUESTS: &str = "hinge_entry_requests_total";
 
-/// Histogram of the entries with the time to the first bytes of an answer.
-const FIRST_BYTES: &str = "hinge_entry_first_byte_seconds";
+/// Histogram of the time to the first bytes of an answer, at an entry.
+const FIRST_BYTE: &str = "hinge_entry_first_byte_seconds";
 
-/// Histogram of the entries with the time between two writes of an answer.
+/// Histogram of the time between two writes of an answer, at an entry.
 const BETWEEN_CHUNKS: &str = "hinge_entry_between_chunks_seconds";
 
-/// Histogram of the entries with the time from arrival to grant.
-const WAITS: &str = "hinge_entry_wait_seconds";
+/// Histogram of the time from arrival to grant, at an entry.
+const WAIT: &str = "hinge_entry_wait_seconds";
 
-/// Label of a histogram's upper bound.
+/// Label with the upper bound of a histogram bucket.
 const BOUND: &str = "le";
 
-/// Room for the rounding of a bound that was printed and read again.
-const BOUND_SLACK: f64 = 1e-9;
+/// Tolerance for the rounding of a bound that was printed and parsed.
+const BOUND_TOLERANCE: f64 = 1e-9;
 
-/// Names who sent requests; parts that the metrics don't tell are empty.
+/// Team, class and pool of requests; fields that the metrics don't have are empty.
 #[derive(Clone, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
-pub(crate) struct Who {
+pub(crate) struct Origin {
     pub(crate) team: Box<str>,
     pub(crate) class: Box<str>,
     pub(crate) pool: Box<str>,
 }
 
-/// Holds what happened between two pages of one instance.
+/// Requests between two pages of one instance.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Count {
     pub(crate) from_ms: u64,
     pub(crate) to_ms: u64,
-    pub(crate) who: Who,
+    pub(crate) origin: Origin,
     pub(crate) total: f64,
-    /// Bad requests, with the cause if the metric tells one.
     pub(crate) bad: f64,
+    /// Cause of the bad requests, if the metric names one.
     pub(crate) cause: Option<Cause>,
 }
 
 impl Count {
-    pub(crate) fn part(&self, from_ms: u64, to_ms: u64) -> f64 {
-        part(self.from_ms, self.to_ms, from_ms, to_ms)
+    pub(crate) fn fraction_within(&self, from_ms: u64, to_ms: u64) -> f64 {
+        fraction_within(self.from_ms, self.to_ms, from_ms, to_ms)
     }
 }
 
-/// Holds the counts of one objective.
+/// The counts of one objective.
 #[derive(Debug)]
 pub(crate) struct Counts {
     pub(crate) counts: Vec<Count>,
-    /// Bound that stands for the threshold, in seconds; it is lower where no bound equals the threshold.
+    /// Bucket bound that is used for the threshold, in seconds; a lower one when no bound equals the threshold.
     pub(crate) bound_s: Option<f64>,
 }
 
@@ -64,29 +64,27 @@
 ///
 /// # Errors
 ///
-/// Returns what the metrics lack to measure the objective.
+/// Returns what the metrics lack for measuring the objective.
 pub(crate) fn counts(
     objective: &Objective,
     increments: &[Increment<'_>],
 ) -> Result<Counts, String> {
     let threshold_s = seconds(objective.threshold_ms);
     match objective.what {
-        ObjectiveKind::AnsweredWhole => answers(objective, increments),
-        ObjectiveKind::FirstTokenMs => times(objective, FIRST_BYTES, threshold_s, increments),
-        ObjectiveKind::BetweenTokensMs => times(objective, BETWEEN_CHUNKS, threshold_s, increments),
-        ObjectiveKind::WaitingMs => times(objective, WAITS, threshold_s, increments),
+        ObjectiveKind::AnsweredWhole => count_outcomes(objective, increments),
+        ObjectiveKind::FirstTokenMs => {
+            count_durations(objective, FIRST_BYTE, threshold_s, increments)
+        }
+        ObjectiveKind::BetweenTokensMs => {
+            count_durations(objective, BETWEEN_CHUNKS, threshold_s, increments)
+        }
+        ObjectiveKind::WaitingMs => count_durations(objective, WAIT, threshold_s, increments),
     }
 }
 
-/// Counts waits beyond the threshold of an objective for the first token: those were late before an endpoint had them.
+/// Counts waits beyond the threshold of a first-token objective: those requests were late before an endpoint got them.
 pub(crate) fn late_waits(objective: &Objective, increments: &[Increment<'_>]) -> Option<Counts> {
-    times(
-        objective,
-        WAITS,
-        seconds(objective.threshold_ms),
-        increments,
-    )
-    .ok()
+    count_durations(objective, WAIT, seconds(objective.threshold_ms), increments).ok()
 }
 
 #[expect(
@@ -97,11 +95,11 @@
     span_ms as f64 / 1000.0
 }
 
-fn answers(objective: &Objective, increments: &[Increment<'_>]) -> Result<Counts, String> {
+fn count_outcomes(objective: &Objective, increments: &[Increment<'_>]) -> Result<Counts, String> {
     let mut counts = Vec::new();
     for increment in matching(objective, REQUESTS, REQUESTS, increments)? {
         let series = increment.series;
-        let (bad, cause) = match verdict(series.label("outcome"), series.label("reason")) {
+        let (bad, cause) = match classify(series.label("outcome"), series.label("reason")) {
             Verdict::NotCounted => continue,
             Verdict::Good => (0.0, None),
             Verdict::Bad(cause) => (increment.amount, Some(cause)),
@@ -109,7 +107,7 @@
         counts.push(Count {
             from_ms: increment.from_ms,
             to_ms: increment.to_ms,
-            who: who(series),
+            origin: origin(series),
             total: increment.amount,
             bad,
             cause,
@@ -121,10 +119,10 @@
     })
 }
 
-/// Names one histogram between two pages.
-type HistogramKey<'r> = (&'r str, u64, u64, Who);
+/// Instance, times of two pages, and labels that identify one histogram.
+type HistogramKey<'r> = (&'r str, u64, u64, Origin);
 
-fn times(
+fn count_durations(
     objective: &Objective,
     metric: &str,
     threshold_s: f64,
@@ -135,7 +133,7 @@
         .ok_or_else(|| format!("{metric} has no bound at or below {threshold_s} s"))?;
     let mut good: BTreeMap<HistogramKey<'_>, f64> = BTreeMap::new();
     for bucket in &buckets {
-        if bound(bucket.series).is_some_and(|bound| is_same(bound, bound_s)) {
+        if bound(bucket.series).is_some_and(|bound| is_same_bound(bound, bound_s)) {
             *good.entry(key(bucket)).or_default() += bucket.amount;
         }
     }
@@ -145,11 +143,11 @@
     }
     let counts = totals.into_iter().map(|(key, total)| {
         let good = good.get(&key).copied().unwrap_or(0.0);
-        let (_, from_ms, to_ms, who) = key;
+        let (_, from_ms, to_ms, origin) = key;
         Count {
             from_ms,
             to_ms,
-            who,
+            origin,
             total,
             bad: (total - good).max(0.0),
             cause: None,
@@ -161,11 +159,11 @@
     })
 }
 
-/// Returns the highest bound at or below a threshold, so that no late request counts as good.
+/// Returns the highest bucket bound at or below a threshold, so that no late request counts as good.
 fn nearest_bound(buckets: &[&Increment<'_>], threshold_s: f64) -> Option<f64> {
     let bounds = buckets.iter().filter_map(|bucket| bound(bucket.series));
     bounds
-        .filter(|bound| *bound <= threshold_s + BOUND_SLACK)
+        .filter(|bound| *bound <= threshold_s + BOUND_TOLERANCE)
         .max_by(f64::total_cmp)
 }
 
@@ -173,8 +171,8 @@
     series.label(BOUND).parse().ok()
 }
 
-fn is_same(left: f64, right: f64) -> bool {
-    (left - right).abs() < BOUND_SLACK
+fn is_same_bound(left: f64, right: f64) -> bool {
+    (left - right).abs() < BOUND_TOLERANCE
 }
 
 fn key<'r>(increment: &Increment<'r>) -> HistogramKey<'r> {
@@ -182,19 +180,19 @@
         increment.instance,
         increment.from_ms,
         increment.to_ms,
-        who(increment.series),
+        origin(increment.series),
     )
 }
 
-fn who(series: &Series) -> Who {
-    Who {
+fn origin(series: &Series) -> Origin {
+    Origin {
         team: series.label("team").into(),
         class: series.label("class").into(),
         pool: series.label("pool").into(),
     }
 }
 
-/// Returns the increments of a metric that an objective speaks of.
+/// Returns the increments of a metric that match an objective's team, class and pool.
 fn matching<'a, 'r>(
     objective: &Objective,
     name: &str,
@@ -215,10 +213,10 @@
         ("pool", objective.pool.as_deref()),
     ];
     for (label, value) in wanted {
-        let is_told = named
+        let has_label = named
             .iter()
             .any(|increment| increment.series.labels.contains_key(label));
-        if value.is_some() && !is_told {
+        if value.is_some() && !has_label {
             return Err(format!("{metric} has no label {label}"));
         }
     }
--- a/crates/burn/src/page.rs
+++ b/crates/burn/src/page.rs
@@ -1,4 +1,4 @@
-//! Reads the text of a metrics page, in the Prometheus form or the `OpenMetrics` form.
+//! Parses a metrics page in the Prometheus text format or the `OpenMetrics` format.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -8,10 +8,10 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Holds the labels of a series by name.
+/// The labels of a series by name.
 pub type Labels = BTreeMap<Box<str>, Box<str>>;
 
-/// Names one series of one instance.
+/// A series: the name of a metric with its labels.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Series {
     /// Name of the metric.
@@ -22,14 +22,14 @@
 }
 
 impl Series {
-    /// Returns the value of a label, or an empty text.
+    /// Returns the value of a label, or an empty string.
     #[must_use]
     pub fn label(&self, name: &str) -> &str {
         self.labels.get(name).map_or("", |value| value)
     }
 }
 
-/// Holds the value of one series at one time.
+/// The value of a series on one page.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Sample {
     /// Series.
@@ -39,10 +39,10 @@
     pub value: f64,
 }
 
-/// Says which line of a page can't be read.
+/// A line of a page that can't be parsed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PageError {
-    /// Line, from 1.
+    /// Number of the line, counted from 1.
     pub line: usize,
     cause: &'static str,
 }
@@ -55,11 +55,11 @@
 
 impl Error for PageError {}
 
-/// Reads all samples of a page; values that are no finite number are left out.
+/// Parses all samples of a page; values that are not finite are left out.
 ///
 /// # Errors
 ///
-/// Returns the first line that is no sample and no comment. A page that breaks off is an error and not a shorter page.
+/// Returns the first line that is neither a sample nor a comment. A truncated line is an error, not the end of the page.
 pub fn parse(page: &str) -> Result<Vec<Sample>, PageError> {
     let mut samples = Vec::new();
     for (index, line) in page.lines().enumerate() {
@@ -67,7 +67,7 @@
         if line.is_empty() || line.starts_with('#') {
             continue;
         }
-        let sample = sample(line).map_err(|cause| PageError {
+        let sample = parse_sample(line).map_err(|cause| PageError {
             line: index + 1,
             cause,
         })?;
@@ -78,25 +78,25 @@
     Ok(samples)
 }
 
-fn sample(line: &str) -> Result<Sample, &'static str> {
+fn parse_sample(line: &str) -> Result<Sample, &'static str> {
     let mut chars = line.chars().peekable();
-    let name = word(&mut chars);
+    let name = parse_name(&mut chars);
     if name.is_empty() {
         return Err("a sample begins with a name");
     }
     let labels = if chars.peek() == Some(&'{') {
         chars.next();
-        labels(&mut chars)?
+        parse_labels(&mut chars)?
     } else {
         Labels::new()
     };
-    // A time stamp or an exemplar may follow; neither is of use here.
+    // A timestamp or an exemplar may follow; neither is used.
     let rest: String = chars.collect();
     let value = rest.split_whitespace().next();
     let value = value.ok_or("the value is missing")?;
     let value = value
         .parse()
-        .map_err(|_no_number| "the value is no number")?;
+        .map_err(|_not_a_number| "the value is no number")?;
     Ok(Sample {
         series: Series {
             name: name.into(),
@@ -106,30 +106,30 @@
     })
 }
 
-fn word(chars: &mut Peekable<Chars<'_>>) -> String {
-    let is_part = |c: &char| c.is_ascii_alphanumeric() || matches!(c, '_' | ':');
-    std::iter::from_fn(|| chars.next_if(is_part)).collect()
+fn parse_name(chars: &mut Peekable<Chars<'_>>) -> String {
+    let is_name_char = |c: &char| c.is_ascii_alphanumeric() || matches!(c, '_' | ':');
+    std::iter::from_fn(|| chars.next_if(is_name_char)).collect()
 }
 
-fn labels(chars: &mut Peekable<Chars<'_>>) -> Result<Labels, &'static str> {
+fn parse_labels(chars: &mut Peekable<Chars<'_>>) -> Result<Labels, &'static str> {
     let mut labels = Labels::new();
     loop {
         while chars.next_if(|c| matches!(c, ' ' | ',')).is_some() {}
         if chars.next_if_eq(&'}').is_some() {
             return Ok(labels);
         }
-        let name = word(chars);
+        let name = parse_name(chars);
         if name.is_empty() {
             return Err("a label has no name, or the labels don't end");
         }
         if chars.next() != Some('=') || chars.next() != Some('"') {
             return Err("a label is not followed by =\"");
         }
-        labels.insert(name.into(), quoted(chars)?.into());
+        labels.insert(name.into(), parse_label_value(chars)?.into());
     }
 }
 
-fn quoted(chars: &mut Peekable<Chars<'_>>) -> Result<String, &'static str> {
+fn parse_label_value(chars: &mut Peekable<Chars<'_>>) -> Result<String, &'static str> {
     let mut text = String::new();
     loop {
         match chars.next() {
@@ -139,7 +139,7 @@
                 Some(escaped) => text.push(escaped),
                 None => return Err("the value of a label does not end"),
             },
-            Some(plain) => text.push(plain),
+            Some(other) => text.push(other),
             None => return Err("the value of a label does not end"),
         }
     }
--- a/crates/burn/src/recording.rs
+++ b/crates/burn/src/recording.rs
@@ -1,4 +1,4 @@
-//! Holds scraped pages over time, as lines of JSON in a file.
+//! Recordings of scraped metrics pages over time, as JSON lines in a file.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -8,22 +8,22 @@
 
 use crate::page::Sample;
 
-/// Holds one line of a recording.
+/// One line of a recording.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Record {
     /// The metrics page of an instance.
     Scrape(Scrape),
-    /// An instance that gave no page.
+    /// A scrape that failed.
     Missing(Missing),
-    /// Slots of the endpoints, as control lists them.
+    /// The slots of the endpoints, as control lists them.
     Slots(Slots),
 }
 
-/// Holds the metrics page of one instance.
+/// The metrics page of one instance at one time.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Scrape {
-    /// When, in milliseconds since 1970.
+    /// Time, in milliseconds since 1970.
     pub at_ms: u64,
     /// Instance.
     pub instance: Box<str>,
@@ -31,38 +31,38 @@
     pub samples: Vec<Sample>,
 }
 
-/// Says that an instance gave no page.
+/// A scrape of an instance that failed.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Missing {
-    /// When, in milliseconds since 1970.
+    /// Time, in milliseconds since 1970.
     pub at_ms: u64,
     /// Instance.
     pub instance: Box<str>,
-    /// Why.
+    /// Cause.
     pub cause: Box<str>,
 }
 
-/// Lists the endpoints by their sidecars.
+/// The endpoints and their slots at one time.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Slots {
-    /// When, in milliseconds since 1970.
+    /// Time, in milliseconds since 1970.
     pub at_ms: u64,
     /// Endpoints.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// Describes the endpoint of one sidecar.
+/// The endpoint of one sidecar.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Endpoint {
     /// Sidecar.
     pub instance: Box<str>,
     /// Pool.
     pub pool: Box<str>,
-    /// Requests that the endpoint runs at once.
+    /// Most requests that the endpoint runs at once.
     pub slots: u32,
 }
 
-/// Says which line of a recording can't be read.
+/// A line of a recording that can't be parsed.
 #[derive(Debug)]
 pub struct RecordingError {
     line: usize,
@@ -81,22 +81,22 @@
     }
 }
 
-/// Holds a recording by instance, in the order of time.
+/// A recording, grouped by instance and ordered by time.
 #[derive(Clone, Debug, Default)]
 pub struct Recording {
     pub(crate) scrapes: BTreeMap<Box<str>, Vec<Scrape>>,
     pub(crate) missing: BTreeMap<Box<str>, Vec<Missing>>,
     pub(crate) endpoints: BTreeMap<Box<str>, Endpoint>,
-    /// Whether the last line was cut, as by a stop while it was written.
+    /// Whether the last line is truncated, as when the writer was stopped.
     pub is_cut: bool,
 }
 
 impl Recording {
-    /// Reads lines of JSON. A cut last line is left out and noted; nothing else is passed over.
+    /// Parses JSON lines. A truncated last line is left out and noted; any other invalid line is an error.
     ///
     /// # Errors
     ///
-    /// Returns the first line that is no record.
+    /// Returns the first line that is not a record.
     pub fn parse(text: &str) -> Result<Self, RecordingError> {
         let mut records = Vec::new();
         let mut is_cut = false;
@@ -106,7 +106,7 @@
             }
             match serde_json::from_str(line) {
                 Ok(record) => records.push(record),
-                Err(_cut) if index + 1 == text.lines().count() && !text.ends_with('\n') => {
+                Err(_truncated) if index + 1 == text.lines().count() && !text.ends_with('\n') => {
                     is_cut = true;
                 }
                 Err(cause) => {
@@ -122,7 +122,7 @@
         Ok(recording)
     }
 
-    /// Sorts records by instance and time; a second page of one instance at one time is left out.
+    /// Groups records by instance and sorts them by time; a second page of an instance with the same time is left out.
     #[must_use]
     pub fn collect(records: impl IntoIterator<Item = Record>) -> Self {
         let mut recording = Self::default();
@@ -153,7 +153,7 @@
         recording
     }
 
-    /// Returns the first and the last time of a page, in milliseconds since 1970.
+    /// Returns the times of the first and the last page, in milliseconds since 1970.
     #[must_use]
     pub fn span_ms(&self) -> Option<(u64, u64)> {
         let times = || self.scrapes.values().flatten().map(|scrape| scrape.at_ms);
@@ -162,11 +162,11 @@
 }
 
 impl Record {
-    /// Returns the record as one line with its end.
+    /// Returns the record as one line, with the newline.
     ///
     /// # Panics
     ///
-    /// Panics when the record has no JSON form, which none lacks: its numbers are finite.
+    /// Panics when the record can't be written as JSON, which doesn't happen because its numbers are finite.
     #[must_use]
     pub fn line(&self) -> String {
         let text = serde_json::to_string(self).expect("a record has a JSON form");
--- a/crates/burn/src/text.rs
+++ b/crates/burn/src/text.rs
@@ -1,8 +1,8 @@
-//! Lays out tables, spans and times for people.
+//! Formats tables, spans and times as text.
 
 use std::fmt::Write;
 
-/// Returns rows as columns of equal width, with two spaces between them.
+/// Returns a table whose columns are aligned and separated by two spaces.
 #[must_use]
 pub fn table(head: &[&str], rows: &[Vec<String>]) -> String {
     let mut widths: Vec<usize> = head.iter().map(|cell| cell.chars().count()).collect();
@@ -24,7 +24,7 @@
     text
 }
 
-/// Returns a span in words.
+/// Returns a span as text, such as `1h 5m`.
 #[must_use]
 pub fn span(span_ms: u64) -> String {
     humantime::format_duration(std::time::Duration::from_millis(span_ms)).to_string()
@@ -33,7 +33,7 @@
 /// Returns a time as RFC 3339 text.
 #[must_use]
 pub fn time(at_ms: u64) -> String {
-    // Beyond the year 9999 the text form ends; a recording that says so is not from here.
+    // RFC 3339 ends with the year 9999; only an invalid recording can have a later time.
     let at_ms = at_ms.min(253_402_300_799_999);
     let at = std::time::SystemTime::UNIX_EPOCH + std::time::Duration::from_millis(at_ms);
     humantime::format_rfc3339_seconds(at).to_string()
--- a/crates/burn/src/utilisation.rs
+++ b/crates/burn/src/utilisation.rs
@@ -1,4 +1,4 @@
-//! Measures slots in use, and capacity that idled while work waited.
+//! Computes the use of slots, and the capacity that was idle while work waited.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Display};
@@ -7,51 +7,51 @@
 
 use crate::burn_text::{percent, write_coverage};
 use crate::gap::pool_of;
-use crate::increments::{Coverage, coverage, is_gap, ratio, usual_pause};
+use crate::increments::{Coverage, coverage, is_gap, median_interval_ms, ratio};
 use crate::recording::{Recording, Scrape};
 use crate::text::{span, table};
 
-/// Gauge of the sidecars with the taken slots.
+/// Gauge of the occupied slots of a sidecar.
 const RUNNING: &str = "hinge_sidecar_running";
 
-/// Gauge of the sidecars with the waiting offers, by class.
+/// Gauge of the offers that wait at a sidecar, by class.
 const WAITING: &str = "hinge_sidecar_waiting";
 
-/// Reports every pool.
+/// Report on the use of capacity in every pool.
 #[derive(Debug, Serialize)]
 pub struct UtilisationReport {
-    /// Part of the recording that counts, in milliseconds.
+    /// Length of the part of the recording that is reported, in milliseconds.
     pub window_ms: u64,
-    /// Pools by name; empty for sidecars whose pool is not known.
+    /// Pools in the order of their names; the name is empty for sidecars whose pool is not known.
     pub pools: Vec<PoolUse>,
-    /// How well each instance was recorded.
+    /// How completely each instance was recorded.
     pub coverage: Vec<Coverage>,
-    /// Whether the last record of the file was cut.
+    /// Whether the last record of the file was truncated.
     pub is_cut: bool,
 }
 
-/// Reports one pool.
+/// Use of capacity in one pool.
 #[derive(Debug, Default, Serialize)]
 pub struct PoolUse {
     /// Pool.
     pub pool: Box<str>,
     /// Sidecars with pages.
     pub endpoints: usize,
-    /// Sidecars whose slots are not known; their time is left out of the parts.
+    /// Sidecars whose slots are not known; their time is left out of the fractions.
     pub without_slots: usize,
     /// Recorded time of all sidecars together, in milliseconds.
     pub recorded_ms: u64,
-    /// Mean number of taken slots in the whole pool.
+    /// Mean number of occupied slots in the whole pool.
     pub mean_running: f64,
-    /// Taken part of the slots.
+    /// Fraction of the slots that was occupied.
     pub used: Option<f64>,
-    /// Part of the time of sidecars in which a slot was free while offers waited at the same sidecar.
+    /// Fraction of the sidecars' time in which a slot was free while offers waited at the same sidecar.
     pub idle_while_waiting: Option<f64>,
 }
 
-/// Adds up the sidecars of one pool.
+/// Sums over the sidecars of one pool.
 #[derive(Default)]
-struct Sum {
+struct PoolTotals {
     endpoints: usize,
     without_slots: usize,
     recorded_ms: u64,
@@ -62,27 +62,29 @@
     idle_ms: u64,
 }
 
-/// Reports the use of capacity in the last part of a recording.
+/// Returns the report on the use of capacity in the last part of a recording.
 #[must_use]
 pub fn utilisation(recording: &Recording, window_ms: Option<u64>) -> UtilisationReport {
     let (from_ms, to_ms) = recording.span_ms().unwrap_or_default();
     let window_ms = window_ms.unwrap_or(u64::MAX).min(to_ms - from_ms);
     let from_ms = to_ms - window_ms;
-    let mut sums: BTreeMap<&str, Sum> = BTreeMap::new();
+    let mut totals_by_pool: BTreeMap<&str, PoolTotals> = BTreeMap::new();
     for (instance, scrapes) in &recording.scrapes {
         if scrapes
             .iter()
             .any(|scrape| gauge(scrape, RUNNING).is_some())
         {
-            let sum = sums.entry(pool_of(recording, instance)).or_default();
-            sum.add(slots_of(recording, instance), scrapes, from_ms);
+            let totals = totals_by_pool
+                .entry(pool_of(recording, instance))
+                .or_default();
+            totals.add(slots_of(recording, instance), scrapes, from_ms);
         }
     }
-    let pools = sums.into_iter();
+    let pools = totals_by_pool.into_iter();
     UtilisationReport {
         window_ms,
         pools: pools
-            .map(|(pool, sum)| sum.report(pool, window_ms))
+            .map(|(pool, totals)| totals.report(pool, window_ms))
             .collect(),
         coverage: coverage(recording),
         is_cut: recording.is_cut,
@@ -105,34 +107,34 @@
         .reduce(|left, right| left + right)
 }
 
-impl Sum {
-    /// Adds one sidecar; each page holds until the next, and a gap is not recorded time.
+impl PoolTotals {
+    /// Adds one sidecar; the values of a page last until the next page, and a gap is not recorded time.
     fn add(&mut self, slots: Option<u32>, scrapes: &[Scrape], from_ms: u64) {
         self.endpoints += 1;
         self.without_slots += usize::from(slots.is_none());
-        let usual_ms = usual_pause(scrapes).unwrap_or(u64::MAX);
+        let median_ms = median_interval_ms(scrapes).unwrap_or(u64::MAX);
         for pair in scrapes.windows(2) {
             let (page, next) = (&pair[0], &pair[1]);
-            let held_ms = next.at_ms.saturating_sub(page.at_ms.max(from_ms));
-            if !is_gap(next.at_ms - page.at_ms, usual_ms) && held_ms > 0 {
-                self.add_page(slots, page, held_ms);
+            let duration_ms = next.at_ms.saturating_sub(page.at_ms.max(from_ms));
+            if !is_gap(next.at_ms - page.at_ms, median_ms) && duration_ms > 0 {
+                self.add_page(slots, page, duration_ms);
             }
         }
     }
 
-    fn add_page(&mut self, slots: Option<u32>, page: &Scrape, held_ms: u64) {
-        let weight_ms = ratio(held_ms, 1);
+    fn add_page(&mut self, slots: Option<u32>, page: &Scrape, duration_ms: u64) {
+        let weight_ms = ratio(duration_ms, 1);
         let running = gauge(page, RUNNING).unwrap_or(0.0);
-        self.recorded_ms += held_ms;
+        self.recorded_ms += duration_ms;
         self.running_ms += running * weight_ms;
         let Some(slots) = slots.map(f64::from) else {
             return;
         };
-        self.known_ms += held_ms;
+        self.known_ms += duration_ms;
         self.used_ms += running.min(slots) * weight_ms;
         self.slots_ms += slots * weight_ms;
         if running < slots && gauge(page, WAITING).unwrap_or(0.0) > 0.0 {
-            self.idle_ms += held_ms;
+            self.idle_ms += duration_ms;
         }
     }
 
