--- a/crates/daemon/tests/processes/caller.rs
+++ b/crates/daemon/tests/processes/caller.rs
@@ -13,7 +13,7 @@
 
 use hinge_fakes::stand_in::StandIn;
 
-use crate::process::{LONGEST_STEP, POLL};
+use crate::process::{POLL_INTERVAL, STEP_TIMEOUT};
 
 /// Names a request that may run once only.
 pub(crate) const IDEMPOTENCY_KEY: &str = "idempotency-key";
@@ -95,7 +95,7 @@
                 self.stream(1).await;
             }
         };
-        tokio::time::timeout(LONGEST_STEP, reaching)
+        tokio::time::timeout(STEP_TIMEOUT, reaching)
             .await
             .expect("the endpoint is reached in time");
     }
@@ -148,10 +148,10 @@
                 if is_told || answer.outcome().as_deref() != Some("not_run") {
                     return answer;
                 }
-                tokio::time::sleep(POLL).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        tokio::time::timeout(LONGEST_STEP, telling)
+        tokio::time::timeout(STEP_TIMEOUT, telling)
             .await
             .expect("the outcome is told in time")
     }
@@ -184,10 +184,10 @@
 async fn until_run<F: Future<Output = Answer>>(ask: impl Fn() -> F) {
     let running = async {
         while ask().await.outcome().as_deref() == Some("not_run") {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(LONGEST_STEP, running)
+    tokio::time::timeout(STEP_TIMEOUT, running)
         .await
         .expect("the fleet serves in time");
 }
--- a/crates/daemon/tests/processes/configuration.rs
+++ b/crates/daemon/tests/processes/configuration.rs
@@ -126,7 +126,7 @@
         started.restart_all().await;
         started.in_force(version).await;
         for idx in 0..3 {
-            started.control[idx].logged("Listening.").await;
+            started.control[idx].wait_for_log("Listening.").await;
         }
         operator.until_status(is_whole).await;
         until_serving(&mut started).await;
--- a/crates/daemon/tests/processes/faults.rs
+++ b/crates/daemon/tests/processes/faults.rs
@@ -16,7 +16,7 @@
         let mut entries = ["entry-1", "entry-2"].map(|name| fleet.start_entry(name));
         fleet.apply_example().await;
         for process in sidecars.iter_mut().chain(&mut entries) {
-            process.logged("Configuration is in force").await;
+            process.wait_for_log("Configuration is in force").await;
         }
         let [first, second] = &mut entries;
         let first = Caller::new(first.address_after("callers=").await, "demo-key-small");
@@ -41,8 +41,8 @@
         let mut sidecar = fleet.start_sidecar("sidecar-1", "forecast", stand_in.local_address());
         let mut entry = fleet.start_entry("entry-1");
         fleet.apply_example().await;
-        entry.logged("Configuration is in force").await;
-        sidecar.logged("Configuration is in force").await;
+        entry.wait_for_log("Configuration is in force").await;
+        sidecar.wait_for_log("Configuration is in force").await;
         let caller = Caller::new(entry.address_after("callers=").await, "demo-key-small");
         caller.until_served().await;
         let (status, request_id, body) = caller.begin_stream(400).await;
@@ -61,7 +61,7 @@
         let mut entry = fleet.start_entry("entry-1");
         fleet.apply_example().await;
         for process in [&mut frozen, &mut other, &mut entry] {
-            process.logged("Configuration is in force").await;
+            process.wait_for_log("Configuration is in force").await;
         }
         let caller = Caller::new(entry.address_after("callers=").await, "demo-key-small");
         caller.until_served().await;
--- a/crates/daemon/tests/processes/fleet.rs
+++ b/crates/daemon/tests/processes/fleet.rs
@@ -14,7 +14,7 @@
 use tempfile::TempDir;
 
 use crate::operator::Operator;
-use crate::process::{self, LONGEST_STEP, Process};
+use crate::process::{self, Process, STEP_TIMEOUT};
 use crate::reserve::reserve;
 
 /// Below the ports that the system gives out by itself.
@@ -94,7 +94,7 @@
     pub(crate) async fn offer(&self, sidecar: SocketAddr, pool: &str) -> FromSidecar {
         let client = Client::new(ClusterKey::derive(CLUSTER_SECRET.as_bytes()));
         let address = sidecar.to_string();
-        let opened = client.open(&address, "/v1/offer", LONGEST_STEP);
+        let opened = client.open(&address, "/v1/offer", STEP_TIMEOUT);
         let mut exchange = opened.await.expect("the sidecar takes the exchange");
         let offer = ToSidecar::Offer(Offer {
             class: UrgencyClass::Standard,
--- a/crates/daemon/tests/processes/keys.rs
+++ b/crates/daemon/tests/processes/keys.rs
@@ -100,11 +100,11 @@
         assert!(matches!(&refused, FromSidecar::Refused(refused) if refused.reason == NotRunReason::NotReady), "{refused:?}");
         // Lines are written in their order, a moment after they came: with this one, all that came before it are there.
         started.sidecars[0].hang_up();
-        started.sidecars[0].logged("Reloaded settings without a change.").await;
-        assert!(started.sidecars[0].versions().is_empty());
+        started.sidecars[0].wait_for_log("Reloaded settings without a change.").await;
+        assert!(started.sidecars[0].applied_versions().is_empty());
         serving.until_posted().await;
-        started.sidecars[0].in_force(started.version).await;
-        assert_eq!(started.sidecars[0].versions(), [started.version]);
+        started.sidecars[0].wait_until_in_force(started.version).await;
+        assert_eq!(started.sidecars[0].applied_versions(), [started.version]);
         for process in &mut started.control {
             process.restart();
         }
--- a/crates/daemon/tests/processes/leaving.rs
+++ b/crates/daemon/tests/processes/leaving.rs
@@ -27,7 +27,7 @@
         let begun = join_all((0..4).map(|_| first.begin_stream(100))).await;
         started.stand_ins[0].wait_until(|record| record.running > 0).await;
         started.sidecars[0].terminate();
-        started.sidecars[0].logged("Leaving.").await;
+        started.sidecars[0].wait_for_log("Leaving.").await;
         let at_leaving = started.stand_ins[0].record().begun();
         for _ in 0..AFTERWARDS / 2 {
             for caller in [&first, &second] {
@@ -40,7 +40,7 @@
             let answer = read_to_end(status, id, body).await;
             assert!(answer.is_whole_stream(100), "{answer:?}");
         }
-        assert!(started.sidecars[0].ended().await.success());
+        assert!(started.sidecars[0].wait_for_exit().await.success());
         let record = started.stand_ins[0].record();
         assert_eq!((record.begun(), record.completed()), (at_leaving, at_leaving));
     }
@@ -52,14 +52,14 @@
         caller.until_served().await;
         let begun = join_all((0..2).map(|_| caller.begin_stream(100))).await;
         started.entries[0].terminate();
-        started.entries[0].logged("Draining.").await;
+        started.entries[0].wait_for_log("Draining.").await;
         let refused = caller.stream(2).await;
         assert_eq!(refused.outcome().as_deref(), Some("not_run"), "{refused:?}");
         for (status, id, body) in begun {
             let answer = read_to_end(status, id, body).await;
             assert!(answer.is_whole_stream(100), "{answer:?}");
         }
-        assert!(started.entries[0].ended().await.success());
+        assert!(started.entries[0].wait_for_exit().await.success());
         assert_eq!(started.stand_ins[0].record().completed(), started.begun());
     }
 
@@ -75,8 +75,8 @@
             version = operator.apply(&format!("change-{change}"), version, numbered("changed", change)).await;
         }
         assert_eq!(version, started.version + 40);
-        started.control[leader].logged("Handing leadership over.").await;
-        assert!(started.control[leader].ended().await.success());
+        started.control[leader].wait_for_log("Handing leadership over.").await;
+        assert!(started.control[leader].wait_for_exit().await.success());
         started.in_force(version).await;
     }
 }
--- a/crates/daemon/tests/processes/lost.rs
+++ b/crates/daemon/tests/processes/lost.rs
@@ -126,7 +126,7 @@
             tokio::spawn(async move { caller.stream(5).await })
         }).collect();
         for sidecar in &mut started.sidecars {
-            sidecar.until_metric("hinge_sidecar_waiting{class=\"standard\"}", |offers| offers == 6).await;
+            sidecar.wait_for_metric("hinge_sidecar_waiting{class=\"standard\"}", |offers| offers == 6).await;
         }
         started.sidecars[0].kill().await;
         for answer in join_all(waiting).await {
@@ -168,7 +168,7 @@
         // The entry learns of the loss only when the sidecar is back at its address.
         hung.started.entries[0].freeze();
         hung.started.sidecars[0].kill_and_restart().await;
-        hung.started.sidecars[0].in_force(1).await;
+        hung.started.sidecars[0].wait_until_in_force(1).await;
         hung.started.entries[0].thaw();
         let (started, caller, answer) = hung.answer().await;
         assert_eq!(answer.outcome().as_deref(), Some("unknown"), "{answer:?}");
--- a/crates/daemon/tests/processes/operator.rs
+++ b/crates/daemon/tests/processes/operator.rs
@@ -8,7 +8,7 @@
     Apply, ApplyReply, AskFolder, AskStatus, ConfigFile, FolderReply, Status, StatusReply,
 };
 
-use crate::process::{LONGEST_STEP, POLL};
+use crate::process::{POLL_INTERVAL, STEP_TIMEOUT};
 
 /// Longest wait for one answer; a frozen instance gives none.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
@@ -56,13 +56,15 @@
                     .propose_at(idx, change_id, base_version, put.clone())
                     .await
                 {
-                    Ok(ApplyReply::Unavailable(_)) | Err(_) => tokio::time::sleep(POLL).await,
+                    Ok(ApplyReply::Unavailable(_)) | Err(_) => {
+                        tokio::time::sleep(POLL_INTERVAL).await
+                    }
                     Ok(reply) => return reply,
                 }
             }
             unreachable!("the list of control instances is not empty")
         };
-        tokio::time::timeout(LONGEST_STEP, proposing)
+        tokio::time::timeout(STEP_TIMEOUT, proposing)
             .await
             .expect("control answers in time")
     }
@@ -124,11 +126,11 @@
                     }
                     last = Some(status);
                 }
-                tokio::time::sleep(POLL).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
             unreachable!("the list of control instances is not empty")
         };
-        let status = tokio::time::timeout(LONGEST_STEP, asking).await;
+        let status = tokio::time::timeout(STEP_TIMEOUT, asking).await;
         status.unwrap_or_else(|_elapsed| panic!("the status never fitted; the last is {last:?}"))
     }
 
--- a/crates/daemon/tests/processes/reload.rs
+++ b/crates/daemon/tests/processes/reload.rs
@@ -28,15 +28,15 @@
         );
         fs::write(&path, text("127.0.0.1:1")).expect("the settings can be written");
         let mut gateway = process::spawn("gateway", path.clone());
-        gateway.logged("[gateway] Listening.").await;
+        gateway.wait_for_log("[gateway] Listening.").await;
         gateway.hang_up();
-        gateway.logged("Reloaded settings without a change.").await;
+        gateway.wait_for_log("Reloaded settings without a change.").await;
         fs::write(&path, text("127.0.0.1:2")).expect("the settings can be written");
-        gateway.logged("Reloaded settings.").await;
+        gateway.wait_for_log("Reloaded settings.").await;
         fs::write(&path, "instance = 1").expect("the settings can be written");
-        gateway.logged("the former ones stay in force").await;
+        gateway.wait_for_log("the former ones stay in force").await;
         gateway.terminate();
-        assert!(gateway.ended().await.success());
+        assert!(gateway.wait_for_exit().await.success());
     }
     control_instances_found_a_fleet_from_addresses_alone => {
         let folder = tempfile::tempdir().expect("a folder can be made");
@@ -54,11 +54,11 @@
         };
         let mut control: Vec<Process> = (0..3).map(|number| start(number, &format!("data-{number}"), true)).collect();
         for instance in &mut control {
-            instance.logged("Counting for the quorum.").await;
+            instance.wait_for_log("Counting for the quorum.").await;
         }
         // One that comes back with an empty folder takes its place again without an operator.
         control[2].kill().await;
         control[2] = start(2, "data-2-new", false);
-        control[2].logged("Counting for the quorum.").await;
+        control[2].wait_for_log("Counting for the quorum.").await;
     }
 }
--- a/crates/daemon/tests/processes/signals.rs
+++ b/crates/daemon/tests/processes/signals.rs
@@ -53,7 +53,7 @@
             let folder = tempfile::tempdir().expect("a folder can be made");
             let path = write_settings(&role, folder.path());
             let mut process = process::spawn(role.name, path);
-            process.logged(step).await;
+            process.wait_for_log(step).await;
             signal.send(&process);
             check_end(&role, signal, process).await;
         }
@@ -89,10 +89,10 @@
 /// Checks that a signal does what it does at any other time.
 async fn check_end(role: &Role, signal: Signal, mut process: Process) {
     if signal == Signal::HangUp && role.hangup == Hangup::Reloads {
-        process.logged(RELOADED).await;
+        process.wait_for_log(RELOADED).await;
         process.terminate();
     }
-    let status = process.ended().await;
+    let status = process.wait_for_exit().await;
     assert!(
         status.success(),
         "{signal:?}: {status}; the log is:\n{}",
--- a/crates/daemon/tests/processes/started.rs
+++ b/crates/daemon/tests/processes/started.rs
@@ -60,7 +60,7 @@
     /// Waits until a version is in force at every entry and sidecar.
     pub(crate) async fn in_force(&mut self, version: u64) {
         for process in self.members() {
-            process.in_force(version).await;
+            process.wait_until_in_force(version).await;
         }
     }
 
@@ -69,8 +69,10 @@
         for process in self.members() {
             // Lines are written in their order, a moment after they came: with this one, all before it are there.
             process.hang_up();
-            process.logged("Reloaded settings without a change.").await;
-            let versions = process.versions();
+            process
+                .wait_for_log("Reloaded settings without a change.")
+                .await;
+            let versions = process.applied_versions();
             assert!(
                 versions.is_sorted_by(|older, newer| older < newer),
                 "{versions:?}"
--- a/crates/daemon/tests/processes/whole_path.rs
+++ b/crates/daemon/tests/processes/whole_path.rs
@@ -25,8 +25,8 @@
         let mut sidecar = fleet.start_sidecar("sidecar-1", "forecast", stand_in.local_address());
         let mut entry = fleet.start_entry("entry-1");
         fleet.apply_example().await;
-        entry.logged("Configuration is in force").await;
-        sidecar.logged("Configuration is in force").await;
+        entry.wait_for_log("Configuration is in force").await;
+        sidecar.wait_for_log("Configuration is in force").await;
         let caller = Caller::new(entry.address_after("callers=").await, "demo-key-small");
         caller.until_served().await;
         let answer = caller.stream(50).await;
@@ -45,7 +45,7 @@
         let mut entry = fleet.start_entry("entry-1");
         fleet.apply_example().await;
         for process in [&mut first, &mut second, &mut entry] {
-            process.logged("Configuration is in force").await;
+            process.wait_for_log("Configuration is in force").await;
         }
         let caller = Caller::new(entry.address_after("callers=").await, "demo-key-large");
         caller.until_served().await;
@@ -56,8 +56,8 @@
         for answer in &answers {
             assert!(answer.is_whole_stream(40), "{answer:?}");
         }
-        assert!(first.ended().await.success());
-        assert!(entry.ended().await.success());
+        assert!(first.wait_for_exit().await.success());
+        assert!(entry.wait_for_exit().await.success());
         assert_eq!(stand_in.record().completed(), 7);
     }
 }
--- a/crates/fakes/src/process.rs
+++ b/crates/fakes/src/process.rs
@@ -16,10 +16,10 @@
 use tokio::sync::watch;
 
 /// Time that a test waits for one step; far longer than any step takes, so reaching it fails the test.
-pub const LONGEST_STEP: Duration = Duration::from_mins(1);
+pub const STEP_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// Time between two checks of a condition.
-pub const POLL: Duration = Duration::from_millis(20);
+pub const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Text with which the Rust runtime reports a panic.
 const PANICKED: &str = "panicked at";
@@ -61,7 +61,7 @@
     /// Panics when the binary does not start.
     #[must_use]
     pub fn spawn(binary: &Path, role: &str, settings: PathBuf) -> Self {
-        Self::spawn_noting(binary, role, settings, Panics::default())
+        Self::spawn_recording_panics(binary, role, settings, Panics::default())
     }
 
     /// Does the same as [`Self::spawn`], and adds panics of the process and of its restarts to a list.
@@ -70,7 +70,12 @@
     ///
     /// Panics when the binary does not start.
     #[must_use]
-    pub fn spawn_noting(binary: &Path, role: &str, settings: PathBuf, panics: Panics) -> Self {
+    pub fn spawn_recording_panics(
+        binary: &Path,
+        role: &str,
+        settings: PathBuf,
+        panics: Panics,
+    ) -> Self {
         let mut child = Command::new(binary)
             .arg(role)
             .arg("--settings")
@@ -115,7 +120,8 @@
     /// Starts the process again, with the same settings and an empty log.
     pub fn restart(&mut self) {
         let panics = self.panics.clone();
-        *self = Self::spawn_noting(&self.binary, &self.role, self.settings.clone(), panics);
+        *self =
+            Self::spawn_recording_panics(&self.binary, &self.role, self.settings.clone(), panics);
     }
 
     /// Kills the process and starts it again.
@@ -133,8 +139,8 @@
     /// # Panics
     ///
     /// Panics when the version does not come into force in time.
-    pub async fn in_force(&mut self, version: u64) {
-        self.logged(&format!("Configuration is in force. version={version}\n"))
+    pub async fn wait_until_in_force(&mut self, version: u64) {
+        self.wait_for_log(&format!("Configuration is in force. version={version}\n"))
             .await;
     }
 
@@ -143,7 +149,7 @@
     /// # Panics
     ///
     /// Panics when a log line names no version.
-    pub fn versions(&self) -> Vec<u64> {
+    pub fn applied_versions(&self) -> Vec<u64> {
         let log = self.log.borrow();
         let records = log.split("Configuration is in force. version=").skip(1);
         let versions = records.map(|rest| rest.lines().next().and_then(|text| text.parse().ok()));
@@ -157,7 +163,7 @@
     /// # Panics
     ///
     /// Panics when the metric does not meet the condition in time.
-    pub async fn until_metric(&mut self, name: &str, fits: impl Fn(u64) -> bool) {
+    pub async fn wait_for_metric(&mut self, name: &str, fits: impl Fn(u64) -> bool) {
         let admin = self.address_after("[admin] Listening. address=").await;
         let http = Client::builder(TokioExecutor::new()).build_http::<Empty<Bytes>>();
         let page: Uri = format!("http://{admin}/metrics")
@@ -178,10 +184,10 @@
                 if value.is_some_and(&fits) {
                     return;
                 }
-                tokio::time::sleep(POLL).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        let is_met = tokio::time::timeout(LONGEST_STEP, condition_met)
+        let is_met = tokio::time::timeout(STEP_TIMEOUT, condition_met)
             .await
             .is_ok();
         assert!(
@@ -195,9 +201,9 @@
     /// # Panics
     ///
     /// Panics when the text is not logged in time.
-    pub async fn logged(&mut self, text: &str) {
+    pub async fn wait_for_log(&mut self, text: &str) {
         let mut log = self.log.clone();
-        let recorded = tokio::time::timeout(LONGEST_STEP, log.wait_for(|log| log.contains(text)));
+        let recorded = tokio::time::timeout(STEP_TIMEOUT, log.wait_for(|log| log.contains(text)));
         let is_found = matches!(recorded.await, Ok(Ok(_)));
         assert!(
             is_found,
@@ -229,7 +235,7 @@
     ///
     /// Panics when no address follows.
     pub async fn address_after(&mut self, text: &str) -> SocketAddr {
-        self.logged(text).await;
+        self.wait_for_log(text).await;
         let log = self.log.borrow();
         let rest = log.split(text).nth(1).expect("the text was just recorded");
         let address = rest.split_whitespace().next().expect("an address follows");
@@ -286,8 +292,8 @@
     /// # Panics
     ///
     /// Panics when it does not exit in time.
-    pub async fn ended(&mut self) -> ExitStatus {
-        let ended = tokio::time::timeout(LONGEST_STEP, self.child.wait()).await;
+    pub async fn wait_for_exit(&mut self) -> ExitStatus {
+        let ended = tokio::time::timeout(STEP_TIMEOUT, self.child.wait()).await;
         ended
             .expect("the process ends in time")
             .expect("its status can be read")
