--- a/crates/capacity/examples/measure/idle.rs
+++ b/crates/capacity/examples/measure/idle.rs
@@ -1,18 +1,18 @@
-//! Measures every role without work, in a small fleet and with the target's configuration.
+//! Measures every role in an idle fleet.
 
 use anyhow::Result;
+use hinge_capacity::config_files;
 use hinge_capacity::fit::median;
-use hinge_capacity::fleet::{Fleet, rates_of};
-use hinge_capacity::folder;
+use hinge_capacity::fleet::{Fleet, measure_rates};
 
 use crate::{SETTLE, WINDOW};
 
 const ROUNDS: usize = 3;
 
 pub async fn measure() -> Result<()> {
-    let fleet = Fleet::open(3)?;
+    let fleet = Fleet::prepare(3)?;
     let control = fleet.start_control().await?;
-    fleet.apply(0, folder::files(16)).await?;
+    fleet.apply(0, config_files::all_files(16)).await?;
     let (relay, below) = fleet.start_relay("relay-1").await?;
     let (_stand_in, endpoint) = fleet.start_stand_in("stand-in", 8, 1_000).await?;
     let sidecar = fleet
@@ -24,7 +24,7 @@
     processes.extend([&relay, &sidecar, &entry]);
     let mut rounds = Vec::new();
     for _ in 0..ROUNDS {
-        rounds.push(rates_of(&processes, WINDOW).await?);
+        rounds.push(measure_rates(&processes, WINDOW).await?);
     }
     println!("\n### Idle processes, 16 teams, medians of {ROUNDS} windows\n");
     println!(
@@ -39,9 +39,9 @@
         println!(
             "| {} | {:.3} | {:.2} | {:.2} | {:.0} | {:.0} | {:.1} |",
             process.name,
-            of(|rates| rates.core * 100.0),
+            of(|rates| rates.core_fraction * 100.0),
             of(|rates| rates.resident_bytes / 1e6),
-            of(|rates| rates.own_bytes / 1e6),
+            of(|rates| rates.anonymous_bytes / 1e6),
             of(|rates| rates.control_bytes),
             of(|rates| rates.one_way_bytes("sent")),
             of(|rates| rates.control_messages),
--- a/crates/capacity/examples/measure/table.rs
+++ b/crates/capacity/examples/measure/table.rs
@@ -1,13 +1,14 @@
-//! Prints measured points, and the lines through them.
+//! Prints measured values as tables, with the lines fitted to them.
 
 use hinge_capacity::fit::Fit;
 use hinge_capacity::reading::Rates;
 
-/// Bytes of a KB and a MB in the tables.
+/// Bytes of a KB in the tables.
 pub const KB: f64 = 1_000.0;
+/// Bytes of a MB in the tables.
 const MB: f64 = 1_000_000.0;
 
-/// Collects points of named values over one size.
+/// A table of named values by size.
 #[derive(Debug)]
 pub struct Table {
     title: String,
@@ -28,7 +29,7 @@
         self.rows.push((f64::from(size), values));
     }
 
-    /// Prints the points as a table, and a line for each value.
+    /// Prints the table, and the fitted line of each value.
     pub fn print(&self) {
         let Some((_, first)) = self.rows.first() else {
             return;
@@ -55,19 +56,19 @@
                 .iter()
                 .map(|(size, values)| (*size, values[at].1))
                 .collect();
-            if let Some(fit) = Fit::of(&points) {
+            if let Some(fit) = Fit::least_squares(&points) {
                 println!("- {name}: {fit}");
             }
         }
     }
 }
 
-/// Returns what every table shows of a process.
-pub fn common(rates: &Rates) -> Vec<(&'static str, f64)> {
+/// Returns the values of a process that every table has.
+pub fn common_values(rates: &Rates) -> Vec<(&'static str, f64)> {
     vec![
-        ("core %", rates.core * 100.0),
+        ("core %", rates.core_fraction * 100.0),
         ("resident MB", rates.resident_bytes / MB),
-        ("own MB", rates.own_bytes / MB),
+        ("own MB", rates.anonymous_bytes / MB),
         ("control KB/s", rates.control_bytes / KB),
         ("control messages/s", rates.control_messages),
     ]
--- a/crates/capacity/src/caller.rs
+++ b/crates/capacity/src/caller.rs
@@ -1,4 +1,4 @@
-//! Calls an entry as a team's program would.
+//! A client that calls an entry as a team's program would.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,19 +12,19 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::TokioExecutor;
 
-/// Calls one entry; clones share its connections.
+/// A client of one entry; clones share its connections.
 #[derive(Debug, Clone)]
 pub struct Caller {
     http: Client<HttpConnector, Full<Bytes>>,
     entry: SocketAddr,
 }
 
-/// Says how a streamed answer came.
+/// Outcome of a request with a streamed answer.
 #[derive(Debug, Clone, Copy)]
 pub struct Answered {
-    /// Status of the head.
+    /// HTTP status.
     pub status: StatusCode,
-    /// When the caller may come back after a refusal; zero after an answer.
+    /// Time that the caller must wait before it retries after a refusal; zero after an answer.
     pub retry_after: Duration,
     /// Bytes of the body.
     pub body_bytes: usize,
@@ -40,11 +40,11 @@
         }
     }
 
-    /// Asks for an answer of some tokens as a team, and reads it to its end.
+    /// Requests a streamed answer of some tokens as a team, and reads it to the end.
     ///
     /// # Errors
     ///
-    /// Returns an error when the connection breaks, or the answer is cut.
+    /// Returns an error when the connection breaks or the answer is truncated.
     pub async fn stream(&self, team: u32, model: &str, tokens: u32) -> Result<Answered> {
         let body = format!(
             r#"{{"model":"{model}","stream":true,"max_tokens":{tokens},"messages":[{{"role":"user","content":"surf?"}}]}}"#
@@ -52,7 +52,7 @@
         let request = Request::post(format!("http://{}/v1/chat/completions", self.entry))
             .header(
                 "authorization",
-                format!("Bearer {}", crate::folder::key(team)),
+                format!("Bearer {}", crate::config_files::caller_key(team)),
             )
             .header("content-type", "application/json")
             .body(Full::from(body))?;
@@ -68,16 +68,16 @@
         })
     }
 
-    /// Repeats a short request until the fleet answers it.
+    /// Repeats a short request until the fleet serves it.
     ///
     /// # Errors
     ///
-    /// Returns the last refusal when none is answered in time.
-    pub async fn until_served(&self, model: &str) -> Result<()> {
+    /// Returns the last refusal when none is served in time.
+    pub async fn wait_until_served(&self, model: &str) -> Result<()> {
         let mut last = None;
         for _ in 0..300 {
             match self.stream(0, model, 1).await {
-                Ok(answered) if answered.status == StatusCode::OK => return Ok(()),
+                Ok(summary) if summary.status == StatusCode::OK => return Ok(()),
                 other => last = Some(other),
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
--- a/crates/capacity/src/folder.rs
+++ b/crates/capacity/src/config_files.rs
@@ -1,33 +1,33 @@
-//! Gives the operators' files of a fleet of some size.
+//! Generates the configuration files of a fleet with a given number of teams.
 
 use std::fmt::Write as _;
 
 use hinge_schema::messages::ConfigFile;
 use sha2::{Digest, Sha256};
 
-/// Teams that one file holds: a change of one team sends its file, and 60 files of 25 hold the 1,500 teams of the target.
+/// Teams in one file: a change of one team sends its whole file, and 60 files of 25 teams make the target's 1,500 teams.
 pub const TEAMS_PER_FILE: u32 = 25;
 
-/// Returns the key of a team's callers.
+/// Returns the key with which the callers of a team authenticate.
 #[must_use]
-pub fn key(team: u32) -> String {
+pub fn caller_key(team: u32) -> String {
     format!("key {team}")
 }
 
-/// Returns the pools' file, and files that hold the teams.
+/// Returns the file of the pools, and the files of the teams.
 #[must_use]
-pub fn files(teams: u32) -> Vec<ConfigFile> {
+pub fn all_files(teams: u32) -> Vec<ConfigFile> {
     let pools = (0..8).map(pool).collect::<String>();
     let mut files = vec![ConfigFile {
         name: "10-pools.toml".into(),
         text: pools.into(),
     }];
-    let firsts = (0..teams).step_by(TEAMS_PER_FILE as usize);
-    files.extend(firsts.map(|first| team_file(first, teams, 0)));
+    let first_teams = (0..teams).step_by(TEAMS_PER_FILE as usize);
+    files.extend(first_teams.map(|first| team_file(first, teams, 0)));
     files
 }
 
-/// Returns the file that begins with a team; `change` makes each of its texts differ.
+/// Returns the file whose first team is given; its content differs with `change`.
 #[must_use]
 pub fn team_file(first: u32, teams: u32, change: u32) -> ConfigFile {
     let end = (first + TEAMS_PER_FILE).min(teams);
@@ -43,7 +43,7 @@
 }
 
 fn team(team: u32, change: u32) -> String {
-    let hash = Sha256::digest(key(team));
+    let hash = Sha256::digest(caller_key(team));
     let hash = hash.iter().fold(String::new(), |mut text, byte| {
         let _always_ok = write!(text, "{byte:02x}");
         text
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -1,28 +1,28 @@
-//! Fits a straight line to measured points.
+//! Fits a line to measured points.
 
 use std::fmt;
 
-/// Holds the line that lies closest to the points, by least squares.
+/// A line fitted to points by least squares.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Fit {
     /// Value at size 0.
     pub base: f64,
-    /// Growth for each unit of size.
+    /// Growth per unit of size.
     pub slope: f64,
     /// Largest distance of a point from the line.
     pub residual: f64,
-    /// Spread of the values, against which the residual is read.
+    /// Largest minus smallest value, to which the residual is compared.
     pub spread: f64,
 }
 
 impl Fit {
-    /// Fits a line; `None` with fewer than two different sizes.
+    /// Returns the line through points of size and value; `None` with fewer than two different sizes.
     #[must_use]
     #[expect(
         clippy::cast_precision_loss,
         reason = "a handful of points is far below 2^52"
     )]
-    pub fn of(points: &[(f64, f64)]) -> Option<Self> {
+    pub fn least_squares(points: &[(f64, f64)]) -> Option<Self> {
         let count = points.len() as f64;
         let mean_size = points.iter().map(|(size, _)| size).sum::<f64>() / count;
         let mean_value = points.iter().map(|(_, value)| value).sum::<f64>() / count;
@@ -53,9 +53,9 @@
         })
     }
 
-    /// Returns the value of the line at a size.
+    /// Returns the value on the line at a size.
     #[must_use]
-    pub fn at(&self, size: f64) -> f64 {
+    pub fn value_at(&self, size: f64) -> f64 {
         self.base + self.slope * size
     }
 }
@@ -70,7 +70,7 @@
     }
 }
 
-/// Returns the value in the middle, the upper one of two; 0 when there is none.
+/// Returns the median, the upper of two middle values; 0 without values.
 #[must_use]
 pub fn median(values: &[f64]) -> f64 {
     let mut sorted = values.to_vec();
--- a/crates/capacity/src/fleet.rs
+++ b/crates/capacity/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Starts the processes that are measured.
+//! Starts the processes that are measured, and measures them.
 
 use std::fmt::Write as _;
 use std::fs;
@@ -19,19 +19,19 @@
 
 use crate::reading::{Rates, Reading};
 
-/// Names the binary to measure; the release build of this workspace otherwise.
-pub const BINARY_VARIABLE: &str = "HINGE_BINARY";
+/// Environment variable with the path of the binary to measure; without it, the release build of this workspace is used.
+pub const BINARY_ENV: &str = "HINGE_BINARY";
 
 const CLUSTER_SECRET: &str = "cluster-secret-of-the-measurement";
 
 const OPERATOR_SECRET: &str = "operator-secret-of-the-measurement";
 
-/// Far longer than any step takes.
-const LONGEST_STEP: Duration = Duration::from_secs(30);
+/// Timeout of one step; far longer than any step takes.
+const STEP_TIMEOUT: Duration = Duration::from_secs(30);
 
-const RETRY: Duration = Duration::from_millis(20);
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Holds one running process; dropping it kills the process.
+/// A running process, which is killed on drop.
 #[derive(Debug)]
 pub struct Process {
     /// Role and name, for the tables.
@@ -46,10 +46,10 @@
     ///
     /// # Errors
     ///
-    /// Returns an error with the log when the text does not come in time.
+    /// Returns an error with the log when the text is not logged in time.
     pub async fn address_after(&self, text: &str) -> Result<SocketAddr> {
         let mut log = self.log.clone();
-        let found = tokio::time::timeout(LONGEST_STEP, log.wait_for(|log| log.contains(text)));
+        let found = tokio::time::timeout(STEP_TIMEOUT, log.wait_for(|log| log.contains(text)));
         if !matches!(found.await, Ok(Ok(_))) {
             bail!(
                 "{}: `{text}` was never logged: {}",
@@ -65,7 +65,7 @@
             .with_context(|| format!("after `{text}`: {address}"))
     }
 
-    /// Reads what the process has used so far.
+    /// Reads the resources that the process has used so far.
     ///
     /// # Errors
     ///
@@ -77,43 +77,43 @@
     }
 }
 
-/// Measures processes for some time.
+/// Measures processes over a window of time.
 ///
 /// # Errors
 ///
-/// Returns an error when one of them has ended.
-pub async fn rates_of(processes: &[&Process], window: Duration) -> Result<Vec<Rates>> {
-    let sleeping = async {
+/// Returns an error when one of the processes has ended.
+pub async fn measure_rates(processes: &[&Process], window: Duration) -> Result<Vec<Rates>> {
+    let sleep = async {
         tokio::time::sleep(window).await;
         Ok(())
     };
-    Ok(rates_during(processes, sleeping).await?.0)
+    Ok(measure_rates_during(processes, sleep).await?.0)
 }
 
-/// Measures processes while something runs; returns the rates, what came of it, and the time in seconds.
+/// Measures processes while a future runs; returns the rates, the result of the future, and the time in seconds.
 ///
 /// # Errors
 ///
-/// Returns an error when one of the processes has ended, or what runs fails.
-pub async fn rates_during<T>(
+/// Returns an error when one of the processes has ended or the future fails.
+pub async fn measure_rates_during<T>(
     processes: &[&Process],
-    running: impl Future<Output = Result<T>>,
+    measured_work: impl Future<Output = Result<T>>,
 ) -> Result<(Vec<Rates>, T, f64)> {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut before = Vec::new();
     for process in processes {
         before.push((process.read().await?, Instant::now()));
     }
-    let outcome = running.await?;
+    let outcome = measured_work.await?;
     let mut rates = Vec::new();
     for (process, (before, at)) in processes.iter().zip(&before) {
         let after = process.read().await?;
         rates.push(Rates::between(before, &after, at.elapsed()));
     }
-    Ok((rates, outcome, began.elapsed().as_secs_f64()))
+    Ok((rates, outcome, started_at.elapsed().as_secs_f64()))
 }
 
-/// Holds the files and addresses of one fleet.
+/// The files and addresses of one fleet.
 #[derive(Debug)]
 pub struct Fleet {
     folder: TempDir,
@@ -124,16 +124,16 @@
 }
 
 impl Fleet {
-    /// Reserves addresses for a fleet with some control instances.
+    /// Prepares the files and addresses of a fleet with a number of control instances.
     ///
     /// # Errors
     ///
-    /// Returns an error when the binary is not built, or files can't be written.
-    pub fn open(control_instances: usize) -> Result<Self> {
+    /// Returns an error when the binary is not built or files can't be written.
+    pub fn prepare(control_instances: usize) -> Result<Self> {
         let mut fleet = Self {
             folder: tempfile::tempdir()?,
             binary: binary()?,
-            host: own_host(),
+            host: unused_loopback_host(),
             control: Vec::new(),
             client: Client::new(ClusterKey::derive(OPERATOR_SECRET.as_bytes())),
         };
@@ -146,15 +146,15 @@
         Ok(fleet)
     }
 
-    /// Returns the key that proves a process of this fleet, with counts of its own.
+    /// Returns the key with which processes of this fleet authenticate, with traffic counters of its own.
     #[must_use]
-    pub fn key(&self) -> ClusterKey {
+    pub fn cluster_key(&self) -> ClusterKey {
         ClusterKey::derive(CLUSTER_SECRET.as_bytes())
     }
 
     /// Returns the addresses of the control instances.
     #[must_use]
-    pub fn control(&self) -> &[SocketAddr] {
+    pub fn control_addresses(&self) -> &[SocketAddr] {
         &self.control
     }
 
@@ -185,18 +185,21 @@
         Ok(started)
     }
 
-    /// Starts a relay below control.
+    /// Starts a relay that connects to control, and returns its address.
     ///
     /// # Errors
     ///
     /// Returns an error when the process does not start.
     pub async fn start_relay(&self, name: &str) -> Result<(Process, SocketAddr)> {
         let listen = self.free_address()?;
-        let settings = format!("peer_listen = \"{listen}\"\n{}", addresses(&self.control));
+        let settings = format!(
+            "peer_listen = \"{listen}\"\n{}",
+            control_addresses_setting(&self.control)
+        );
         Ok((self.start("relay", name, &settings).await?, listen))
     }
 
-    /// Starts a sidecar below the given control instances or relays.
+    /// Starts a sidecar that connects to the given control instances or relays.
     ///
     /// # Errors
     ///
@@ -207,16 +210,16 @@
         pool: &str,
         slots: u32,
         endpoint: SocketAddr,
-        above: &[SocketAddr],
+        upstream: &[SocketAddr],
     ) -> Result<Process> {
         let settings = format!(
             "{}[sidecar]\nendpoint_address = \"{endpoint}\"\npool = \"{pool}\"\nslots = {slots}\n",
-            addresses(above)
+            control_addresses_setting(upstream)
         );
         self.start("sidecar", name, &settings).await
     }
 
-    /// Starts an entry below the given control instances or relays, and returns its callers' address.
+    /// Starts an entry that connects to the given control instances or relays, and returns its address for callers.
     ///
     /// # Errors
     ///
@@ -224,18 +227,18 @@
     pub async fn start_entry(
         &self,
         name: &str,
-        above: &[SocketAddr],
+        upstream: &[SocketAddr],
     ) -> Result<(Process, SocketAddr)> {
         let listen = self.free_address()?;
         let settings = format!(
             "{}[entry]\ncallers_listen = \"{listen}\"\nmax_waiting_requests = 20000\n",
-            addresses(above)
+            control_addresses_setting(upstream)
         );
         let process = self.start("entry", name, &settings).await?;
         Ok((process, listen))
     }
 
-    /// Starts a stand-in endpoint, and returns its address.
+    /// Starts a stand-in for an endpoint, and returns its address.
     ///
     /// # Errors
     ///
@@ -254,7 +257,7 @@
         Ok((process, listen))
     }
 
-    /// Proposes a change until some control instance takes it, and returns the version that it made.
+    /// Proposes a change until a control instance accepts it, and returns the resulting version.
     ///
     /// # Errors
     ///
@@ -268,16 +271,16 @@
             put,
             removed: Vec::new(),
         };
-        let began = Instant::now();
+        let started_at = Instant::now();
         for address in self.control.iter().cycle() {
             let address = address.to_string();
             let call = self
                 .client
-                .call(&address, "/v1/operator/apply", &change, LONGEST_STEP);
+                .call(&address, "/v1/operator/apply", &change, STEP_TIMEOUT);
             match call.await {
                 Ok(ApplyReply::Accepted(accepted)) => return Ok(accepted.version),
-                Ok(ApplyReply::Unavailable(_)) | Err(_) if began.elapsed() < LONGEST_STEP => {
-                    tokio::time::sleep(RETRY).await;
+                Ok(ApplyReply::Unavailable(_)) | Err(_) if started_at.elapsed() < STEP_TIMEOUT => {
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
                 other => bail!("the change was not taken: {other:?}"),
             }
@@ -343,8 +346,8 @@
     }
 }
 
-fn addresses(above: &[SocketAddr]) -> String {
-    let quoted: Vec<String> = above
+fn control_addresses_setting(upstream: &[SocketAddr]) -> String {
+    let quoted: Vec<String> = upstream
         .iter()
         .map(|address| format!("\"{address}\""))
         .collect();
@@ -352,7 +355,7 @@
 }
 
 fn binary() -> Result<PathBuf> {
-    if let Some(path) = std::env::var_os(BINARY_VARIABLE) {
+    if let Some(path) = std::env::var_os(BINARY_ENV) {
         return Ok(path.into());
     }
     let target =
@@ -363,8 +366,8 @@
     Ok(target)
 }
 
-/// Returns a loopback host that only this fleet uses, so that a port that is free now stays free.
-fn own_host() -> Ipv4Addr {
+/// Returns a loopback host that only this fleet uses, so that a free port is not taken by another.
+fn unused_loopback_host() -> Ipv4Addr {
     static FLEETS: AtomicU32 = AtomicU32::new(0);
     let fleet = FLEETS.fetch_add(1, Ordering::Relaxed);
     let [_, _, high, low] = std::process::id().to_be_bytes();
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,7 +1,7 @@
-//! Measures what each role costs: processes of the daemon are started, watched from outside, and fitted over size.
+//! Measures the resources that each role uses: starts processes of the daemon, observes them, and fits lines over size.
 
 pub mod caller;
+pub mod config_files;
 pub mod fit;
 pub mod fleet;
-pub mod folder;
 pub mod reading;
