--- a/crates/daemon/tests/processes/caller.rs
+++ b/crates/daemon/tests/processes/caller.rs
@@ -13,7 +13,7 @@
 
 use hinge_fakes::stand_in::StandIn;
 
-use crate::process::{POLL_INTERVAL, STEP_TIMEOUT};
+use crate::process::{POLL, STEP_TIMEOUT};
 
 /// Names a request that may run once only.
 pub(crate) const IDEMPOTENCY_KEY: &str = "idempotency-key";
@@ -148,7 +148,7 @@
                 if is_told || answer.outcome().as_deref() != Some("not_run") {
                     return answer;
                 }
-                tokio::time::sleep(POLL_INTERVAL).await;
+                tokio::time::sleep(POLL).await;
             }
         };
         tokio::time::timeout(STEP_TIMEOUT, telling)
@@ -184,7 +184,7 @@
 async fn until_run<F: Future<Output = Answer>>(ask: impl Fn() -> F) {
     let running = async {
         while ask().await.outcome().as_deref() == Some("not_run") {
-            tokio::time::sleep(POLL_INTERVAL).await;
+            tokio::time::sleep(POLL).await;
         }
     };
     tokio::time::timeout(STEP_TIMEOUT, running)
--- a/crates/daemon/tests/processes/operator.rs
+++ b/crates/daemon/tests/processes/operator.rs
@@ -8,7 +8,7 @@
     Apply, ApplyReply, AskFolder, AskStatus, ConfigFile, FolderReply, Status, StatusReply,
 };
 
-use crate::process::{POLL_INTERVAL, STEP_TIMEOUT};
+use crate::process::{POLL, STEP_TIMEOUT};
 
 /// Longest wait for one answer; a frozen instance gives none.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
@@ -56,9 +56,7 @@
                     .propose_at(idx, change_id, base_version, put.clone())
                     .await
                 {
-                    Ok(ApplyReply::Unavailable(_)) | Err(_) => {
-                        tokio::time::sleep(POLL_INTERVAL).await
-                    }
+                    Ok(ApplyReply::Unavailable(_)) | Err(_) => tokio::time::sleep(POLL).await,
                     Ok(reply) => return reply,
                 }
             }
@@ -126,7 +124,7 @@
                     }
                     last = Some(status);
                 }
-                tokio::time::sleep(POLL_INTERVAL).await;
+                tokio::time::sleep(POLL).await;
             }
             unreachable!("the list of control instances is not empty")
         };
--- a/crates/daemon/tests/processes/process.rs
+++ b/crates/daemon/tests/processes/process.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-pub(crate) use hinge_fakes::process::{POLL_INTERVAL, Process, STEP_TIMEOUT};
+pub(crate) use hinge_fakes::process::{POLL, Process, STEP_TIMEOUT};
 
 /// Starts a process with a role and a settings file.
 pub(crate) fn spawn(role: &str, settings: PathBuf) -> Process {
--- a/crates/fakes/src/process.rs
+++ b/crates/fakes/src/process.rs
@@ -19,7 +19,7 @@
 pub const STEP_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// Time between two checks of a condition.
-pub const POLL_INTERVAL: Duration = Duration::from_millis(20);
+pub const POLL: Duration = Duration::from_millis(20);
 
 /// Text with which the Rust runtime reports a panic.
 const PANICKED: &str = "panicked at";
@@ -184,7 +184,7 @@
                 if value.is_some_and(&fits) {
                     return;
                 }
-                tokio::time::sleep(POLL_INTERVAL).await;
+                tokio::time::sleep(POLL).await;
             }
         };
         let is_met = tokio::time::timeout(STEP_TIMEOUT, condition_met)
