--- a/crates/daemon/tests/processes/caller.rs
+++ b/crates/daemon/tests/processes/caller.rs
@@ -13,7 +13,7 @@
 
 use hinge_fakes::stand_in::StandIn;
 
-use crate::process::{LONGEST_STEP, POLL};
+use crate::process::{POLL, STEP_TIMEOUT};
 
 /// Header with the idempotency key of a request that may run only once.
 pub(crate) const IDEMPOTENCY_KEY: &str = "idempotency-key";
@@ -95,7 +95,7 @@
                 self.stream(1).await;
             }
         };
-        tokio::time::timeout(LONGEST_STEP, reaching)
+        tokio::time::timeout(STEP_TIMEOUT, reaching)
             .await
             .expect("the endpoint is reached in time");
     }
@@ -152,7 +152,7 @@
                 tokio::time::sleep(POLL).await;
             }
         };
-        tokio::time::timeout(LONGEST_STEP, resending)
+        tokio::time::timeout(STEP_TIMEOUT, resending)
             .await
             .expect("the outcome is known in time")
     }
@@ -188,7 +188,7 @@
             tokio::time::sleep(POLL).await;
         }
     };
-    tokio::time::timeout(LONGEST_STEP, running)
+    tokio::time::timeout(STEP_TIMEOUT, running)
         .await
         .expect("the fleet serves in time");
 }
--- a/crates/daemon/tests/processes/configuration.rs
+++ b/crates/daemon/tests/processes/configuration.rs
@@ -126,7 +126,7 @@
         fleet.restart_all().await;
         fleet.in_force(version).await;
         for idx in 0..3 {
-            fleet.control[idx].logged("Listening.").await;
+            fleet.control[idx].wait_for_log("Listening.").await;
         }
         operator.until_status(is_fully_replicated).await;
         until_serving(&mut fleet).await;
--- a/crates/daemon/tests/processes/idempotency_keys.rs
+++ b/crates/daemon/tests/processes/idempotency_keys.rs
@@ -100,11 +100,11 @@
         assert!(matches!(&refused, FromSidecar::Refused(refused) if refused.reason == NotRunReason::NotReady), "{refused:?}");
         // Log lines are written in order but with a delay: once this line is there, so are all earlier ones.
         fleet.sidecars[0].hang_up();
-        fleet.sidecars[0].logged("Reloaded settings without a change.").await;
-        assert!(fleet.sidecars[0].versions().is_empty());
+        fleet.sidecars[0].wait_for_log("Reloaded settings without a change.").await;
+        assert!(fleet.sidecars[0].applied_versions().is_empty());
         serving.until_posted().await;
-        fleet.sidecars[0].in_force(fleet.version).await;
-        assert_eq!(fleet.sidecars[0].versions(), [fleet.version]);
+        fleet.sidecars[0].wait_until_in_force(fleet.version).await;
+        assert_eq!(fleet.sidecars[0].applied_versions(), [fleet.version]);
         for process in &mut fleet.control {
             process.restart();
         }
--- a/crates/daemon/tests/processes/operator.rs
+++ b/crates/daemon/tests/processes/operator.rs
@@ -8,7 +8,7 @@
     Apply, ApplyReply, AskFolder, AskStatus, ConfigFile, FolderReply, Status, StatusReply,
 };
 
-use crate::process::{LONGEST_STEP, POLL};
+use crate::process::{POLL, STEP_TIMEOUT};
 
 /// Timeout of one call, since a frozen instance never answers.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
@@ -62,7 +62,7 @@
             }
             unreachable!("the list of control instances is not empty")
         };
-        tokio::time::timeout(LONGEST_STEP, proposing)
+        tokio::time::timeout(STEP_TIMEOUT, proposing)
             .await
             .expect("control answers in time")
     }
@@ -128,7 +128,7 @@
             }
             unreachable!("the list of control instances is not empty")
         };
-        let status = tokio::time::timeout(LONGEST_STEP, asking).await;
+        let status = tokio::time::timeout(STEP_TIMEOUT, asking).await;
         status.unwrap_or_else(|_elapsed| panic!("the status never fitted; the last is {last:?}"))
     }
 
--- a/crates/daemon/tests/processes/planned_stop.rs
+++ b/crates/daemon/tests/processes/planned_stop.rs
@@ -10,7 +10,7 @@
 /// Requests sent while an endpoint leaves; none of them may reach it.
 const REQUESTS_WHILE_LEAVING: usize = 20;
 
-/// Longer than [`LONGEST_STEP`](crate::process::LONGEST_STEP), so that a sidecar that kept a completed answer for a resume
+/// Longer than [`STEP_TIMEOUT`](crate::process::STEP_TIMEOUT), so that a sidecar that kept a completed answer for a resume
 /// would not stop in time.
 const LONG_RESUME_WINDOW: &str = "resume_window_ms = 120000";
 
@@ -28,7 +28,7 @@
         let begun = join_all((0..4).map(|_| first.begin_stream(100))).await;
         fleet.stand_ins[0].wait_until(|record| record.running > 0).await;
         fleet.sidecars[0].terminate();
-        fleet.sidecars[0].logged("Leaving.").await;
+        fleet.sidecars[0].wait_for_log("Leaving.").await;
         let begun_before_leaving = fleet.stand_ins[0].record().begun();
         for _ in 0..REQUESTS_WHILE_LEAVING / 2 {
             for caller in [&first, &second] {
@@ -41,7 +41,7 @@
             let answer = read_to_end(status, id, body).await;
             assert!(answer.is_whole_stream(100), "{answer:?}");
         }
-        assert!(fleet.sidecars[0].ended().await.success());
+        assert!(fleet.sidecars[0].wait_for_exit().await.success());
         let record = fleet.stand_ins[0].record();
         assert_eq!((record.begun(), record.completed()), (begun_before_leaving, begun_before_leaving));
     }
@@ -53,14 +53,14 @@
         caller.until_served().await;
         let begun = join_all((0..2).map(|_| caller.begin_stream(100))).await;
         fleet.entries[0].terminate();
-        fleet.entries[0].logged("Draining.").await;
+        fleet.entries[0].wait_for_log("Draining.").await;
         let refused = caller.stream(2).await;
         assert_eq!(refused.outcome().as_deref(), Some("not_run"), "{refused:?}");
         for (status, id, body) in begun {
             let answer = read_to_end(status, id, body).await;
             assert!(answer.is_whole_stream(100), "{answer:?}");
         }
-        assert!(fleet.entries[0].ended().await.success());
+        assert!(fleet.entries[0].wait_for_exit().await.success());
         assert_eq!(fleet.stand_ins[0].record().completed(), fleet.begun());
     }
 
@@ -76,8 +76,8 @@
             version = operator.apply(&format!("change-{change}"), version, numbered_file("changed", change)).await;
         }
         assert_eq!(version, fleet.version + 40);
-        fleet.control[leader].logged("Handing leadership over.").await;
-        assert!(fleet.control[leader].ended().await.success());
+        fleet.control[leader].wait_for_log("Handing leadership over.").await;
+        assert!(fleet.control[leader].wait_for_exit().await.success());
         fleet.in_force(version).await;
     }
 }
--- a/crates/daemon/tests/processes/process_loss.rs
+++ b/crates/daemon/tests/processes/process_loss.rs
@@ -127,7 +127,7 @@
             tokio::spawn(async move { caller.stream(5).await })
         }).collect();
         for sidecar in &mut fleet.sidecars {
-            sidecar.until_metric("hinge_sidecar_waiting{class=\"standard\"}", |offers| offers == 6).await;
+            sidecar.wait_for_metric("hinge_sidecar_waiting{class=\"standard\"}", |offers| offers == 6).await;
         }
         fleet.sidecars[0].kill().await;
         for answer in join_all(waiting).await {
@@ -169,7 +169,7 @@
         // The frozen entry notices the loss only after the sidecar has restarted at the same address.
         hung.fleet.entries[0].freeze();
         hung.fleet.sidecars[0].kill_and_restart().await;
-        hung.fleet.sidecars[0].in_force(1).await;
+        hung.fleet.sidecars[0].wait_until_in_force(1).await;
         hung.fleet.entries[0].thaw();
         let (fleet, caller, answer) = hung.answer().await;
         assert_eq!(answer.outcome().as_deref(), Some("unknown"), "{answer:?}");
--- a/crates/daemon/tests/processes/signals.rs
+++ b/crates/daemon/tests/processes/signals.rs
@@ -53,7 +53,7 @@
             let folder = tempfile::tempdir().expect("a temporary folder can be created");
             let path = write_settings(&role, folder.path());
             let mut process = process::spawn(role.name, path);
-            process.logged(step).await;
+            process.wait_for_log(step).await;
             signal.send(&process);
             check_effect(&role, signal, process).await;
         }
@@ -89,10 +89,10 @@
 /// Checks that the signal has the same effect as after the start.
 async fn check_effect(role: &Role, signal: Signal, mut process: Process) {
     if signal == Signal::HangUp && role.hangup == HangupEffect::Reloads {
-        process.logged(RELOADED).await;
+        process.wait_for_log(RELOADED).await;
         process.terminate();
     }
-    let status = process.ended().await;
+    let status = process.wait_for_exit().await;
     assert!(
         status.success(),
         "{signal:?}: {status}; the log is:\n{}",
